--- a/policy/api.go
+++ b/policy/api.go
@@ -2,92 +2,92 @@
 
 import "time"
 
-// RequestID names one try of a client at one gateway. An ID is never reused.
+// RequestID identifies one try of a client at one gateway. An ID is never reused.
 type RequestID uint64
 
-// ServerID names a server; it is the same at every gateway.
+// ServerID identifies a server; it is the same at every gateway.
 type ServerID uint32
 
-// Effect says what a repeat of a request does.
+// Effect is the effect of running a request more than once.
 type Effect int
 
-// The kinds of effect.
+// Effects of a repeated request.
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // repeats are dropped inside a group of servers, for a time
+	Keyed                // a group of servers drops repetitions for a time
 	Unsafe               // must not run twice
 )
 
-// Group says which servers drop repeats of a keyed request.
+// Group is the set of servers that drop repetitions of a keyed request.
 type Group int
 
-// The groups.
+// Groups of servers.
 const (
 	GroupAll  Group = iota // all servers
-	GroupZone              // those of one zone
-	GroupCell              // those of one cell
+	GroupZone              // the servers of one zone
+	GroupCell              // the servers of one cell
 )
 
-// Class holds the settings of a class of request.
+// Class holds the settings of a class of requests.
 type Class struct {
 	Name     string
-	Aim      time.Duration // an answer within it earns full worth
-	Deadline time.Duration // a client waits this long, over all its tries
+	Aim      time.Duration // latency up to which an answer has its full value
+	Deadline time.Duration // how long a client waits, over all its tries
 	Effect   Effect
 	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: how long repeats are remembered
+	Window   time.Duration // for Keyed: how long servers remember a request to drop its repetitions
 	Stream   bool          // the answer is a stream, announced by Started
 }
 
-// Plan holds the quotas of each customer on a plan, over all gateways.
+// Plan holds the quotas that each customer of a plan has over all gateways.
 type Plan struct {
 	Name        string
 	Rate        float64 // units a second; 0: no rate quota
-	Burst       float64 // most units the quota's token bucket holds
-	Open        int     // most attempts out at once; 0: no such quota
-	BeyondEarns float64 // share of the worth earned beyond the quota
-	BeyondCosts float64 // share of the worth charged beyond the quota
+	Burst       float64 // size of the quota's token bucket in units
+	Open        int     // cap on attempts in flight; 0: no cap
+	BeyondEarns float64 // share of a request's value that is earned beyond the quota
+	BeyondCosts float64 // share of a request's value that is charged beyond the quota
 	HardRate    float64 // units a second of the hard ceiling; 0: none
-	HardBurst   float64 // most units the ceiling's token bucket holds
+	HardBurst   float64 // size of the ceiling's token bucket in units
 }
 
-// Settings is what a gateway is told at its start.
+// Settings are the settings of a gateway.
 type Settings struct {
 	Me       int // number of this gateway, from 0
-	Gateways int // how many gateways there are
+	Gateways int // number of gateways
 	Zone     string
 	Classes  []Class
 	Plans    []Plan
 
-	Resolution         time.Duration // least time between two events in sequence
-	MaxAttempts        int           // attempts allowed for one request; 0: any number
-	CanCancel          bool          // Cancel is permitted
-	CanTell            bool          // Tell is permitted
-	DatagramsPerSecond float64       // peer messages a gateway takes in a second
-	LargestUnits       float64       // most units of one request
-	MaxRetryAfter      time.Duration // longest advice clients heed; 0: no advice
-	MustAsk            bool          // server changes come only to those that Watch
+	Resolution         time.Duration // minimum time between two successive events
+	MaxAttempts        int           // maximum attempts of one request; 0: no limit
+	CanCancel          bool          // the Cancel action may be used
+	CanTell            bool          // the Tell action may be used
+	DatagramsPerSecond float64       // messages from other gateways that a gateway can receive in a second
+	LargestUnits       float64       // maximum units of one request
+	MaxRetryAfter      time.Duration // longest advice that clients follow; 0: no advice
+	MustAsk            bool          // changes of the server list arrive only after a Watch action
 	SizeKnown          bool          // Server.Weight is the size of the machine
-	CrossZoneCost      float64       // charge for an attempt that crosses zones
-	ReportNames        []string      // names of the values in Load
-
-	AnswerSlack  time.Duration // final answers are in time this long after a deadline
-	ColdShare    float64       // a starting server has at least this share of its capacity
-	WarmWithin   time.Duration // and all of it this long after its start
-	FallMultiple float64       // a cold server falls when sent this multiple of its capacity
-	FallTime     time.Duration // for this long
+	CrossZoneCost      float64       // cost of an attempt to a server in another zone
+	ReportNames        []string      // names of the values in Outcome.Load
+
+	AnswerSlack  time.Duration // a final answer still counts as in time this long after the deadline
+	ColdShare    float64       // minimum share of its capacity that a starting server has
+	WarmWithin   time.Duration // time after its start at which a server has its full capacity
+	FallMultiple float64       // a cold server fails under this multiple of its capacity
+	FallTime     time.Duration // when the overload lasts this long
 }
 
-// Names of load report values the module understands.
+// Names of load report values that the package knows.
 const (
 	LoadActive  = "active"  // requests in progress
 	LoadWaiting = "waiting" // requests queued
 )
 
-// Code says how an attempt ended.
+// Code is the result of an attempt.
 type Code int
 
-// The ends of an attempt. NeverRan tells which prove that it never ran.
+// Results of an attempt. NeverRan reports which of them prove that the attempt never ran.
 const (
 	OK Code = iota
 	Error
@@ -102,10 +102,10 @@
 // NeverRan reports whether the code proves that the attempt never ran.
 func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == Moot }
 
-// Event is something a gateway is told.
+// Event is an input to Gateway.Handle.
 type Event interface{ event() }
 
-// Request is a client's try. Exactly one final answer is owed for it.
+// Request is a client's try. It must get exactly one final answer.
 type Request struct {
 	ID        RequestID
 	Customer  string
@@ -113,53 +113,53 @@
 	Class     string
 	Units     float64
 	Remaining time.Duration // until the client gives up this try
-	First     int           // the customer comes in through Spread gateways, at least
-	Spread    int           // one, counted round from First; this one is among them
-	Retry     bool          // the client marked it as a repeat
+	First     int           // the first of the gateways that the customer uses
+	Spread    int           // number of these gateways, at least 1, counted on from First; includes this one
+	Retry     bool          // the client marked it as a retry
 }
 
-// Started tells that the answer of a streamed class has begun.
+// Started reports that the answer to a request of a streamed class has begun.
 type Started struct {
 	ID      RequestID
 	Attempt int
 	Server  ServerID
 }
 
-// Outcome tells how an attempt ended; there is one for each Send.
+// Outcome reports the end of an attempt; there is one for each Send.
 type Outcome struct {
 	ID      RequestID
-	Attempt int // attempts of a request count from 0
+	Attempt int // numbered from 0 for each request
 	Server  ServerID
 	Code    Code
 	Latency time.Duration
-	Over    bool      // the request has its final answer
-	Actual  float64   // true units, where they are settled afterwards; else 0
-	Load    []float64 // load report, as Settings.ReportNames; or nil
+	Over    bool      // the request already has its final answer
+	Actual  float64   // actual units, where they are known only afterwards; else 0
+	Load    []float64 // values of the load report in the order of Settings.ReportNames; or nil
 }
 
-// Gone tells that the client left; nothing more is owed for the request.
+// Gone reports that the client disconnected; its request needs no answer.
 type Gone struct{ ID RequestID }
 
-// Timer tells that a timer set by SetTimer has run out.
+// Timer reports that a timer set by SetTimer has expired.
 type Timer struct{ Token string }
 
-// PeerMessage is what another gateway sent with Tell.
+// PeerMessage is a message that another gateway sent with Tell.
 type PeerMessage struct {
 	From int
 	Data []byte
 }
 
-// State is a server's state in the list.
+// State is the state of a server in the server list.
 type State int
 
-// The states of a server.
+// States of a server.
 const (
 	Running State = iota
 	Draining
 	Removed
 )
 
-// Server is one line of the server list.
+// Server is one entry of the server list.
 type Server struct {
 	ID       ServerID
 	Zone     string
@@ -170,74 +170,74 @@
 	Weight   float64
 }
 
-// MembersKind says what a Members event holds.
+// MembersKind is the kind of content of a Members event.
 type MembersKind int
 
-// The kinds of Members event.
+// Kinds of Members events.
 const (
-	Changes    MembersKind = iota // changed servers only
-	Whole                         // the whole list; a server not in it is gone
-	Remembered                    // a whole list, as last held; may be old
-	AskFailed                     // Watch failed; keep the list
+	Changes    MembersKind = iota // only servers that changed
+	Whole                         // the whole list; a server not in it has been removed
+	Remembered                    // a stored copy of the whole list; may be out of date
+	AskFailed                     // Watch failed; the list stays as it is
 )
 
-// Members brings the server list or changes to it.
+// Members delivers the server list or changes to it.
 type Members struct {
 	Kind    MembersKind
 	Servers []Server
 }
 
-// Reconfigure puts new settings in force. Me, Gateways, Zone, Resolution,
-// CanTell, MustAsk and DatagramsPerSecond must be as they were.
+// Reconfigure replaces the settings. Me, Gateways, Zone, Resolution, CanTell, MustAsk and DatagramsPerSecond
+// must not change.
 type Reconfigure struct{ Settings Settings }
 
-// Shutdown tells that this gateway is to end; it answers with ShutdownDone.
+// Shutdown starts the gateway's shutdown, which ends with the ShutdownDone action.
 type Shutdown struct{}
 
-// Action is something a gateway wants done.
+// Action is an output of Gateway.Handle, for the caller to carry out.
 type Action interface{ action() }
 
-// Send starts an attempt. Timeout 0 means until the client gives up.
+// Send starts an attempt. With Timeout 0 it lasts until the client gives up.
 type Send struct {
 	ID      RequestID
 	Server  ServerID
 	Timeout time.Duration
 }
 
-// Cancel stops waiting for an attempt; its Outcome still comes.
+// Cancel stops waiting for an attempt; its Outcome still follows.
 type Cancel struct {
 	ID      RequestID
 	Attempt int
 }
 
-// Refuse is the final answer that says a retry is harmless.
+// Refuse sends the final answer that declares a retry harmless.
 type Refuse struct {
 	ID         RequestID
 	RetryAfter time.Duration // advice to the client; 0: none
 }
 
-// Fail is the final answer that promises nothing.
+// Fail sends the final answer that doesn't say whether the request ran.
 type Fail struct{ ID RequestID }
 
-// SetTimer asks for a Timer event after a time.
+// SetTimer requests a Timer event after a time.
 type SetTimer struct {
 	Token string
 	After time.Duration
 }
 
-// Tell sends at most 256 bytes to another gateway; it may be lost.
+// Tell sends a message of at most 256 bytes to another gateway, or to all if To is -1. It may be lost.
 type Tell struct {
 	To   int
 	Data []byte
 }
 
-// Watch asks for the server list and its changes from now on.
+// Watch subscribes to the server list and its changes.
 type Watch struct{}
 
-// ShutdownDone tells that a gateway that was told to end has nothing more to say.
+// ShutdownDone reports that a gateway that shuts down has no more messages to send.
 type ShutdownDone struct{}
 
-// Log writes a line for the operators.
+// Log writes a line to the operators' log.
 type Log struct{ Text string }
 
 func (Request) event()     {}
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Handle takes one event at a time and appends what is to be done to out.
+// Handle processes one event and appends the resulting actions to out.
 func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
 	g.now, g.acts = now, out
 	if !g.begun {
@@ -47,7 +47,7 @@
 	return out
 }
 
-// onMembers takes in the list of servers or what has changed in it.
+// onMembers applies a whole server list, or changes to it.
 func (g *Gateway) onMembers(ev Members) {
 	if ev.Kind == AskFailed {
 		g.asked = false
@@ -71,7 +71,7 @@
 	g.capacity = g.usableCapacity()
 }
 
-// onPeer hands a message from another gateway to who decides on it.
+// onPeer decodes another gateway's message and passes it to its handler.
 func (g *Gateway) onPeer(ev PeerMessage) {
 	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.set.Me {
 		return
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -1,6 +1,6 @@
 package policy
 
-// What goes out at an outcome, and what is told to peers.
+// Release of held requests, asks that time out, and messages to peers.
 
 import (
 	"cmp"
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// release lets held requests go at an outcome: the customer's own while its
-// live count and the heard means stay under the cap, then others that waited
-// for a server.
+// release sends held requests after an outcome: first the customer's own, while its current count and the
+// reported means of the peers stay under the cap, then those of other customers that wait for a server.
 func (g *Gateway) release(c *customer) {
 	if !g.drain(c, 1<<30) || len(g.waiting) == 0 {
 		return
@@ -26,14 +25,14 @@
 	}
 }
 
-// onAskTimer asks again, elsewhere, for what was not answered.
+// onAskTimer repeats asks that were not answered in time, or sends them to the deputy.
 func (g *Gateway) onAskTimer() {
 	list := g.asking
 	g.asking = nil
 	for _, r := range list {
 		switch {
 		case r.over || r.granted || g.asks[r.tag] != r:
-		case g.now+g.set.Resolution <= r.until: // a timer may come a rounding early
+		case g.now+g.set.Resolution <= r.until: // rounding can make a timer fire early
 			g.asking = append(g.asking, r)
 		case r.waits:
 			g.letIn(r, 0)
@@ -45,9 +44,9 @@
 	}
 }
 
-// What is told to peers, to whom, and what is made of what they tell.
+// Messages to peers, and those received from them.
 
-// report tells each peer what has changed.
+// sendReports sends each peer the counts that have changed.
 func (g *Gateway) report() {
 	g.seq++
 	var list []*customer
@@ -76,8 +75,8 @@
 	}
 }
 
-// advice is when a retry may find room: once the token bucket will have filled up to
-// what a repeat needs, and no sooner than the next ticks.
+// retryAdvice returns after what time a retry may find room: once the token bucket has refilled to what a
+// retry needs, and not before the next ticks.
 func (g *Gateway) advice(r *request) time.Duration {
 	c, wait := r.c, 2*g.tick.Seconds()
 	if c.plan.Rate > 0 {
@@ -87,9 +86,11 @@
 	return min(g.set.MaxRetryAfter, time.Duration(wait*float64(time.Second)))
 }
 
+// notifyMonitors passes an outcome to the monitors of the server. Unless it is the active one, the second
+// monitor gets only failures to connect.
 func (g *Gateway) sight(s *server, cl *class, code Code, latency time.Duration) {
 	if cl.Name == "" || cl.no < 0 {
-		return // not in the settings
+		return // the class is not in the settings
 	}
 	for i, w := range s.watchers {
 		if i > 0 && !g.tree || w != g.judgeOf(s) && (i == 0 || code != ConnectFailed) {
@@ -104,6 +105,7 @@
 	}
 }
 
+// onVerdict applies a health verdict on a server.
 func (g *Gateway) onVerdict(m verdict, bad byte) {
 	s := g.meet(ServerID(m.Server))
 	if s == nil {
@@ -115,25 +117,24 @@
 	s.slow = paceOf(m.Pace)
 }
 
-// watchers names the gateways that judge a server: in a small fleet each
-// judges for itself. The second is far from the first in number, since those of one
-// machine, or of one step of a roll, stand side by side and leave together; and, where
-// zones are dealt out in turn to any few of them, in another zone, since a cut takes one
-// whole.
+// monitors returns the gateways that monitor a server's health; in a small fleet each gateway monitors for
+// itself. The second is far from the first by number, since gateways of one machine, or of one step of a
+// rollout, have adjacent numbers and shut down together. Where zones are assigned to the numbers in turn it
+// is also in another zone, since a network partition takes a whole zone.
 func (g *Gateway) watchers(id ServerID) [2]int {
 	if !g.tree {
 		return [2]int{g.set.Me, g.set.Me}
 	}
 	h, n := serverHash(id), uint32(g.set.Gateways)
-	if n <= 1<<serverBits { // as older programs do; beyond, some would watch none
+	if n <= 1<<serverBits { // same as in older versions; with more, some would monitor no server
 		h >>= 32 - serverBits
 	}
 	far := n/2 - n/2%zoneTurns + 1
 	return [2]int{int(h % n), int((h + far) % n)}
 }
 
-// judgeOf is the watcher that judges a server for all by now: the first, or the second
-// while that one has told that it ends.
+// activeMonitor returns the monitor whose verdicts on a server are in force: the first or, after that one has
+// announced its shutdown, the second.
 func (g *Gateway) judgeOf(s *server) int {
 	if g.gone(s.watchers[0]) {
 		return s.watchers[1]
@@ -141,8 +142,8 @@
 	return s.watchers[0]
 }
 
-// adoptJudged takes over what the other watcher knew of a server: the worse of both,
-// for as long as a verdict lasts, and its pace, since it has seen more.
+// adoptServerState takes over the other monitor's state of a server: the higher error rate of the two, an
+// ejection for as long as a verdict lasts, and the relative latency, since the other monitor has seen more.
 func (g *Gateway) adoptJudged(s *server, m judged) {
 	s.slow = within(paceOf(m.Pace))
 	s.pace = s.slow
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,12 +1,13 @@
-// Package policy decides for a gateway that keeps customers' quotas on a
-// shared API. Its interface (settings, events, actions) is in api.go; every
-// decision and its constants are in this file and in gateway.go.
+// Package policy makes the decisions of a gateway that enforces customers' quotas on a shared API: which
+// requests it admits, when, and to which server it sends each attempt. The interface (settings, events,
+// actions) is in api.go. The decisions are in this file and in gateway.go, and all their constants here.
 //
-// The mechanism is a distributed waiting room. Requests beyond a customer's
-// cap on attempts out wait in arrival order; gateways report to each other
-// once a tick, sum the attempts out from these reports, and release the free
-// room at ticks and at their own outcomes. A rate companion keeps an estimate
-// of each customer's token bucket of units and lets a gateway pass its part of it.
+// The mechanism is a distributed waiting room. Requests beyond a customer's cap on attempts in flight wait in
+// arrival order. Gateways report to each other once a tick, sum the attempts in flight from these reports,
+// and send held requests as room becomes free, at ticks and at outcomes of their own attempts. For rate
+// quotas, each gateway also estimates the content of each customer's token bucket and admits its share of it.
+// In a fleet too large for reports from all to all, a few root gateways sum a customer's counts, and the
+// others ask them.
 package policy
 
 import (
@@ -16,86 +17,115 @@
 	"time"
 )
 
-// Shares are parts of one where no unit is given.
+// Shares are fractions of one where no unit is given.
 const (
-	reportShare      = 0.75 // of a gateway's intake of datagrams, for reports
-	minTick, maxTick = 25 * time.Millisecond, 250 * time.Millisecond
-	staleTicks       = 6    // ticks; an older report gives way to the demand split
-	minWeight        = 0.33 // of a silent peer's demand, to which it fades
-	forgetAfter      = 10 * time.Second
-	demandSpan       = 2 * time.Second       // memory of the demand rates
-	blindExtra       = 25 * time.Millisecond // time a report travels
-	untold           = 0.01                  // requests held that a tick untold weighs in a report
-	repeatTicks      = 3                     // ticks for which a change is told
-
-	evenRate, evenLeast    = 0.02, 0.05 // demand of each taken for granted: of the rate, units a second
-	arriveSlack, freeSlack = 0.5, 0.25  // of a place that counts as one, at arrival and later
-	jitter                 = 0.2        // spread of a prediction, so that none is left untried
-	maxLatency             = 4.0        // a latency counts for so many means at most
-	choices                = 4          // servers compared for an attempt
-	zonePrice              = 25.0       // service times that a charge of one for another zone is worth
-	queueWeight            = 0.5        // what each attempt out adds to a server's latency, in service times
-	waitAim                = 0.15       // a server is full when the wait passes this part of the shortest aim
-	minOut                 = 2.5        // but not below this many attempts out
-	retryReserve           = 0.3        // part of the token bucket that clients' repeats leave to first tries
-	pressedFor             = 200 * time.Millisecond
-	holdAim                = 0.35             // a request is held for this part of its aim
-	firstGuess             = 8.0              // a request's first guessed latency is its aim over this
-	learn, learnMean       = 0.1, 0.03        // weight of an outcome in a server's pace, in a class's latency
-	slowSpan               = 10 * time.Second // an old judgement wears off in this time
-	fullFor                = 2 * time.Second
-	anewFor                = 2 * time.Second // a total that begins at nothing is told as such
-	retryEarn, retryCap    = 0.15, 12.0      // retry budget earned by each first attempt, most kept
-	warmUpSlots            = 2.0             // turns in FallTime at a cold server
-
-	minLate                 = 0.1       // an attempt is overdue after this part of its aim at the soonest,
-	overdue                 = 4.0       // when so many times as old as predicted
-	sightWeight, sightLimit = 0.2, 0.45 // weight of a failure, average that puts a server out of use
-	trialWorth              = 0.6       // what a good trial leaves of a server's failures
-
-	trialEvery, trialMost = time.Second, 8 * time.Second // between trials of a server out of use
-
-	mostOut     = 0.7 // when more are out of use they are used all the same
-	sheddingAim = 0.6 // mean latency over aim above which load is shed
-
-	sheddingTime    = 3 * time.Second  // in which the part let in falls to 1/e
-	recoveryTime    = 8 * time.Second  // in which it recovers
-	minAdmitted     = 0.25             // enough to learn from when all is well again
-	loadRatioLife   = 12 * time.Second // until 1/e of an old load ratio is left
-	loadRatioWeight = 0.15             // of an outcome, or of a root's message, in it
-
-	// Where reports from all to all are more than their intake bears.
-	departedFor   = 2 * time.Second       // one that told of its end is back by then, or is missed as ever
-	treeTick      = maxTick * 2 / 3       // longest tick up to which reports to all serve better
-	rootShare     = 0.5                   // part of its intake that a root spends on one customer
-	rootPeak      = 2.0                   // asks it must bear, as a multiple of those inside the quota
-	rootTicks     = 2                     // roots of a customer report to each other every so many ticks
-	rootAsks      = 3                     // times a root is asked before its deputy is
-	freshPart     = 0.8                   // part of a token bucket that a root just started presumes
-	deputyPart    = 0.25                  // part of a hard ceiling that the deputy holds
-	minReply      = 30 * time.Millisecond // an answer is waited for this long at least
-	replySpread   = 2.5                   // and for this many mean times
-	isolatedAfter = 4                     // as many asks as one request takes, and no word from anybody
-	fitLearn      = 0.05                  // weight of a root's word in what part of a plan's requests fits
-	leaseTicks    = 3                     // ticks for which a word of an attempt counts: one may be lost
-	thinSpan      = 20 * time.Second      // a root's word of what part fits is heeded so long
-	paceStep      = 1.7                   // a pace is told when it changed by this factor
-	verdictLife   = 8 * time.Second       // a verdict not told again lapses
-	otherZone     = 0.7                   // weight of a server in another zone
-	zoneTurns     = 12                    // a multiple of 2, 3, 4 and 6: the zones there may be
-	minSet        = 20                    // servers that a gateway keeps to: enough to even out slow ones,
-	minSets       = 8.0                   // but as many as have each server in so many gateways' sets
-	maxSet        = 128.0                 // up to this many
-	widerSet      = 8                     // times as many are looked at where half can't be used
-	asGood        = 0.02                  // errors, and the log of a pace, that are as good as none
-
-	letSpan, creditSpan       = 4 * time.Second, time.Second / 2 // of what roots let in; what of it at once
-	maxPace, paceLearn        = 12.0, 0.025                      // most a pace is taken for, weight in it
-	verdictShare, verdictKeep = 0.1, 2.0                         // part of the intake, most at once
+	// Reports between gateways, sent once a tick.
+	reportShare = 0.75 // of a gateway's datagram budget
+	minTick     = 25 * time.Millisecond
+	maxTick     = 250 * time.Millisecond
+	staleTicks  = 6                     // ticks; an older report is replaced by the demand split
+	blindExtra  = 25 * time.Millisecond // assumed for a report on the network
+	untold      = 0.01                  // held requests that a tick without a report counts as
+	repeatTicks = 3                     // ticks for which a change is reported
+	anewFor     = 2 * time.Second       // for which a total that began at zero is marked
+	forgetAfter = 10 * time.Second      // unused state; also the decay time of a silent peer
+
+	// Demand, by which gateways divide a customer's quota.
+	demandSpan = 2 * time.Second // of the demand rates
+	minWeight  = 0.33            // share of its demand to which a silent peer's fades
+	evenRate   = 0.02            // demand assumed for each gateway: of the plan's rate,
+	evenLeast  = 0.05            // and units a second on top
+
+	// Caps on attempts in flight. Counts are means and thus fractional.
+	arriveSlack = 0.5  // part of an attempt's place that counts as a whole one at arrival
+	freeSlack   = 0.25 // and for held requests
+
+	// Holding and refusing requests.
+	retryReserve = 0.3                    // share of the token bucket that retries leave to first tries
+	pressedFor   = 200 * time.Millisecond // retries are refused this long after no server had room
+	holdAim      = 0.35                   // a request is held for this share of its aim
+
+	// Retry budget for attempts after the first, in attempts.
+	retryEarn = 0.15 // by each first attempt
+	retryCap  = 12.0
+
+	// Latency estimates. A server's relative latency is its latency over the fleet's at equal load.
+	firstGuess = 8.0              // a class's first latency estimate is its aim over this
+	learn      = 0.1              // of an outcome at a server, of an answer in the reply time
+	learnMean  = 0.03             // of an outcome in a class's mean latency
+	maxLatency = 4.0              // means at which a sample of a class's latency is cut off
+	maxPace    = 12.0             // at which a sample of a relative latency is cut off
+	slowSpan   = 10 * time.Second // of a server's relative latency and error rates
+
+	// Choice of a server in a small fleet.
+	choices     = 4               // servers compared for an attempt
+	jitter      = 0.2             // spread of a prediction, so that no server is left untried
+	zonePrice   = 25.0            // service times that a cross-zone cost of 1 counts as
+	queueWeight = 0.5             // service times that each attempt in flight adds to a latency
+	waitAim     = 0.15            // of the shortest aim: a longer wait makes a server full,
+	minOut      = 2.5             // but not with fewer attempts in flight than this
+	fullFor     = 2 * time.Second // for the plan that a server turned away
+
+	// Cold servers (slow start).
+	warmUpSlots = 2.0 // slots in FallTime, in which gateways take turns to send
+
+	// Overdue attempts.
+	minLate = 0.1 // of the aim: an attempt is not overdue sooner,
+	overdue = 4.0 // and is overdue at this multiple of the predicted latency
+
+	// Health verdicts, and trials of ejected servers.
+	sightWeight  = 0.2         // of a failure in an error rate
+	sightLimit   = 0.45        // above it a server is ejected for the class
+	mostOut      = 0.7         // above it ejected servers are used all the same
+	trialWorth   = 0.6         // of the error rate that a successful trial leaves
+	trialEvery   = time.Second // each trial doubles the interval and adds this
+	trialMost    = 8 * time.Second
+	paceLearn    = 0.025           // of an outcome in the monitor's relative latency of a server
+	paceStep     = 1.7             // a relative latency is sent when it changed by this factor
+	asGood       = 0.02            // an error rate or log of a relative latency within it counts as 0
+	verdictLife  = 8 * time.Second // unless it is sent again
+	verdictShare = 0.1             // of the datagram budget, for verdicts of all monitors
+	verdictKeep  = 2.0             // verdicts that may be sent at once for a server
+	zoneTurns    = 12              // divisible by 2, 3, 4 and 6, the possible numbers of zones
+
+	// Load shedding. The load ratio is the mean of latency over aim.
+	sheddingAim     = 0.6              // above it load is shed
+	sheddingTime    = 3 * time.Second  // in which the admitted share falls to 1/e
+	recoveryTime    = 8 * time.Second  // in which the admitted share grows from 0 to 1
+	minAdmitted     = 0.25             // share of requests: enough outcomes to notice a recovery
+	loadRatioLife   = 12 * time.Second // of the load ratio, to 1/e
+	loadRatioWeight = 0.15             // of an outcome, or of a root's answer
+
+	// Roots, in fleets whose reports from all to all would exceed the datagram budget.
+	treeTick    = maxTick * 2 / 3  // longest tick up to which reports from all to all are better
+	rootShare   = 0.5              // of a root's datagram budget, for one customer
+	rootPeak    = 2.0              // asks a root must handle: multiple of those inside the quota
+	rootTicks   = 2                // ticks between reports of a customer's roots to each other
+	freshPart   = 0.8              // fill of a token bucket that a root presumes when it starts
+	deputyPart  = 0.25             // of a hard ceiling, held by the deputy
+	fitLearn    = 0.05             // of an answer in the granted share of a plan's requests
+	leaseTicks  = 3                // ticks until a lease expires: one renewal may be lost
+	thinSpan    = 20 * time.Second // in which a reduced chance to ask the root grows from 0 to 1
+	departedFor = 2 * time.Second  // a gateway that shut down is back by then, or counts as silent
+
+	// Asks to roots, and what is admitted without an answer.
+	rootAsks      = 3 // to a root, before its deputy is asked
+	minReply      = 30 * time.Millisecond
+	replySpread   = 2.5             // times the mean reply time
+	isolatedAfter = 4               // unanswered, and no message at all: as many as one request makes
+	letSpan       = 4 * time.Second // of the count of requests that roots granted
+	creditSpan    = time.Second / 2 // of that rate of grants, admitted at once without an answer
+
+	// Subsets of servers in a large fleet.
+	minSet    = 20    // servers: enough to average out slow ones,
+	minSets   = 8.0   // but as many as put each server into this many gateways' subsets,
+	maxSet    = 128.0 // up to this many
+	widerSet  = 8     // subsets in the set that is examined where half the subset can't be used
+	otherZone = 0.7   // of a server in another zone
 )
 
-// New returns a gateway that has seen nothing yet. The seed feeds its random
-// choices; equal settings, seeds and events give equal actions.
+// New returns a gateway with empty state. The seed feeds its random choices: equal settings, seeds and events
+// give equal actions.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -110,7 +140,7 @@
 	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / mail * float64(time.Second))
 	g.own, g.admitted = learn, 1
 	if g.tree = g.tick > treeTick && s.CanTell; g.tree {
-		g.own = 0 // what the watchers tell is more than what this gateway sees
+		g.own = 0 // the monitors observe more outcomes than this gateway
 	}
 	g.nextTag, g.reply = g.rng.Uint32(), minReply
 	if !g.tree {
@@ -120,27 +150,27 @@
 	return g, nil
 }
 
-// Customers, their token buckets and their room.
+// Customers, their token buckets and their caps.
 
-// account starts a customer's counts. Those who sum them come first: in a
-// small fleet all its gateways, in a large one its roots. The others ask.
+// newCustomer starts a customer's counts and assigns the gateways that sum them: all of the customer's
+// gateways in a small fleet, its roots in a large one. The other gateways ask its roots.
 func (g *Gateway) account(key uint64, plan *quota, first, spread int) *customer {
 	spread = max(1, min(spread, g.set.Gateways))
 	c := &customer{key: key, hash: shortOf(key), plan: plan, n: float64(spread), part: 1, first: first,
 		tokens: g.initialTokens(key, plan), leases: map[lease]leased{}, spread: spread, at: g.now,
 		areaAt: g.now, born: g.now}
 	g.seat(c)
-	// The ceiling's own part starts empty at the gateway's start: after a
-	// restart it must not be granted a second time.
+	// This gateway's part of the ceiling is empty when the gateway starts, so that a restart doesn't grant it
+	// a second time.
 	c.ceiling = min(plan.HardBurst, plan.HardRate*(g.now-g.start).Seconds()) / c.n
 	g.enter(c)
 	return c
 }
 
-// initialTokens is what a token bucket holds when a customer's counts begin. For as long as
-// it takes to fill, it may have been emptied before this gateway's start: it must
-// not be granted twice. After a crash nobody knows what was let in last, whatever
-// an earlier snapshot says: it holds what has flowed in since the start.
+// initialTokens returns the units in a customer's token bucket when its counts begin. Until the bucket's fill
+// time has passed since this gateway's start, the bucket may have been emptied before the start, and must not
+// be granted twice. After a crash no snapshot covers the last admissions, so the bucket holds only what has
+// flowed in since the start.
 func (g *Gateway) initialTokens(key uint64, plan *quota) float64 {
 	age := (g.now - g.start).Seconds()
 	left, kept := g.kept[key]
@@ -156,7 +186,7 @@
 	return plan.Burst
 }
 
-// seat finds who sums a customer's counts, by the figures of its plan.
+// assignRoots finds the gateways that sum a customer's counts, by the figures of its plan.
 func (g *Gateway) seat(c *customer) {
 	roots, deputy := g.roots(c)
 	if c.ask = nil; slices.Contains(roots, g.set.Me) || !g.tree {
@@ -165,7 +195,7 @@
 		c.ask = []int{roots[g.set.Me%len(roots)], deputy}
 	}
 	if g.tree {
-		// All ceiling parts are with those who grant.
+		// Roots and deputy hold all parts of the ceiling.
 		c.n = float64(len(roots)) / (1 - deputyPart)
 		if len(c.ask) > 0 {
 			c.n = 1 / deputyPart
@@ -173,8 +203,9 @@
 	}
 }
 
-// carry takes a customer over to new figures of its plan. That cuts a token bucket and
-// fills none, but that of a plan that had no rate: it had none, and one begins full.
+// applyPlanChange applies new figures of a customer's plan to its counts. New figures reduce the content of a
+// token bucket but never increase it, except that a customer whose plan had no rate starts with a full
+// bucket.
 func (g *Gateway) carry(c *customer, old Plan) {
 	g.seat(c)
 	if old.Rate == 0 && c.plan.Rate > 0 {
@@ -183,15 +214,14 @@
 	c.tokens, c.ceiling = min(c.tokens, c.plan.Burst), min(c.ceiling, c.plan.HardBurst/c.n)
 }
 
-// roots are the gateways that sum a customer's counts: as few as can take in
-// what its gateways ask of them, all where reports go from all to all. The
-// deputy steps in for a root that is silent.
+// roots returns the gateways that sum a customer's counts: in a large fleet as few as can receive all asks
+// for it, in a small fleet all gateways of the customer. The deputy replaces a root that is silent.
 func (g *Gateway) roots(c *customer) (nums []int, deputy int) {
 	k := c.spread
 	if g.tree {
 		asks := rootPeak * c.plan.Rate
 		if c.plan.Open > 0 {
-			asks += c.plan.Rate // those that pass tell their ends too
+			asks += c.plan.Rate // the end of each admitted attempt is reported too
 		}
 		asks /= max(1, g.set.LargestUnits/2)
 		k = min(max(1, int(math.Ceil(asks/max(1, g.set.DatagramsPerSecond*rootShare)))), c.spread)
@@ -206,8 +236,8 @@
 	return nums, deputy
 }
 
-// advance brings a customer's token buckets up to now. A peer long silent is taken
-// to use its demand-split part of the rate: it may only be cut off.
+// advance refills a customer's token buckets up to now and decays its demand rates. A peer that has been
+// silent for long may only be cut off, so its demand-split share of the rate is left to it.
 func (g *Gateway) advance(c *customer) {
 	dt := (g.now - c.at).Seconds()
 	if dt <= 0 {
@@ -222,7 +252,7 @@
 	}
 	share := 1 - unheard/g.demand(c)
 	if len(c.ask) > 0 && !c.sums || g.isolated() {
-		share = 1 / float64(c.spread) // what others pass is the root's to know, if it hears
+		share = 1 / float64(c.spread) // only the root knows what the others admit
 	}
 	c.tokens = min(c.plan.Burst, c.tokens+c.plan.Rate*dt*share)
 	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.n, c.ceiling+c.plan.HardRate/c.n*dt))
@@ -236,19 +266,20 @@
 	}
 }
 
-// silent tells whether a peer's counts are too old to be used.
+// silent reports whether a peer's counts are too old to use.
 func (g *Gateway) silent(p *peer) bool { return !p.heard || p.left || g.now-p.at > staleTicks*g.tick }
 
-// even is the demand taken for granted: a fresh customer's split is even.
+// baselineDemand returns the demand in units a second that is assumed for each gateway, so that the split of
+// a new customer's quota is equal.
 func (g *Gateway) even(c *customer) float64 { return evenRate*c.plan.Rate + evenLeast }
 
-// weight is a peer's demand in the demand split. One not heard for long counts
-// as much as this gateway, then less, but never nothing: it may be cut off and
-// passing its part, or dead for good.
+// peerDemand returns a peer's demand in units a second for the demand split. A silent peer counts as much as
+// this gateway at first, then less, but never nothing: it may be cut off and still admit its share, or it may
+// have failed.
 func (g *Gateway) weight(c *customer, v *peerView) float64 {
 	w := v.rate
 	if v.p.left {
-		return 0 // it has ended, and said so
+		return 0 // it has announced its shutdown
 	}
 	if g.silent(v.p) {
 		fade := math.Exp(-(g.now - max(v.p.at, g.start)).Seconds() / forgetAfter.Seconds())
@@ -257,7 +288,7 @@
 	return w/demandSpan.Seconds() + g.even(c)
 }
 
-// demand is all gateways' demand in units a second, this one's included.
+// totalDemand returns the demand of all gateways in units a second, this one's included.
 func (g *Gateway) demand(c *customer) float64 {
 	sum := c.rate/demandSpan.Seconds() + g.even(c)
 	for _, v := range c.set {
@@ -266,13 +297,14 @@
 	return sum
 }
 
+// demandShare returns this gateway's share of the customer's total demand.
 func (g *Gateway) share(c *customer) float64 {
 	return (c.rate/demandSpan.Seconds() + g.even(c)) / g.demand(c)
 }
 
-// allowance is what this gateway may pass of the customer's token bucket now: its
-// demand-split part, or what is left once the peers have passed all they may
-// be asked for before they are heard again, whichever is more.
+// allowance returns the units that this gateway may admit now from the customer's token bucket: its
+// demand-split share or, if that is more, what remains after all units that the peers may be asked for before
+// their next reports arrive.
 func (g *Gateway) allowance(c *customer) float64 {
 	blind := (g.tick + blindExtra).Seconds()
 	unseen := 0.0
@@ -286,8 +318,8 @@
 	return max(c.tokens*g.share(c), c.tokens-unseen)
 }
 
-// others sums the attempts out and held that the peers report. A silent
-// peer's count gives way to its demand-split part of the cap.
+// peerCounts sums the attempts in flight and the held requests that the peers report. For a silent peer, its
+// demand-split share of the cap counts as in flight.
 func (g *Gateway) others(c *customer) (out, held float64) {
 	for _, v := range c.set {
 		if g.silent(v.p) {
@@ -300,8 +332,8 @@
 	return out, held
 }
 
-// room tells whether one more attempt of the customer fits under its cap.
-// An arrival stays under its demand-split part, at least one.
+// hasRoom reports whether one more attempt of the customer fits under its cap. A request that has just
+// arrived may only use this gateway's demand-split share of the free room, but at least one place of it.
 func (g *Gateway) room(c *customer, arrival bool) bool {
 	if c.plan.Open == 0 {
 		return true
@@ -319,7 +351,7 @@
 func (g *Gateway) onRequest(r *request) {
 	c := r.c
 	c.rate += r.units
-	// With no time left any wait is too long.
+	// This close to the deadline no wait is possible.
 	if r.deadline-g.now <= 2*g.set.Resolution || g.rng.Float64() > g.admitted {
 		g.refuse(r)
 		return
@@ -328,9 +360,9 @@
 		g.admit(r)
 		return
 	}
-	// Of a customer far above its quota only the part that fits is asked for:
-	// its root could not take in all its asks, nor those of others then. Harms
-	// for as long as thinSpan when the customer stops asking for more.
+	// For a customer far above its quota, only the share of requests that fits is asked for. The root could
+	// not receive all its asks, and would lose those of other customers too. This harms a customer whose
+	// demand falls, for as long as askChanceRecoveryTime.
 	r.asks = 1
 	if c.plan.Rate > 0 && c.told > 0 {
 		r.asks = min(1, c.part+(g.now-c.partAt).Seconds()/thinSpan.Seconds())
@@ -342,13 +374,12 @@
 	g.ask(r)
 }
 
-// admit lets a request pass, holds it in its customer's queue or refuses it.
+// admit passes a request on, holds it in its customer's queue or refuses it.
 func (g *Gateway) admit(r *request) {
 	c := r.c
 	c.fresh = repeatTicks
-	// A client's repeat is often late. It gives way to first tries while requests
-	// wait for servers or the token bucket is low. Guards against retry storms; harms
-	// where repeats come soon and aims are long.
+	// A client's retry is often late. It yields to first tries while requests wait for servers or the token
+	// bucket is low. This protects against retry storms; it harms where retries come soon and aims are long.
 	scarce := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst ||
 		!r.remote && g.lackAt > 0 && g.now-g.lackAt < pressedFor
 	if !g.within(r) || r.repeat && scarce {
@@ -364,15 +395,16 @@
 	}
 }
 
-// within tells whether quota and ceiling have the request's units.
+// withinQuota reports whether the quota and the hard ceiling have the request's units left, or have already
+// been charged.
 func (g *Gateway) within(r *request) bool {
 	c := r.c
 	return r.counted || r.granted || (c.plan.Rate == 0 || g.allowance(c) >= r.units) &&
 		(c.plan.HardRate == 0 || c.ceiling >= r.units)
 }
 
-// hold puts a request in its customer's queue. What no tick could answer in
-// time is answered now.
+// hold queues a request for its customer. It refuses a request that the next tick would be too late to
+// answer.
 func (g *Gateway) hold(r *request) {
 	if g.now+g.tick+2*g.set.Resolution >= r.deadline {
 		g.refuse(r)
@@ -381,7 +413,8 @@
 	g.queue(r)
 }
 
-// try sends the request to a server if one has room for it.
+// trySend sends the request to a server if one has room. A request that another gateway asks for is granted
+// instead.
 func (g *Gateway) try(r *request) bool {
 	if r.remote {
 		g.grant(r)
@@ -412,7 +445,7 @@
 	return true
 }
 
-// refuse gives the final answer: a refusal where a retry is harmless.
+// refuse sends the final answer: Refuse where a retry is harmless, else Fail.
 func (g *Gateway) refuse(r *request) {
 	if r.remote {
 		g.answer(r, refused)
@@ -448,8 +481,8 @@
 	g.release(c)
 }
 
-// again decides whether a request may have a further attempt. Where it may go
-// is usable's to say. The budget keeps retries from feeding an overload.
+// mayRetry decides whether a request may have another attempt; usable decides which servers it may go to. The
+// retry budget keeps retries from amplifying an overload.
 func (g *Gateway) again(r *request, code Code) bool {
 	if g.set.MaxAttempts > 0 && r.attempts >= g.set.MaxAttempts ||
 		r.ran && (r.cl.Effect == Unsafe || r.cl.Effect == Keyed && g.now-r.ranAt >= r.cl.Window) ||
@@ -462,8 +495,8 @@
 	return g.budget >= 0
 }
 
-// drain sends up to n of a customer's held requests, oldest first. It is false
-// when no server had room.
+// sendHeld sends up to n of a customer's held requests, oldest first. It returns false when no server had
+// room.
 func (g *Gateway) drain(c *customer, n int) bool {
 	for ; n > 0 && len(c.held) > 0; n-- {
 		r := c.held[0]
@@ -485,7 +518,7 @@
 
 // Servers.
 
-// warmUpFraction is the least share of its capacity a server surely has.
+// warmUpFraction returns the smallest share of its full capacity that a server can have by now (slow start).
 func (g *Gateway) warmUpFraction(s *server) float64 {
 	if !s.HasStart || g.set.WarmWithin <= 0 || g.set.ColdShare <= 0 {
 		return 1
@@ -494,25 +527,24 @@
 	return min(1, g.set.ColdShare+(1-g.set.ColdShare)*max(age, 0))
 }
 
-// load is the attempts out at a server: own, and the peers' as last reported.
+// load returns the attempts in flight at a server: this gateway's own, and the peers' as last reported.
 func (g *Gateway) load(s *server) float64 { return float64(s.out) + s.heard }
 
-// predict is the latency in seconds expected of a server for a class.
+// predict returns the latency in seconds expected of a server for a class.
 func (g *Gateway) predict(s *server, cl *class) float64 {
 	return cl.mean * s.slow * (1 + queueWeight*g.load(s)/g.sizeOf(s)) / g.warmUpFraction(s)
 }
 
-// full tells whether a server has all the work it can turn round in time: the
-// wait there would pass a share of the shortest aim. Beyond that requests are
-// held here, where they can still go elsewhere or be refused.
+// full reports whether a server has all the work it can finish in time: the wait there would exceed a share
+// of the shortest aim. Further requests are held here, where they can still go elsewhere or be refused.
 func (g *Gateway) full(s *server) bool {
 	load := g.load(s) / g.sizeOf(s)
 	return load >= minOut && g.mean*s.slow/g.warmUpFraction(s)*queueWeight*load > waitAim*g.minAim
 }
 
-// usable tells whether a request may go to a server at all: running, not
-// ejected (but for a trial), inside its group and window once it may have
-// run, and inside the budget of a cold server.
+// usable reports whether a request may go to a server at all: the server runs and hasn't just turned the plan
+// away, a keyed request that may have run stays inside its group and window, and a cold server's budget has
+// room.
 func (g *Gateway) usable(s *server, r *request) bool {
 	if s.State != Running || g.now < s.fullAt[r.c.plan] ||
 		r.ran && r.cl.Effect == Keyed && (g.now-r.ranAt >= r.cl.Window || !r.sameGroup(s)) {
@@ -521,49 +553,50 @@
 	return g.warmUpFraction(s) == 1 || g.admitsWarmUp(s)
 }
 
-// coldPart is how many requests this gateway may send a cold server within FallTime, on
-// average: its part of what all may send there together, which is the multiple of the
-// server's capacity that the settings allow. The capacity is taken from what servers took
-// of late, as a part of what they have, the request at hand counted in.
+// warmUpAllowance returns how many requests this gateway may send a cold server within FallTime, on average.
+// All gateways together may send the multiple of the server's capacity that the settings allow. The capacity
+// is estimated from the attempts that servers recently accepted from this gateway, the current request
+// included, relative to the capacity of these servers.
 func (g *Gateway) coldPart(s *server) float64 {
 	if g.set.FallMultiple <= 0 {
-		return math.MaxInt32 // nothing makes it fall
+		return math.MaxInt32 // no load brings it down
 	}
 	bears := (g.taken + 1) / max(1, g.capacity) * g.warmUpFraction(s) * g.sizeOf(s)
 	return bears * g.set.FallMultiple * warmUpSlots / (warmUpSlots + 1)
 }
 
-// warmUpChance is the chance that a turn is this gateway's, where it may send a part of a
-// request: of the turns in FallTime it has a request to send in as many as it drew servers.
+// warmUpChance returns the probability that a slot belongs to this gateway, given the fraction of a request
+// that it may send within FallTime. The number of slots in which it has a request to send is limited by the
+// number of times that it recently chose a server.
 func (g *Gateway) warmUpChance(part float64) float64 { return part / min(warmUpSlots, max(1, g.draws)) }
 
-// admitsWarmUp tells whether this gateway may send a cold server one request more. A floor of one
-// for each would let as many through as there are gateways, however often held requests draw
-// again. So FallTime is cut into turns, and a fraction is the chance that a turn is this
-// gateway's: the places of all are spread evenly, and their turns hold what the parts sum up to.
+// admitsWarmUp reports whether this gateway may send one more request to a cold server. A minimum of one
+// request for each gateway would admit as many as there are gateways. Therefore FallTime is divided into
+// slots, and the fraction of an allowance is the probability that a slot belongs to this gateway, however
+// often held requests choose a server again. The positions of the gateways are evenly spread, so their slots
+// together admit the sum of their allowances.
 func (g *Gateway) admitsWarmUp(s *server) bool {
 	s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.set.FallTime })
 	part := g.coldPart(s)
 	whole := math.Floor(part)
 	if !g.tree {
-		whole = max(1, whole) // all are told the load there
+		whole = max(1, whole) // all gateways receive reports of the load there
 	} else if g.warmUpSlot(s) < g.warmUpChance(part-whole) {
 		whole++
 	}
 	return float64(len(s.sends)) < whole
 }
 
-// warmUpSlot is this gateway's place, from 0 to 1, in the order of those that may send a cold
-// server a request in the present turn.
+// warmUpSlot returns this gateway's position, from 0 to 1, in the order of the gateways that may send a cold
+// server a request in the current slot.
 func (g *Gateway) warmUpSlot(s *server) float64 {
 	turn := math.Floor(warmUpSlots * float64(max(0, g.now-s.Start)) / float64(max(1, g.set.FallTime)))
 	return fraction(s.place + turn*math.Phi)
 }
 
-// pick chooses a server, or nil when none has room. Those out of use for the
-// class are left out while they are not too many; a watcher tries them now and
-// then. A small fleet's gateway takes the best of a few random ones by predicted
-// latency and zone price.
+// pick chooses a server, or returns nil when none has room. Servers that are ejected for the class are
+// skipped unless they are too many; a health monitor tries them now and then. A gateway of a small fleet
+// takes the best of a few random servers by predicted latency and zone cost.
 func (g *Gateway) pick(r *request) *server {
 	if s := g.trial(r); s != nil {
 		return s
@@ -596,8 +629,8 @@
 	return best
 }
 
-// trial returns a server that is out of use for the request's class and due to be
-// tried. Its watcher alone does so.
+// trialServer returns a server that is ejected for the request's class and due for a trial. Only its active
+// health monitor tries it.
 func (g *Gateway) trial(r *request) *server {
 	if r.attempts > 0 || r.cl.Effect == Unsafe {
 		return nil
@@ -616,8 +649,8 @@
 	return nil
 }
 
-// sortOut finds the servers that a request may go to, and those that it might but
-// for their being out of use for its class.
+// partitionUsable returns the servers that a request may use, and those that are excluded only because they
+// are ejected for its class.
 func (g *Gateway) sortOut(list []*server, r *request) (ok, doubted []*server) {
 	g.look(len(list))
 	for _, s := range list {
@@ -633,16 +666,16 @@
 	return ok, doubted
 }
 
-// tooMany tells whether so many are out of use that they are used all the same.
+// tooManyEjected reports whether the share of ejected servers is so large that they are used all the same.
 func tooMany(doubted, ok []*server) bool {
 	return float64(len(doubted)) > mostOut*float64(len(ok)+len(doubted))
 }
 
-// candidates are the servers that a large fleet's gateway draws from: those of its working
-// set that can be used. Where half of them are out of use or none is left, a set several times as
-// large tells whether it is so of the fleet, and stands in where none is left. By its own set
-// alone a gateway would send all it has to the last few, which fail by that.
-// A repeat that its group alone may get goes to a part of that group.
+// candidates returns the servers from which a gateway of a large fleet draws: the usable servers of its
+// subset. Where at least half of the subset is ejected, or no server of it is left, a set several times as
+// large shows whether that holds for the whole fleet, and replaces the subset if no server of it is left. By
+// its subset alone a gateway would send all its traffic to the last few servers, which would fail under it. A
+// retry that must stay in its group goes to a part of that group.
 func (g *Gateway) candidates(r *request) []*server {
 	group := g.groupOf(r)
 	list := g.working
@@ -670,20 +703,19 @@
 	return wideOK
 }
 
-// setSize is how many servers a gateway keeps to: enough to even out slow ones, and
-// to have each server in some gateways' sets, whose traffic differs.
+// subsetSize returns how many servers a gateway uses: enough to average out slow ones, and to put each server
+// into the subsets of several gateways, whose traffic differs.
 func (g *Gateway) setSize() float64 {
 	each := minSets * float64(g.live) / float64(g.set.Gateways)
 	return min(max(minSet, each), maxSet)
 }
 
-// keepTo picks the servers that this gateway of a large fleet keeps to. Were each to
-// use all, every server would bear connections from every gateway, most for a request
-// or two. Of each zone a gateway takes a run of the running servers, in the order of
-// their IDs, as long as the zone's part of them, each gateway from another place: all
-// servers are in as many sets, give or take one for each zone, and no cut of a zone
-// takes a whole set. One server more or less moves two members at most, those of a
-// zone that is lost are replaced by more of the others.
+// chooseSubset picks the servers that this gateway of a large fleet uses. If every gateway used all servers,
+// each server would have connections from every gateway, most of them for a request or two. From each zone a
+// gateway takes a run of the running servers in the order of their IDs, in proportion to the zone's size.
+// Each gateway starts at another position, so all servers are in equally many subsets, give or take one for
+// each zone, and the loss of a zone never takes a whole subset. One server more or less changes at most two
+// members of a subset, and servers of a lost zone are replaced by more servers of the other zones.
 func (g *Gateway) keepTo() {
 	if !g.tree {
 		return
@@ -697,7 +729,7 @@
 	}
 }
 
-// runs returns a set that is so many times as large as the working set.
+// expandedSubset returns a set that is the given number of times as large as the subset.
 func (g *Gateway) runs(times float64) (list []*server) {
 	for _, z := range g.list.zones {
 		n := z.running.len()
@@ -713,15 +745,15 @@
 	return list
 }
 
-// widerRuns returns a set several times as large. Cold servers beyond the working set are left
-// out: they bear what those that keep to them send.
+// widerSubset returns a set several times as large as the subset. Cold servers outside the subset are left
+// out: the gateways that have them in their subsets already send as much as they can handle.
 func (g *Gateway) widerRuns() []*server {
 	cold := func(s *server) bool { return !s.kept && g.warmUpFraction(s) < 1 }
 	return slices.DeleteFunc(g.runs(widerSet), cold)
 }
 
-// draw chooses a server by its share of the fleet's capacity. A large fleet's gateways don't
-// see the load there; were each to take the best of a few, all would herd onto the same.
+// drawServer chooses a server at random by its share of the fleet's capacity. Gateways of a large fleet don't
+// know the load at a server; if each took the best of a few, all would send to the same servers.
 func (g *Gateway) draw(ok []*server) *server {
 	for _, s := range ok {
 		s.weight = g.sizeOf(s) / max(s.slow, 1) / float64(1+s.out)
@@ -729,14 +761,14 @@
 			s.weight *= otherZone
 		}
 		if cold := g.warmUpFraction(s); cold < 1 {
-			// What is sent in this gateway's turns makes up for the others'.
+			// A larger weight in this gateway's slots makes up for the slots in which it sends nothing.
 			s.weight *= cold / min(1, g.warmUpChance(g.coldPart(s)))
 		}
 	}
 	return g.byWeight(ok)
 }
 
-// judge learns from an outcome: latency, errors, load reports.
+// recordOutcome updates the estimates of latency, error rate and load from an outcome.
 func (g *Gateway) judge(s *server, r *request, ev Outcome) {
 	if ev.Code != Moot && ev.Code != Cancelled {
 		g.sight(s, r.cl, ev.Code, ev.Latency)
@@ -753,19 +785,19 @@
 		lat := ev.Latency.Seconds() / base
 		s.slow += g.own * (min(lat/r.cl.mean, maxPace) - s.slow)
 		g.mean += learnMean * (r.cl.mean - g.mean)
-		r.cl.seen++ // the first outcomes count for more
+		r.cl.seen++ // the first outcomes have a larger weight
 		r.cl.mean += max(learnMean, 1/(r.cl.seen+1)) * (min(lat, maxLatency*r.cl.mean) - r.cl.mean)
 	case Full:
-		// It may turn away one plan only: this one goes elsewhere for a while.
+		// The server may turn away one plan only, so requests of this plan go elsewhere for a while.
 		s.fullAt[r.c.plan] = g.now + fullFor
 		g.taken = max(0, g.taken-1)
 		g.loadRatio += loadRatioWeight * (1 - g.loadRatio)
 	}
 }
 
-// adapt changes the part of the requests that is let in by how near latencies come to their
-// aims (load shedding). Guards against load this gateway is not told of, on all
-// servers: peers unheard, slow fleets. Harms where aims are near idle latencies.
+// adaptAdmission changes the share of the requests that is admitted by the ratio of latencies to their aims
+// (load shedding). It protects against load on all servers that isn't reported to this gateway: silent peers,
+// slow fleets. It harms where aims are close to idle latencies.
 func (g *Gateway) adapt(dt time.Duration) {
 	if g.loadRatio > sheddingAim {
 		g.admitted = max(minAdmitted, g.admitted*math.Exp(-dt.Seconds()/sheddingTime.Seconds()))
@@ -775,9 +807,9 @@
 	g.loadRatio *= math.Exp(-dt.Seconds() / loadRatioLife.Seconds())
 }
 
-// silence looks for attempts far older than predicted: they count as failed,
-// and what can go elsewhere is called back. Guards against servers that take
-// work and answer none; harms when all slow down at once, within the budget.
+// checkOverdue counts attempts that are far older than predicted as failed, and cancels those that can go
+// elsewhere. It protects against servers that accept requests and never answer. It harms when all servers
+// slow down at once, as far as the retry budget permits.
 func (g *Gateway) silence(s *server) {
 	for _, r := range slices.Clone(s.oldest) {
 		g.renew(r)
@@ -795,7 +827,7 @@
 	}
 }
 
-// The eviction tick.
+// The tick.
 
 func (g *Gateway) onTick() {
 	dt := g.now - g.lastTick
@@ -812,7 +844,7 @@
 	g.adapt(dt)
 	g.look(len(g.fleet))
 	for _, s := range g.fleet {
-		// What is not tried is not learned: an old judgement wears off.
+		// A server without attempts yields no new observations, so the old ones decay.
 		s.wear(min(1, dt.Seconds()/slowSpan.Seconds()))
 		g.silence(s)
 		if slices.Contains(s.watchers[:], g.set.Me) {
@@ -841,12 +873,12 @@
 	if g.set.CanTell && (!g.tree || g.ticks%rootTicks == 0) {
 		g.report()
 	}
-	// Of a lost one its root would not learn before the client's deadline.
+	// Each end is sent twice: the root would count the attempt until the client's deadline if it missed it.
 	g.endsAgain()
 }
 
-// age refuses held requests that can no longer meet their aim, while a retry
-// can still help, and in any case before the deadline.
+// refuseExpired refuses held requests that can no longer meet their aim, while a retry can still help, and in
+// any case before the deadline.
 func (g *Gateway) age(c *customer) {
 	for _, r := range slices.Clone(c.held) {
 		if g.now-r.arrived > time.Duration(holdAim*float64(r.cl.Aim)) || g.now+2*g.tick >= r.deadline {
@@ -855,20 +887,20 @@
 	}
 }
 
-// news tells whether peers must hear of a customer.
+// needsReport reports whether peers must receive a report of the customer.
 func (c *customer) news() bool {
 	return len(c.set) > 0 && (c.out > 0 || c.mean > 0 || len(c.held) > 0 || c.fresh > 0)
 }
 
-// urgent orders a report, busiest first: held, and units not told yet, against
-// what may be used at once; then those not told for longest.
+// reportPriority orders the customers of a report, the busiest first: by held requests, by unreported units
+// relative to the token bucket's size, and by the time since the last report.
 func (g *Gateway) urgent(c *customer) float64 {
 	units := float64(c.passed-c.toldUnits) / (c.plan.Burst + 1)
 	return float64(len(c.held)) + units + untold*float64(g.ticks-c.told)
 }
 
-// hear takes in what a peer says of a customer. Running totals heal lost
-// reports; a total that jumps oddly (the peer started anew) is a new base.
+// applyEntry applies a peer's report entry on a customer. Running totals make up for lost reports. A total
+// that jumps implausibly, since the peer has restarted, is a new baseline.
 func (g *Gateway) hear(c *customer, p *peer, e entry) {
 	i := slices.IndexFunc(c.set, func(v *peerView) bool { return v.p == p })
 	if i < 0 {
@@ -878,20 +910,21 @@
 	v := c.set[i]
 	passed, met := v.read(e, p.inc, g.now)
 	c.tokens = min(c.plan.Burst, max(0, c.tokens-passed))
-	// One just met has used it, or knows who has: it is told once what the token bucket
-	// is here. Guards against a token bucket that is full at one gateway only.
+	// A peer whose totals are new here has used the token bucket, or has reports of those who did. The lower
+	// estimate counts, and the peer gets this gateway's estimate once. This protects against a token bucket
+	// that is full at one gateway only.
 	if (met || !c.known) && e.tokens != unknownTokens {
 		c.known, c.fresh = true, max(c.fresh, 1)
 		c.tokens = min(c.tokens, float64(e.tokens)/250*c.plan.Burst)
 	}
 }
 
-// ask sends a request to the customer's root, whose answer it waits for, again if either
-// is lost, and then to the deputy. One that neither answers may pass alone, at once where
-// nobody is heard: lost roots must not stop customers within their quotas.
+// askRoot asks the customer's root to admit a request and waits for the answer. It asks again if ask or
+// answer is lost, and then asks the deputy. If neither answers, the request may pass without an answer, and
+// at once where this gateway receives from no peer: lost roots must not stop customers within their quotas.
 func (g *Gateway) ask(r *request) {
 	c, to := r.c, g.set.Me
-	if len(c.ask) > 0 { // by new figures it may count here by now
+	if len(c.ask) > 0 { // a change of the plan may have made this gateway the root
 		if to = c.ask[0]; r.asked == rootAsks || g.gone(to) {
 			to = c.ask[1]
 		}
@@ -899,7 +932,7 @@
 	t := g.toPeer(to, r)
 	delete(g.asks, r.tag)
 	isolated := r.asked == 0 && to != g.set.Me && g.isolated()
-	if isolated && t != nil { // a root that hears this counts it, and its answer ends the silence
+	if isolated && t != nil { // a root that gets it counts it and answers
 		r.tag = g.newTag(t)
 		g.do(Tell{To: to, Data: encode(g.askOf(r, t))})
 	}
@@ -914,7 +947,7 @@
 		g.admit(r)
 		return
 	}
-	if r.asked != 1 || r.root != to || r.by != t { // the same name when the same root is asked again
+	if r.asked != 1 || r.root != to || r.by != t { // a repeated ask keeps its tag
 		r.tag, r.by = g.newTag(t), t
 	}
 	r.root, r.askedAt = to, g.now
@@ -927,12 +960,12 @@
 	g.do(SetTimer{Token: "ask", After: r.until - g.now})
 }
 
-// isolated tells whether nobody is heard at all: what is asked of a root is lost then.
+// isolated reports whether no peer can be heard, so that asks to a root would be lost.
 func (g *Gateway) isolated() bool { return g.tree && g.unheard >= isolatedAfter }
 
-// alone decides whether a request passes with no root's word: as many first tries do as
-// roots let in of late, and the fewer may still pass the more one must be worth. So servers
-// and quotas see in sum what they saw then. Harms where demand changes meanwhile.
+// admitAlone decides whether a request passes without a root's answer. As many first tries pass as roots
+// recently granted; the less credit is left, the higher the value of a request must be. Servers and quotas
+// thus see the same total as before. It harms where demand changes meanwhile.
 func (g *Gateway) alone(r *request) bool {
 	q := r.c.plan
 	worth := q.fits + (1-q.fits)*(q.BeyondEarns-q.BeyondCosts)
@@ -943,19 +976,18 @@
 	return pass
 }
 
-// onAsk takes a member's request into the customer's counts as if it had come
-// in here.
+// onAsk counts a request of another gateway as if it had arrived here.
 func (g *Gateway) onAsk(from int, m ask, plan *quota, cl *class) {
 	c := g.customers[m.Customer]
 	fresh := c == nil
 	if fresh {
 		c = g.account(m.Customer, plan, int(m.First), int(m.Spread))
 	}
-	// One that counts for a root it can't hear goes by what the root last told.
+	// A deputy uses the fill that the root it replaces last reported.
 	if m.Fill != unknownTokens && (fresh || len(c.ask) > 0) {
 		c.tokens = min(c.tokens, float64(m.Fill)/250*c.plan.Burst)
 	}
-	// Asked for before: the first answer was lost.
+	// The ask is a repetition: the first answer was lost.
 	if l, ok := c.leases[lease{from, m.Tag}]; ok {
 		g.answer(l.r, granted)
 		return
@@ -970,7 +1002,7 @@
 	g.admit(g.requestOf(c, from, cl, m))
 }
 
-// grant counts a member's request and tells it to go.
+// grant counts another gateway's request and tells that gateway to send it.
 func (g *Gateway) grant(r *request) {
 	c := r.c
 	c.take(r)
@@ -980,9 +1012,9 @@
 	g.answer(r, granted)
 }
 
-// leaseDue is by when another word of a granted attempt is due, else it counts no
-// longer: members tell that one under a cap is still out, or waits for a server. The
-// word of an end may be lost, and the place would stay taken.
+// leaseExpiry returns when a granted attempt stops counting unless its lease is renewed. Gateways renew the
+// lease of an attempt under a cap while it is in flight or waits for a server. Otherwise the loss of the
+// message that reports its end would leave its place taken.
 func (g *Gateway) leaseDue(c *customer, deadline time.Duration) time.Duration {
 	if c.plan.Open == 0 {
 		return deadline
@@ -990,8 +1022,8 @@
 	return min(deadline, g.now+leaseTicks*g.tick)
 }
 
-// renew tells who counts it of a granted request under a cap, a tick after the grant and
-// at each tick from then on, out or held.
+// renewLease renews the lease of a granted request under a cap, in flight or held, at each tick from one tick
+// after the grant.
 func (g *Gateway) renew(r *request) {
 	if !r.granted || r.asked == 0 || r.over || r.c.plan.Open == 0 || g.now-r.askedAt < g.tick {
 		return
@@ -1001,8 +1033,8 @@
 	}
 }
 
-// onStill counts a member's attempt on, or anew where its lease has ended or it was
-// granted before this gateway started.
+// onLeaseRenewal extends the lease of another gateway's attempt. If the lease has expired, or was granted
+// before this gateway started, the attempt is counted again.
 func (g *Gateway) onStill(from int, m ask, plan *quota) {
 	c := g.customers[m.Customer]
 	if c == nil {
@@ -1017,6 +1049,8 @@
 	c.leases[lease{from, m.Tag}], c.sums, c.seen = l, true, g.now
 }
 
+// sendAnswer answers another gateway's ask. The answer also reports the token bucket's fill, the load ratio
+// and the share of asks that fits the quota.
 func (g *Gateway) answer(r *request, v byte) {
 	fill := small(250 * max(0, r.c.tokens) / max(1, r.c.plan.Burst))
 	part := 1.0
@@ -1047,7 +1081,7 @@
 	delete(g.asks, m.Tag)
 	if m.Verdict != granted {
 		g.letIn(r, 0)
-		r.asked = 0 // it counts nowhere
+		r.asked = 0 // no gateway counts it
 		g.refuse(r)
 		return
 	}
@@ -1059,12 +1093,12 @@
 	}
 }
 
-// Watching servers: in a large fleet each meets a server too seldom to judge
-// it, so each server has a watcher among the gateways that is told outcomes
-// and tells all its verdicts, by class.
+// Health monitoring. In a large fleet a gateway uses each server too seldom to evaluate it. Each server
+// therefore has a health monitor among the gateways, which receives the outcomes of all and sends its
+// verdicts, by class, to all.
 
-// gather adds an outcome to what the fleet knows of a server. One that turns
-// requests away is taken for very slow: it gets few more until it answers.
+// observeOutcome adds an outcome to the monitor's state of a server. A server that turns requests away counts
+// as very slow, so that it gets few more until it answers.
 func (g *Gateway) gather(s *server, class int, code Code, latency time.Duration) {
 	v, mean := &s.by[class], g.classes[g.set.Classes[class].Name].mean
 	seen := min(latency.Seconds()/mean*g.warmUpFraction(s), maxPace)
@@ -1081,7 +1115,7 @@
 			s.by[i].errs += 2 * sightWeight * (1 - s.by[i].errs)
 		}
 	default:
-		for i := range s.by { // it may fail other classes too
+		for i := range s.by { // other classes may be affected too
 			s.by[i].errs += sightWeight / 2 * (1 - s.by[i].errs)
 		}
 		v.errs += sightWeight / 2 * (1 - v.errs)
@@ -1091,16 +1125,16 @@
 	g.tell(s)
 }
 
-// tell tells all gateways what has changed of a server that this one watches,
-// and again what still keeps it out of use. Each goes to every gateway, so all
-// watchers together keep to a part of the datagrams.
+// sendVerdict sends all gateways what has changed about a server that this gateway monitors, and repeats a
+// verdict that keeps it ejected. Each verdict goes to every gateway, so all monitors together are limited to
+// a share of the datagram budget.
 func (g *Gateway) tell(s *server) {
 	each := g.set.DatagramsPerSecond * verdictShare / float64(max(1, len(g.fleet), g.list.len()))
 	s.verdicts = min(verdictKeep, s.verdicts+each*(g.now-s.verdictAt).Seconds())
 	s.verdictAt = g.now
 	first := g.judgeOf(s) == g.set.Me
 	if !first || !g.tree {
-		s.pace = s.slow // the second knows only what it can't reach
+		s.pace = s.slow // the second monitor observes only failures to connect
 	}
 	told, bad, until := s.masks(func(v *record) bool {
 		return v.errs > sightLimit || v.bad && (!first || v.errs > sightLimit/2)
@@ -1118,5 +1152,6 @@
 	}
 }
 
-func paceByte(pace float64) byte { return small(16 * (4 + math.Log2(max(pace, 0.1)))) } // 1/16 of its log2
+// encodeRelativeLatency encodes a relative latency for a message, in steps of 1/16 of its log2.
+func paceByte(pace float64) byte { return small(16 * (4 + math.Log2(max(pace, 0.1)))) }
 func paceOf(b byte) float64      { return math.Exp2(float64(b)/16 - 4) }
--- a/policy/ranked.go
+++ b/policy/ranked.go
@@ -1,16 +1,16 @@
 package policy
 
-// ranked is a set of servers in the order of their IDs, in which the server at a
-// rank is found. It is a treap in one slice: inserting, deleting and finding visit O(log n)
-// entries on average. The order does not depend on the order of the changes that led to it.
+// ranked is a set of servers in the order of their IDs, with access by rank. It is a treap in one slice:
+// insert, remove and at visit O(log n) entries on average. The tree's shape doesn't depend on the order of
+// the changes that led to it.
 type ranked struct {
-	entries []rankedEntry // the first stands for none
+	entries []rankedEntry // the first is a placeholder, so that index 0 means none
 	root    uint32
 	unused  uint32 // head of the list of unused entries, linked by left
-	visits  int    // entries looked at, for tests that count them
+	visits  int    // number of entries visited, for tests
 }
 
-// rankedEntry is a server and its subtree. Its children are places in the slice; 0 is none.
+// rankedEntry is a server and the root of its subtree. Its children are indices into the slice; 0 means none.
 type rankedEntry struct {
 	id          ServerID
 	size        uint32 // servers in the subtree
@@ -29,12 +29,12 @@
 	return h ^ h>>16
 }
 
-// insert adds a server that is not in the set.
+// insert adds a server. The server must not be in the set.
 func (t *ranked) insert(id ServerID) {
 	t.root = t.inserted(t.root, t.take(id))
 }
 
-// remove takes a server out that is in the set.
+// remove removes a server. The server must be in the set.
 func (t *ranked) remove(id ServerID) {
 	t.root = t.removed(t.root, id)
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// take finds an unused entry for a server.
+// newEntry allocates an entry for a server, an unused one if there is any.
 func (t *ranked) take(id ServerID) uint32 {
 	entry := rankedEntry{id: id, size: 1}
 	if at := t.unused; at != 0 {
@@ -69,6 +69,7 @@
 	return uint32(len(t.entries) - 1)
 }
 
+// insertUnder inserts an entry into a subtree and returns the subtree's new root.
 func (t *ranked) inserted(root, added uint32) uint32 {
 	if root == 0 {
 		return added
@@ -106,6 +107,7 @@
 	return below, root
 }
 
+// removeUnder removes a server from a subtree and returns the subtree's new root.
 func (t *ranked) removed(root uint32, id ServerID) uint32 {
 	if root == 0 {
 		return 0
@@ -127,7 +129,7 @@
 	return root
 }
 
-// merge joins two subtrees of which all of the first come before all of the second.
+// merge joins two subtrees. All servers of the first must come before all of the second.
 func (t *ranked) merge(first, second uint32) uint32 {
 	if first == 0 {
 		return second
@@ -147,6 +149,7 @@
 	return second
 }
 
+// resize recomputes an entry's size from its children.
 func (t *ranked) resize(at uint32) {
 	e := &t.entries[at]
 	e.size = t.entries[e.left].size + t.entries[e.right].size + 1
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// check refuses settings that cannot be meant, and names the key.
+// check returns an error that names the first invalid setting, or nil.
 func (s *Settings) check() error {
 	var err error
 	need := func(ok bool, key string, args ...any) {
