--- a/policy/handover.go
+++ b/policy/handover.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// Handing on. A root that ends hands each customer's counts to that customer's
-// deputy: what its token bucket holds, and the attempts out under its cap. It answers no
-// ask from then on, and tells all of its end once every part is acknowledged, or
-// was said handTries times. Once all turn to the root again its deputy hands the
-// token bucket back; attempts that it granted end there, where their members tell of it.
+// Transfer of counts at a shutdown. A root that shuts down transfers each customer's counts
+// to that customer's deputy: the level of the token bucket and the attempts in flight under
+// the cap. It answers no asks from then on. It announces its shutdown once every transfer is
+// acknowledged or was sent maxTransferTries times. When all gateways ask the root again, its
+// deputy transfers the token bucket back. Attempts that the deputy granted stay with the
+// deputy, which receives their ends.
 //
-// In the same way the watcher of a server hands what it knows of it to the second
-// watcher, which judges meanwhile, and hands it back.
+// In the same way the first monitor of a server transfers its state to the second one, which
+// decides meanwhile and transfers it back.
 //
-// A part may come late, twice or out of order: it is adopted once, and never adds
-// to what a token bucket holds.
+// A transfer may arrive late, twice or out of order. It is applied once, and never adds to
+// a token bucket.
 
-// handed is a part of a customer's counts. On the wire: version, kind 9, then the
-// fields in their order, as many grants as follow.
+// customerTransfer is a part of a customer's counts. On the wire: version, kind 9, the fields
+// in order, with the number of grants before the grants.
 type handed struct {
 	Inc           uint32 // of the sender
-	Seq           uint32 // names the part
-	Mark          uint16 // of the table that counts plans
+	Seq           uint32 // identifies the transfer
+	Mark          uint16 // of the table that numbers plans
 	Plan          byte
 	Customer      uint64
 	First, Spread uint16
@@ -34,43 +35,44 @@
 	Grants        []handedGrant
 }
 
-// handedGrant is an attempt out that a gateway was granted.
+// transferredGrant is an attempt in flight that the root granted to a gateway.
 type handedGrant struct {
 	From        uint16
 	Tag         uint32
-	Units, Left uint16 // Left: milliseconds until its client gives up
+	Units, Left uint16 // RemainingMS: until its client gives up
 }
 
-// judged is a part that tells what a watcher knows of a server, by class of the
-// table that the mark names. As in a verdict, a byte a class for the first eight.
+// monitorState is what a monitor knows of a server, by class of the table with the mark, for
+// the first eight classes as in verdictMessage.
 type judged struct {
 	Inc, Seq uint32
 	Mark     uint16
 	Server   uint32
-	Pace     byte    // as in a verdict
-	Errs     [8]byte // of the average, 250 all
-	Bad      [8]byte // out of use for so many judgedStep
+	Pace     byte    // as in verdictMessage
+	Errs     [8]byte // 250: an average of 1
+	Bad      [8]byte // remaining time, in units of outOfUseStep
 }
 
 const judgedStep = verdictLife / 250
 
-// endedFor passes on what a gateway told of an attempt's end.
+// forwardedEnd forwards the end of an attempt that a gateway reported.
 type endedFor struct {
 	From uint16
 	End  ended
 }
 
-// took acknowledges a part.
+// transferAck acknowledges a transfer.
 type took struct{ Inc, Seq uint32 }
 
+// Sizes in bytes, and limits.
 const (
 	handedKind = 9
 	handedHead = 2 + 29
 	handedSize = 10 // of a grant
 
-	handTries  = 4    // a part is said so often at most,
-	handAtOnce = 20   // so many parts at once: each takes a place in somebody's intake of datagrams
-	maxAdopted = 4096 // and so many are remembered
+	handTries  = 4
+	handAtOnce = 20   // each takes a place in a receiver's datagram queue
+	maxAdopted = 4096 // remembered at once
 )
 
 func (m *handed) encode() []byte {
@@ -92,8 +94,7 @@
 	return b
 }
 
-// decodeHanded reads what follows version and kind; nil: it is not whole, or can't
-// be meant.
+// decodeCustomerTransfer reads what follows version and kind; nil: incomplete or invalid.
 func decodeHanded(b []byte) any {
 	const head = handedHead - 2
 	if len(b) < head || len(b) > maxMessage {
@@ -103,7 +104,7 @@
 	m := handed{Inc: be.Uint32(b), Seq: be.Uint32(b[4:]), Mark: be.Uint16(b[8:]), Plan: b[10], Customer: be.Uint64(b[11:]),
 		First: be.Uint16(b[19:]), Spread: be.Uint16(b[21:]), Store: math.Float32frombits(be.Uint32(b[23:]))}
 	n := int(be.Uint16(b[27:]))
-	if b = b[head:]; len(b) != n*handedSize || !(m.Store >= 0) || m.Spread == 0 { // NaN is neither
+	if b = b[head:]; len(b) != n*handedSize || !(m.Store >= 0) || m.Spread == 0 { // rejects NaN too
 		return nil
 	}
 	for ; len(b) > 0; b = b[handedSize:] {
@@ -112,23 +113,23 @@
 	return m
 }
 
-// part is a part on its way.
+// pendingTransfer is a transfer that is not acknowledged yet.
 type part struct {
 	to    int
 	seq   uint32
 	data  []byte
-	m     *handed // nil: it is of another kind
+	m     *handed // nil: a monitorState
 	tries int
-	until time.Duration // an acknowledgement is waited for until then
+	until time.Duration // if not acknowledged before
 }
 
-// handKey names a part that was adopted.
+// transferKey identifies a received transfer.
 type handKey struct {
 	from     int
 	inc, seq uint32
 }
 
-// onLeaving begins to hand on.
+// onShutdown starts the transfers to deputies and second monitors.
 func (g *Gateway) onLeaving() {
 	g.leaving = true
 	for _, c := range g.ring {
@@ -140,7 +141,8 @@
 	g.handAgain()
 }
 
-// handOn queues a customer's counts for another gateway.
+// transferCustomer queues the transfer of a customer's counts, and of its leases where
+// withGrants is set, to another gateway.
 func (g *Gateway) handOn(c *customer, to int, grants bool) {
 	if g.advance(c); c.plan.Rate == 0 && len(c.leases) == 0 || c.plan.no >= byte(len(g.tables[0].plans)) ||
 		g.tables[0].plans[c.plan.no] != c.plan.Name {
@@ -167,8 +169,8 @@
 	}
 }
 
-// handJudged queues what is known of the servers whose first watcher is the given one
-// for their first or second watcher.
+// transferMonitorStates queues the state of the servers whose first monitor is the given
+// gateway. It goes to their first (0) or second (1) monitor.
 func (g *Gateway) handJudged(first, to int) {
 	for _, s := range g.fleet {
 		if w := s.watchers; !g.tree || s.State == Removed || w[0] != first || w[1-to] != g.set.Me || w[to] == g.set.Me || g.gone(w[to]) {
@@ -187,8 +189,8 @@
 	}
 }
 
-// handAgain says what is due of the parts, as many at once as the intake of those
-// who take them in bears, and ends when none is left.
+// sendTransfers sends the transfers that are due, a limited number at once, since receivers
+// queue few datagrams. When none is left, a gateway that shuts down announces it.
 func (g *Gateway) handAgain() {
 	said := 0
 	g.handing = slices.DeleteFunc(g.handing, func(p *part) bool {
@@ -210,13 +212,13 @@
 	case g.leaving && !g.told:
 		g.told = true
 		g.endsAgain()
-		g.report() // the last units passed here
+		g.report() // includes the last units admitted here
 		g.do(Tell{To: -1, Data: encode(departure{g.inc})})
 		g.do(ShutdownDone{})
 	}
 }
 
-// onHanded takes in a part, once, and says so each time.
+// onCustomerTransfer applies a transfer once and acknowledges every copy.
 func (g *Gateway) onHanded(from int, m handed) {
 	t := g.known(m.Mark)
 	if g.leaving || !g.tree || t == nil || int(m.Plan) >= len(t.plans) || g.plans[t.plans[m.Plan]] == nil {
@@ -229,11 +231,13 @@
 	if c == nil {
 		c = g.account(m.Customer, g.plans[t.plans[m.Plan]], int(m.First), int(m.Spread))
 	}
-	m.Grants = slices.DeleteFunc(m.Grants, func(l handedGrant) bool { return int(l.From) == g.set.Me || int(l.From) >= len(g.peers) }) // the first count as its own
+	m.Grants = slices.DeleteFunc(m.Grants, func(l handedGrant) bool {
+		return int(l.From) == g.set.Me || int(l.From) >= len(g.peers) // its own attempts count already
+	})
 	g.adopt(c, &m)
 }
 
-// onJudged takes in what the other watcher of a server knew of it.
+// onMonitorState applies what the other monitor of a server knew of it.
 func (g *Gateway) onJudged(from int, m judged) {
 	s := g.meet(ServerID(m.Server))
 	if g.leaving || !g.tree || s == nil || g.known(m.Mark) == nil ||
@@ -245,8 +249,8 @@
 	}
 }
 
-// first acknowledges a part, and tells whether it is to be adopted: it has not come
-// before.
+// acknowledge acknowledges a transfer and reports whether it is to be applied, which is so
+// for its first copy only.
 func (g *Gateway) first(from int, inc, seq uint32) bool {
 	g.do(Tell{To: from, Data: encode(took{inc, seq})})
 	k := handKey{from, inc, seq}
@@ -257,14 +261,14 @@
 	return true
 }
 
-// grantOf is a grant that was handed on, as if it had been made here.
+// leaseOf returns the lease for a transferred grant, as if this gateway had granted it.
 func (g *Gateway) grantOf(c *customer, l handedGrant) leased {
 	until := g.now + time.Duration(l.Left)*time.Millisecond
-	return leased{g.leaseDue(c, until), &request{c: c, units: float64(l.Units), deadline: until, remote: true, counted: true, over: true,
-		root: int(l.From), tag: l.Tag}}
+	return leased{g.leaseDue(c, until), &request{c: c, units: float64(l.Units), deadline: until, remote: true,
+		counted: true, over: true, root: int(l.From), tag: l.Tag}}
 }
 
-// onTook notes that a part has come.
+// onTransferAck drops an acknowledged transfer.
 func (g *Gateway) onTook(from int, m took) {
 	if m.Inc != g.inc || len(g.handing) == 0 {
 		return
@@ -275,7 +279,8 @@
 	}
 }
 
-// handBack gives a root that is asked again what its deputy counted for it.
+// transferBack transfers to a gateway that is asked again its customers' counts, and the state
+// of the servers that it monitors.
 func (g *Gateway) handBack(root int) {
 	for _, c := range g.ring {
 		if c.sums && len(c.ask) > 0 && c.ask[0] == root {
@@ -286,8 +291,8 @@
 	g.handAgain()
 }
 
-// tellEnd tells of the end of a granted attempt who counts it: its root, or the
-// deputy that root has handed it to, which may be this gateway.
+// notifyEnd reports the end of a granted attempt to the gateway that counts it: its root, or
+// the deputy that took over from that root, which may be this gateway.
 func (g *Gateway) tellEnd(r *request, m ended) {
 	if e := (end{r.c, r.root, encode(m)}); g.sendEnd(e) {
 		g.ends = append(g.ends, e)
@@ -296,14 +301,14 @@
 	}
 }
 
-// end is the end of an attempt that another gateway granted.
+// attemptEnd is the end of an attempt that another gateway granted.
 type end struct {
 	c    *customer
-	root int // which granted it
+	root int // the gateway that granted it
 	data []byte
 }
 
-// sendEnd is false where it is this gateway that counts the attempt by now.
+// sendEnd sends an end. It is false where this gateway itself counts the attempt by now.
 func (g *Gateway) sendEnd(e end) bool {
 	to := e.root
 	if len(e.c.ask) > 0 && to == e.c.ask[0] && g.gone(to) {
@@ -315,7 +320,7 @@
 	return to != g.set.Me
 }
 
-// endsAgain tells the latest ends once more, to who counts them by now.
+// resendEnds sends the latest ends once more, to the gateways that count them by now.
 func (g *Gateway) endsAgain() {
 	for _, e := range g.ends {
 		g.sendEnd(e)
@@ -323,8 +328,8 @@
 	g.ends = nil
 }
 
-// passEnd passes on an end that was told to a gateway that leaves, to who counts the
-// attempt from now on. A part not acknowledged yet names it no longer.
+// forwardEnd forwards an end, received while this gateway shuts down, to the gateway that
+// counts the attempt from now on. Transfers that are not acknowledged yet drop that attempt.
 func (g *Gateway) passEnd(from int, m ended) {
 	for _, p := range g.handing {
 		if p.m == nil || p.m.Customer != m.Customer {
@@ -342,10 +347,10 @@
 	}
 }
 
-// onDeparture notes that a gateway ends. What it had out has ended. Its reports are
-// believed again once they are another process's; in a large fleet, where most hear
-// none, all go by the same time, so that they turn to it again together. What it was
-// asked for and has not granted is asked for anew.
+// onPeerShutdown records that a gateway shuts down. Its attempts in flight have ended. Its
+// reports count again once they come from a new process. In a large fleet, where most
+// gateways get no reports from it, all wait for the same time, so that they ask it again
+// together. Requests that it was asked for and has not granted are asked for again.
 func (g *Gateway) onDeparture(from int, m departure) {
 	g.departed[from] = g.now + departedFor
 	if p := g.peers[from]; p != nil && (!p.heard || p.inc == m.Inc) {
@@ -360,13 +365,13 @@
 	}
 }
 
-// gone tells whether a gateway has told that it ends, a moment ago.
+// isAbsent reports whether a gateway announced its shutdown a short time ago.
 func (g *Gateway) gone(num int) bool { return g.now < g.departed[num] }
 
-// keepTime lets go of what has had its time, and hands back to those who are asked
-// again from now on.
+// endAbsences drops what has expired, and transfers counts and states back to the gateways
+// that are asked again from now on.
 func (g *Gateway) keepTime() {
-	for _, num := range slices.Sorted(maps.Keys(g.departed)) { // in an order that equal seeds give again
+	for _, num := range slices.Sorted(maps.Keys(g.departed)) { // sorted: equal seeds give equal actions
 		if g.now >= g.departed[num] {
 			delete(g.departed, num)
 			g.handBack(num)
@@ -379,7 +384,7 @@
 	}
 }
 
-// onFleet takes in the messages that older programs don't know.
+// onNewerMessage handles the messages that older programs don't know.
 func (g *Gateway) onFleet(from int, m any) {
 	switch m := m.(type) {
 	case markedSight:
@@ -406,7 +411,8 @@
 	}
 }
 
-// adopt takes over a root's counts. What its token bucket held fills none here.
+// adoptCustomer takes over a root's counts. It may lower the token bucket here, but never
+// raises it.
 func (g *Gateway) adopt(c *customer, m *handed) {
 	g.advance(c)
 	c.tokens, c.sums, c.seen = min(c.tokens, float64(m.Store)), true, g.now
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// What a gateway that starts anew may be told of the time before.
+// State that a gateway may get from the process before it.
 
-// Memory is what is worth keeping of a gateway's state.
+// Memory is the part of a gateway's state that its next process can use.
 type Memory struct {
 	Servers []ServerMemory
-	Tokens  map[uint64]float64 // units, by customer, of those that are not full
+	Tokens  map[uint64]float64 // units by customer key, of the token buckets that are not full
 }
 
-// ServerMemory is what is known of a process of a server.
+// ServerMemory is what is known of one process of a server.
 type ServerMemory struct {
 	ID         ServerID
 	HasStart   bool
 	Start      time.Duration
-	Slow, Pace float64
+	Slow, Pace float64 // relative latency: as used here, and as its monitor measures it
 	Faults     []FaultMemory
 }
 
-// FaultMemory is what is known of it for a class.
+// FaultMemory is what is known of that process for one class.
 type FaultMemory struct {
 	Class string
-	Errs  float64
-	Bad   time.Duration // it stays out of use for so long
+	Errs  float64       // moving average of failures, 0 to 1
+	Bad   time.Duration // remaining time out of use
 }
 
-// Restore tells a gateway that has just started what one before it knew.
+// Restore tells a gateway that has just started what the process before it knew.
 type Restore struct {
 	Memory
-	Elapsed time.Duration // at least so long ago
-	Clean   bool          // that one let in nothing after Memory was taken
+	Elapsed time.Duration // since Memory was taken, at least
+	Clean   bool          // the process before admitted nothing after Memory was taken
 }
 
-// Memory is a copy that shares nothing with the gateway. The token buckets are only
-// worth keeping once nothing more is let in: what comes after is not in them.
+// Memory returns a copy that shares nothing with the gateway. The token buckets are of use only
+// once nothing more is admitted, since they don't include later requests.
 func (g *Gateway) Memory(now time.Duration, stores bool) Memory {
 	var m Memory
 	for _, s := range g.fleet {
@@ -69,8 +69,8 @@
 	return m
 }
 
-// restore takes in what the gateway before knew. What it knew of a server is
-// worn by the time since, and void for another process of that server.
+// restore applies what the process before knew. What it knew of a server decays over the time
+// since, and is ignored if another process of that server runs now.
 func (g *Gateway) restore(ev Restore) {
 	g.restored, g.clean, g.keptFor = true, ev.Clean, max(0, ev.Elapsed)
 	if ev.Clean {
@@ -99,16 +99,15 @@
 	}
 }
 
-// within holds a remembered figure to what it can have been.
+// clampLatency limits a restored relative latency to the range that it can have.
 func within(pace float64) float64 {
-	if !(pace > 0) { // NaN is not
+	if !(pace > 0) { // true for NaN too
 		return 1
 	}
 	return min(max(pace, 1/maxPace), maxPace)
 }
 
-// letGo drops what was kept of the token buckets once a fresh start would come to the
-// same.
+// dropRestoredTokens drops the restored token buckets once a fresh start gives the same state.
 func (g *Gateway) letGo() {
 	for _, q := range g.plans {
 		if q.Rate > 0 && (g.now-g.start).Seconds() < q.Burst/q.Rate {
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// The short messages of a large fleet. On the wire: version, kind, fields.
+// The short messages of a large fleet. On the wire: version, kind, fields in order.
 
-// ask asks a customer's root to count a request.
+// askMessage asks a customer's root to count a request.
 type ask struct {
 	Customer      uint64
 	First, Spread uint16
 	Plan, Class   byte
-	Units, Left   uint16 // Left: milliseconds until the client gives up
+	Units, Left   uint16 // RemainingMS: until the client gives up
 	Tag           uint32
-	Thin          byte // with what chance it was asked for, 250 certain
-	Fill          byte // of the token bucket as last heard, 250 full
+	Thin          byte // probability of asking for such a request, 250: 1
+	Fill          byte // last known level of the token bucket, 250: full
 	Repeat        bool
 }
 
-// stillOut tells the root that what it granted by this ask is still out.
+// stillInFlight tells the root that the attempt it granted for this ask is still in flight.
 type stillOut ask
 
-// answer is the root's.
+// answerMessage is the root's answer to an ask.
 type answer struct {
 	Tag           uint32
 	Verdict, Fill byte
-	Strain        byte // the root's latency over aim, 100 alike
-	Part          byte // of what is asked for fits, 250 all
+	Strain        byte // of the root, 100: latencies equal aims
+	Part          byte // of the requested units, 250: all
 }
 
 const (
 	granted byte = iota
 	refused
-	waits // held at the root, another answer follows
+	waits // at the root; another answer follows
 )
 
-// ended tells the root that a granted attempt is over, or was never made.
+// endMessage tells the root that a granted attempt has ended or was never made.
 type ended struct {
 	Customer uint64
 	Tag      uint32
 	Unused   bool
 }
 
-// sight tells a server's watcher of an outcome.
+// observation tells a server's monitor the outcome of an attempt.
 type sight struct {
 	Server  uint32
 	Class   byte
@@ -53,14 +53,14 @@
 	Latency uint16 // milliseconds
 }
 
-// departure tells that the sender ends.
+// shutdownMessage announces that the sender shuts down.
 type departure struct{ Inc uint32 }
 
-// verdict is the watcher's on a server and class, for all.
+// verdictMessage is a monitor's verdict on a server, sent to all gateways.
 type verdict struct {
 	Server uint32
-	Bad    byte // a bit for each of the first classes
-	Pace   byte // latency against the fleet's: 16 * (4 + its log2)
+	Bad    byte // a bit for each of the first eight classes
+	Pace   byte // 16 * (4 + its log2)
 }
 
 const shortVersion = 3
@@ -95,12 +95,12 @@
 	}
 	b, err := binary.Append([]byte{shortVersion, kind}, binary.BigEndian, m)
 	if err != nil {
-		panic(err) // not a message of this file
+		panic(err) // m is not a message
 	}
 	return b
 }
 
-// decode reads a message; it is nil for anything but a whole, well-formed one.
+// decode reads a message; nil: incomplete or not well-formed.
 func decode(b []byte) any {
 	if len(b) < 2 || b[0] != shortVersion {
 		if m, ok := decodeReport(b); ok {
@@ -149,8 +149,8 @@
 	return m
 }
 
-// onEnded frees what a member's attempt held, gives back what it never used, and
-// drops what is still held here for it.
+// onEnd frees the place of another gateway's attempt, returns its units if they were never
+// used, and drops the request if it is still held here.
 func (g *Gateway) onEnded(from int, m ended) {
 	if g.leaving {
 		g.passEnd(from, m)
@@ -177,6 +177,7 @@
 	g.release(c)
 }
 
+// healthOf returns the state of a server for a class; nil: the class is not in the settings.
 func (g *Gateway) record(s *server, cl *class) *record {
 	if cl.no < 0 || cl.no >= len(s.by) || cl.Name == "" {
 		return nil
@@ -184,7 +185,7 @@
 	return &s.by[cl.no]
 }
 
-// askOf makes the message that asks for a request, by a table.
+// newAsk makes the message that asks for a request, with the numbers of table t.
 func (g *Gateway) askOf(r *request, t *table) ask {
 	c, left := r.c, (r.deadline - g.now).Milliseconds()
 	m := ask{Customer: c.key, First: uint16(c.first), Spread: uint16(c.spread), Plan: c.plan.no,
@@ -199,15 +200,15 @@
 	return m
 }
 
-// requestOf makes the request that another gateway asks for.
+// newRemoteRequest makes the request that another gateway asks for.
 func (g *Gateway) requestOf(c *customer, from int, cl *class, m ask) *request {
 	return &request{c: c, cl: cl, units: float64(m.Units), arrived: g.now,
 		deadline: g.now + time.Duration(m.Left)*time.Millisecond, repeat: m.Repeat, remote: true, root: from,
 		tag: m.Tag}
 }
 
-// masks gives a bit for each class: told to be out of use, until when, and so
-// now.
+// outOfUseMasks returns a bit for each class: out of use by the last verdict, with the end
+// of that verdict, and failing by the given test.
 func (s *server) masks(isBad func(*record) bool) (told, bad byte, until time.Duration) {
 	for i := range s.by {
 		v := &s.by[i]
@@ -222,27 +223,26 @@
 	return told, bad, until
 }
 
-// Asked is what a message asks of a customer's root, as a lab that follows requests
-// reads it.
+// Asked is an ask as read from a message, for a simulator that follows requests.
 type Asked struct {
 	Tag   uint32
 	Units float64
 	Left  time.Duration // until the client gives up, to the millisecond
 }
 
-// ReadAsk reads an ask from a message; it is false for any other.
+// ReadAsk reads an ask from a message. It is false for any other message.
 func ReadAsk(data []byte) (Asked, bool) {
 	m, ok := decode(data).(ask)
 	return Asked{m.Tag, float64(m.Units), time.Duration(m.Left) * time.Millisecond}, ok
 }
 
-// Answered is a root's answer.
+// Answered is a root's answer as read from a message.
 type Answered struct {
 	Tag            uint32
 	Granted, Waits bool
 }
 
-// ReadAnswer reads a root's answer from a message; it is false for any other.
+// ReadAnswer reads a root's answer from a message. It is false for any other message.
 func ReadAnswer(data []byte) (Answered, bool) {
 	m, ok := decode(data).(answer)
 	return Answered{m.Tag, m.Verdict == granted, m.Verdict == waits}, ok
--- a/policy/report.go
+++ b/policy/report.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// keyOf names a customer in messages, shortOf in reports.
+// customerKey identifies a customer in messages, shortHash in reports.
 func keyOf(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
@@ -17,34 +17,35 @@
 
 func shortOf(key uint64) uint32 { return uint32(key >> 40) }
 
-// report is what a gateway tells a peer once a tick. On the wire: version,
-// incarnation, sequence number, flags, number of servers, servers, customers.
+// report is what a gateway sends to a peer at ticks. On the wire: version, incarnation,
+// sequence number, flags, number of servers, servers, customers.
 type report struct {
-	inc       uint32 // drawn anew at each start of the sender
+	inc       uint32 // a random number for each process of the sender
 	seq       uint32
-	complete  bool // customers not named have none out and none held
+	complete  bool // customers not named have no attempts in flight and none held
 	servers   []serverOut
 	customers []entry
 }
 
-// serverOut is the sender's attempts out at a server, up to maxOut; the hash
-// has serverBits bits.
+// serverInFlight is the sender's attempts in flight at a server, up to maxServerInFlight.
+// The hash has serverBits bits.
 type serverOut struct {
 	hash uint16
 	out  byte
 }
 
-// entry is a report's part on one customer.
+// customerEntry is a report's part on one customer.
 type entry struct {
 	hash   uint32 // 24 bits
-	out    byte   // mean attempts out over the tick: outScale times its root, up to 15
+	out    byte   // inFlightScale times the root of the mean over the tick, up to 15
 	held   byte   // up to maxHeld
-	passed byte   // running total of units passed, its lowest bits
-	rate   byte   // units asked for a second: rateScale * log2(1 + rate), up to maxRate
-	anew   bool   // the total began at nothing a moment ago: the highest bit of the rate
-	tokens byte   // estimate of the token bucket, 250 full
+	passed byte   // running total, its lowest bits
+	rate   byte   // requested units a second: rateScale * log2(1 + rate), up to maxRate
+	anew   bool   // the total began at 0 a short time ago: the highest bit of the rate
+	tokens byte   // estimate of the token bucket, 250: full
 }
 
+// Sizes are in bytes.
 const (
 	reportVersion = 6
 	flagComplete  = 1
@@ -54,8 +55,8 @@
 	maxOut        = 31
 	serverBits    = 11
 	outScale      = 4
-	maxServers    = 36
-	unknownTokens = 255
+	maxServers    = 36  // in one report
+	unknownTokens = 255 // no estimate
 	maxMessage    = 256
 	headerSize    = 11
 	serverSize    = 2
@@ -63,7 +64,7 @@
 	rateScale     = 8
 )
 
-// fits tells whether one more customer fits in.
+// hasSpace reports whether one more customer fits.
 func (m *report) fits() bool {
 	n := headerSize + serverSize*len(m.servers) + entrySize*(len(m.customers)+1)
 	return n <= maxMessage
@@ -84,7 +85,7 @@
 	}
 	for _, e := range m.customers {
 		b = append(b, byte(e.hash>>16), byte(e.hash>>8), byte(e.hash), e.out<<4|e.held)
-		b = append(b, e.passed, 0) // older versions lend of ceilings here
+		b = append(b, e.passed, 0) // in older versions the second byte lent parts of ceilings
 		rate := e.rate
 		if e.anew {
 			rate |= flagAnew
@@ -94,8 +95,8 @@
 	return b
 }
 
-// message makes the report for one peer: the servers this gateway has attempts
-// out at, then the customers that come in through both, busiest first.
+// newReport makes the report for one peer: the servers where this gateway has attempts in
+// flight, then the customers whose requests enter at both gateways, most urgent first.
 func (g *Gateway) message(p *peer, list []*customer) *report {
 	m := &report{inc: g.inc, seq: g.seq, complete: true}
 	for _, s := range g.fleet {
@@ -126,7 +127,7 @@
 	return m
 }
 
-// decodeReport reads a report; anything but a whole, well-formed one is not ok.
+// decodeReport reads a report. It is not ok unless b is complete and well-formed.
 func decodeReport(b []byte) (m report, ok bool) {
 	if len(b) < headerSize || len(b) > maxMessage || b[0] != reportVersion {
 		return m, false
@@ -155,9 +156,8 @@
 	return m, true
 }
 
-// read takes over an entry's figures, and tells what has been passed since the
-// last. It tells too whether the sender's totals were not known, or
-// began at nothing: then what was passed counts from there.
+// update stores an entry and returns the units admitted since the last one. It also reports
+// whether the sender's total was not known or has restarted; the units count from there then.
 func (v *peerView) read(e entry, inc uint32, now time.Duration) (passed float64, met bool) {
 	quiet := now-v.at > anewFor
 	if met = !v.heard || v.inc != inc || e.anew && quiet; met {
@@ -166,7 +166,7 @@
 			v.passed = e.passed
 		}
 	}
-	passed = float64(int8(e.passed - v.passed)) // settled units may take it back
+	passed = float64(int8(e.passed - v.passed)) // negative when actual units were below the estimate
 	if quiet {
 		passed = max(0, passed)
 	}
@@ -181,7 +181,7 @@
 		return
 	}
 	if p.heard && p.inc == m.inc && int32(m.seq-p.seq) <= 0 {
-		return // old or repeated: the later report holds all it said
+		return // old or repeated: the later report includes its content
 	}
 	if p.left = p.left && p.inc == m.inc; m.complete || p.inc != m.inc {
 		for _, v := range p.views {
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// serverList is the list of all servers of the fleet, a line of some tens of bytes each, with
-// the sums and the orders that decisions take from it. A change of one line costs O(log n).
+// serverList is the list of all servers of the fleet, an entry of some tens of bytes each, with
+// the sums and orders that decisions use. A change of one entry costs O(log n).
 type serverList struct {
 	lines   map[ServerID]line
 	byZone  map[string]*zone
 	zones   []*zone         // by name
 	cells   map[int]*ranked // the running servers of each cell
 	running int
-	weight  float64 // sum over all lines
-	round   uint32  // counts whole lists
+	weight  float64 // sum over all entries
+	round   uint32  // number of full lists so far
 }
 
 // zone is a zone with servers in the list.
@@ -27,13 +27,13 @@
 	offset  float64 // from 0 to 1, by the name
 }
 
-// line is one server in the list.
+// listEntry is one server in the list.
 type line struct {
 	zone     *zone
 	start    time.Duration
 	weight   float64
 	cell     int
-	round    uint32 // the last whole list that named it
+	round    uint32 // number of the last full list that named the server
 	state    uint8
 	hasStart bool
 }
@@ -48,10 +48,10 @@
 
 func (l *serverList) len() int { return len(l.lines) }
 
-// meanWeight is the mean over all lines.
+// meanWeight is the mean over all entries.
 func (l *serverList) meanWeight() float64 { return l.weight / float64(max(1, len(l.lines))) }
 
-// find returns a server's line.
+// find returns a server's entry.
 func (l *serverList) find(id ServerID) (Server, bool) {
 	n, listed := l.lines[id]
 	if !listed {
@@ -60,7 +60,7 @@
 	return n.server(id), true
 }
 
-// put enters a line, or changes or removes it.
+// put adds, changes or removes an entry.
 func (l *serverList) put(s Server) {
 	if n, listed := l.lines[s.ID]; listed && n.server(s.ID) == s {
 		n.round = l.round
@@ -89,7 +89,7 @@
 	cell.insert(s.ID)
 }
 
-// remove takes a line out, if there is one.
+// remove removes an entry, if there is one.
 func (l *serverList) remove(id ServerID) {
 	n, listed := l.lines[id]
 	if !listed {
@@ -97,7 +97,7 @@
 	}
 	delete(l.lines, id)
 	if l.weight -= n.weight; len(l.lines) == 0 {
-		l.weight = 0 // no rest of roundings
+		l.weight = 0 // drops rounding errors
 	}
 	if State(n.state) == Running {
 		l.running--
@@ -112,7 +112,7 @@
 	}
 }
 
-// zone finds a zone, or enters it.
+// zone returns a zone, added where it is new.
 func (l *serverList) zone(name string) *zone {
 	if z := l.byZone[name]; z != nil {
 		return z
@@ -124,10 +124,10 @@
 	return z
 }
 
-// beginWhole begins a whole list: what is not put from now on is not in it.
+// beginFullList begins a full list: servers that are not put until endFullList are removed.
 func (l *serverList) beginWhole() { l.round++ }
 
-// endWhole removes the lines that the whole list did not name.
+// endFullList removes the entries that the full list did not name.
 func (l *serverList) endWhole() {
 	var gone []ServerID
 	for id, n := range l.lines {
@@ -141,12 +141,12 @@
 	}
 }
 
-// follow brings the state that is kept of a server up to its line.
+// updateTracked updates the state of a tracked server from the list.
 func (g *Gateway) follow(m Server) {
 	s := g.servers[m.ID]
 	if s == nil {
 		if !g.tree {
-			g.meet(m.ID) // a small fleet's gateway keeps to all
+			g.meet(m.ID) // a gateway of a small fleet tracks all servers
 		}
 		return
 	}
@@ -162,11 +162,10 @@
 	}
 }
 
-// serverHash spreads IDs; it maps no two of them to the same value.
+// serverHash spreads IDs. It maps no two of them to the same value.
 func serverHash(id ServerID) uint32 { return uint32(id) * 0x9e3779b1 }
 
-// meet returns the state of a server, made from its line where there is none yet; nil: it is
-// not in the list.
+// track returns the state of a server, made from its entry at first use; nil: not in the list.
 func (g *Gateway) meet(id ServerID) *server {
 	if s := g.servers[id]; s != nil {
 		return s
@@ -185,7 +184,7 @@
 	return s
 }
 
-// groupOf is the group that alone may get a request, nil where any server may.
+// requiredGroup is the group of servers that a request must stay in; nil: any server.
 func (g *Gateway) groupOf(r *request) *ranked {
 	if !r.ran || r.cl.Effect != Keyed {
 		return nil
@@ -202,10 +201,10 @@
 	default:
 		return nil
 	}
-	return newRanked() // none is left of it
+	return newRanked() // no server of the group is left
 }
 
-// along returns the states of n servers of a group, from this gateway's place on.
+// groupSample returns the states of n servers of a group, from this gateway's position on.
 func (g *Gateway) along(group *ranked, n int) []*server {
 	list := make([]*server, n)
 	first := int(g.position(0) * float64(group.len()))
@@ -215,18 +214,18 @@
 	return list
 }
 
-// look counts servers that are looked at, for tests.
+// countInspected counts inspected servers, for tests.
 func (g *Gateway) look(n int) {
 	if g.onLook != nil {
 		g.onLook(n)
 	}
 }
 
-// position is this gateway's place on a circle of length 1: those of all gateways are spread
-// evenly, whatever their number.
+// ringPosition is this gateway's position on a ring of length 1, moved by offset. The positions
+// of all gateways are spread evenly, whatever their number.
 func (g *Gateway) position(offset float64) float64 {
 	return fraction(float64(g.set.Me)*math.Phi + offset)
 }
 
-// fraction is what a number is above the next whole one below.
+// fractionalPart is the distance of v from the next whole number below.
 func fraction(v float64) float64 { return v - math.Floor(v) }
--- a/policy/state.go
+++ b/policy/state.go
@@ -7,58 +7,60 @@
 	"time"
 )
 
+// customer is the state that this gateway keeps of one customer.
 type customer struct {
-	key    uint64
-	hash   uint32 // in reports
+	key    uint64 // customerKey of its name
+	hash   uint32 // shortHash of key, which names it in reports
 	plan   *quota
-	first  int // its gateways: spread of them, counted round from first
-	spread int
-	ask    []int   // the gateways that sum its counts, where this one does not
-	part   float64 // of what is asked for fits, as its root said
+	first  int     // its requests enter at spread gateways,
+	spread int     // counted from first, wrapping round
+	ask    []int   // root and deputy; empty where this gateway sums the counts
+	part   float64 // share of the requested units that fits, as its root answered
 	partAt time.Duration
-	sums   bool             // others ask it here, as its root or deputy
-	leases map[lease]leased // granted to others and not told of as ended
-	set    []*peerView      // its other gateways
-	n      float64          // its gateways, this one included
-	held   []*request       // waiting, in arrival order
-	out    int
-	born   time.Duration // when its counts began
-	seen   time.Duration // its last request
-	area   float64       // integral of out over the tick, for its mean
+	sums   bool             // other gateways ask this one, as root or deputy
+	leases map[lease]leased // granted to other gateways, end not reported
+	set    []*peerView      // of the other gateways that sum its counts
+	n      float64          // this gateway holds 1/n of the hard ceiling
+	held   []*request       // in the order in which they are to be sent
+	out    int              // attempts in flight, leased ones included
+	born   time.Duration    // start of these counts
+	seen   time.Duration    // time of the last request
+	area   float64          // integral of inFlight over the current tick
 	areaAt time.Duration
-	mean   float64
+	mean   float64 // mean of inFlight over the last tick
 
-	at        time.Duration // time of the token buckets below
-	tokens    float64       // estimate of the quota's token bucket
-	known     bool          // the estimate rests on more than a fresh start
-	ceiling   float64       // own hard part of the ceiling
-	passed    uint16        // running totals of units, told to peers
-	rate      float64       // own asked units, decayed over demandSpan
-	fresh     int           // ticks for which a change is still told
-	told      uint32        // tick of the last report
-	toldUnits uint16        // passed, as last told
-	urgency   float64       // its place in the report
+	at        time.Duration // time for which the buckets below are computed
+	tokens    float64       // estimate of the quota's token bucket, in units
+	known     bool          // tokens rests on more than its initial value
+	ceiling   float64       // this gateway's part of the hard ceiling, in units
+	passed    uint16        // running total, sent to peers
+	rate      float64       // units requested here, decayed over demandDecayTime
+	fresh     int           // ticks for which reports still include it
+	told      uint32        // or of the root's last answer
+	toldUnits uint16        // admittedUnits in the last report
+	urgency   float64       // sort key in reports
 }
 
-// quota is a plan with its place in the settings.
+// quota is a plan and its index in the settings.
 type quota struct {
 	Plan
 	no   byte
-	fits float64 // share of what is asked for under it that roots let in of late
+	fits float64 // recent share of requests under it that roots granted
 }
 
-// lease names a request that another gateway asked for.
+// leaseKey identifies a request that another gateway asked for.
 type lease struct {
 	from int
 	tag  uint32
 }
 
+// activeLease is a request that this gateway granted to another one.
 type leased struct {
-	until time.Duration
+	until time.Duration // it counts until then unless it is renewed
 	r     *request
 }
 
-// take takes a request's units from the token buckets.
+// takeTokens takes a request's units from the token buckets.
 func (c *customer) take(r *request) {
 	c.tokens = max(0, c.tokens-r.units)
 	if !r.granted {
@@ -67,40 +69,42 @@
 	c.passed += uint16(r.units)
 }
 
-// record is what the fleet knows of a server for one class.
+// classHealth is what the fleet knows of a server for one class.
 type record struct {
-	errs  float64       // the watcher's average
-	okAt  time.Duration // its last answer here
-	bad   bool          // out of use for the class, until a time
+	errs  float64       // moving average of the health monitor, 0 to 1
+	okAt  time.Duration // last successful answer at this gateway
+	bad   bool          // gets no requests of the class until outOfUseUntil
 	until time.Duration
-	wait  time.Duration // after its last trial
-	trial time.Duration // when the watcher may next try it
+	wait  time.Duration // between its last trial and the next
+	trial time.Duration // earliest next trial by the health monitor
 }
 
-// peerView is what one other gateway last said of one customer.
+// peerView is what one peer last reported of one customer.
 type peerView struct {
 	p      *peer
-	at     time.Duration
-	heard  bool
+	at     time.Duration // time of the last entry
+	heard  bool          // an entry has come
 	inc    uint32
-	out    float64
-	held   float64
-	passed byte
-	rate   float64 // asked units, decayed
+	out    float64 // attempts in flight, mean over a tick
+	held   float64 // requests held there
+	passed byte    // lowest bits of the running total
+	rate   float64 // units requested there, decayed over demandDecayTime
 }
 
+// peer is what another gateway last reported.
 type peer struct {
 	num      int
-	inc      uint32
-	seq      uint32
+	inc      uint32 // identifies its process
+	seq      uint32 // of its last report
 	at       time.Duration
-	heard    bool
-	left     bool               // that process told that it ends
-	complete bool               // its last report named all customers with news
-	outs     map[uint16]float64 // attempts out by server
-	views    []*peerView        // what it said of each customer
+	heard    bool               // a report has come
+	left     bool               // that process announced its shutdown
+	complete bool               // its last report named all customers with changes
+	outs     map[uint16]float64 // attempts in flight by server hash
+	views    []*peerView        // by customer
 }
 
+// request is a client's request, or one that another gateway asks this one to count.
 type request struct {
 	id       RequestID
 	c        *customer
@@ -109,143 +113,146 @@
 	arrived  time.Duration
 	deadline time.Duration
 	attempts int
-	srv      *server // of the attempt out; nil when none is
+	srv      *server // of the attempt in flight; nil: none
 	sentAt   time.Duration
-	load     float64 // the server's when sent to
-	counted  bool    // has taken its units
-	ran      bool    // an attempt may have run
-	ranZone  string  // where and since when, for keyed classes
+	load     float64 // of the server, when the attempt was sent
+	counted  bool    // its units are taken from the token buckets
+	ran      bool    // an attempt may have run:
+	ranZone  string  // where and when the first one did, for keyed classes
 	ranCell  int
 	ranAt    time.Duration
-	over     bool
-	stream   bool
-	quit     bool    // its attempt was cancelled
-	asks     float64 // with what chance it was asked for
-	repeat   bool    // the client marked it as one
-	remote   bool    // came in at the gateway root, which asks for it
-	root     int     // the gateway asked for it
-	tag      uint32  // by this name
-	by       *table  // and by these numbers
-	asked    int     // how often
-	askedAt  time.Duration
-	until    time.Duration // an answer is waited for until then
-	waits    bool          // held there
-	granted  bool
-	last     *server // of the attempt before
-}
-
+	over     bool          // answered, granted to another gateway, or abandoned by its client
+	stream   bool          // the answer has begun
+	quit     bool          // the attempt is overdue and counts as failed
+	asks     float64       // probability with which the root is asked
+	repeat   bool          // the client marked it as a retry
+	remote   bool          // it entered at another gateway, which asks this one
+	root     int           // that gateway, or else the one that is asked
+	tag      uint32        // names it in messages
+	by       *table        // whose numbers the message uses
+	asked    int           // number of asks sent
+	askedAt  time.Duration // time of the last one
+	until    time.Duration // when to give up waiting for the answer
+	waits    bool          // the root holds it
+	granted  bool          // by the root
+	last     *server       // of the latest attempt
+}
+
+// class is a class of requests and its measured latency.
 type class struct {
 	Class
-	no   int     // place in the settings
-	mean float64 // seconds an idle server of the fleet takes
-	seen float64 // outcomes it rests on
+	no   int     // in the settings; -1: removed
+	mean float64 // of an idle server of the fleet, in seconds
+	seen float64 // number that meanLatency rests on
 }
 
+// server is the state of a tracked server.
 type server struct {
 	Server
-	hash   uint16
-	out    int
-	slow   float64                  // latency against the fleet's, at equal load
-	heard  float64                  // attempts out there, as the peers last said
-	oldest []*request               // attempts out, oldest first
-	goneAt time.Duration            // when it left the list; 0: it is there
-	fullAt map[*quota]time.Duration // until then it is taken to turn this plan away
-	sends  []time.Duration          // while cold: recent sends
-	place  float64                  // while cold: this gateway's among those that keep to it, from 0 to 1
-
-	kept      bool     // it is in the working set
-	weight    float64  // in the draw at hand
-	watchers  [2]int   // the gateways that judge it for all; the second only whether it can be reached
+	hash   uint16                   // names it in reports
+	out    int                      // own attempts
+	slow   float64                  // against the fleet's mean, at equal load
+	heard  float64                  // attempts that the peers last reported
+	oldest []*request               // requests in flight there, oldest first
+	goneAt time.Duration            // when it left the list; 0: it is listed
+	fullAt map[*quota]time.Duration // until when it is assumed to refuse a plan
+	sends  []time.Duration          // times, while it warms up
+	place  float64                  // this gateway's place, 0 to 1, among those that use it while it warms up
+
+	kept      bool
+	weight    float64  // in the current draw
+	watchers  [2]int   // they decide on it for all; the second only whether it is reachable
 	by        []record // by class
-	verdicts  float64  // its watcher may send now
+	verdicts  float64  // verdicts that its monitor may send now
 	verdictAt time.Duration
-	pace      float64 // latency against the fleet's, as the watcher learns it
+	pace      float64 // relative latency, as its monitor measures it
 }
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
+// Gateway makes the decisions of one gateway. It is not safe for concurrent use.
 type Gateway struct {
 	set       Settings
 	rng       *rand.Rand
-	inc       uint32
-	seq       uint32
-	tick      time.Duration
+	inc       uint32        // identifies this process in messages
+	seq       uint32        // of the last report
+	tick      time.Duration // interval between ticks
 	ticks     uint32
-	begun     bool
-	start     time.Duration
-	now       time.Duration
+	begun     bool          // the first event has come
+	start     time.Duration // time of the first event
+	now       time.Duration // time of the current event
 	lastTick  time.Duration
 	classes   map[string]*class
 	plans     map[string]*quota
 	customers map[uint64]*customer
-	byHash    map[uint32]*customer
+	byHash    map[uint32]*customer // nil: several customers have this hash
 	ring      []*customer
-	waiting   []*customer
+	waiting   []*customer // those with held requests
 	reqs      map[RequestID]*request
-	list      *serverList          // all servers
+	list      *serverList
 	servers   map[ServerID]*server // those with state here: all in a small fleet
-	fleet     []*server            // the same, by ID
-	working   []*server            // those of them that a large fleet's gateway keeps to, by ID
-	onLook    func(servers int)    // counts servers that are looked at, in tests; nil: nobody
-	peers     []*peer
-	budget    float64
-	out       int           // own attempts out, at all servers
-	loadRatio float64       // average of latency over aim
-	lackAt    time.Duration // when a request last found no server with room
-	draws     float64       // how often servers were chosen from, decayed over FallTime
-	taken     float64       // own attempts that servers did not turn away, decayed over FallTime
-	capacity  float64       // of the servers that this gateway uses, in whole warm ones
-	acts      []Action
-	asked     bool
-	size      float64 // mean weight in the list
-	live      int     // servers in the list that run
-	mean      float64 // seconds an idle server takes, over all classes
-	minAim    float64 // the shortest aim, in seconds
-	unheard   int     // asks that were not answered since anybody's last word
-	lets      float64 // requests that roots let in, faded over letSpan
-	credit    float64 // requests that may pass with no root's word now
-	own       float64 // weight of an outcome in a server's pace here
-	admitted  float64 // part of the requests let in
-	tree      bool    // reports from all to all would be too many
+	fleet     []*server            // the same, sorted by ID
+	working   []*server            // tracked servers that a gateway of a large fleet uses, sorted by ID
+	onLook    func(servers int)    // counts inspected servers, in tests; may be nil
+	peers     []*peer              // by number; nil: no state yet
+	budget    float64              // retries that may be sent
+	out       int                  // own attempts, at all servers
+	loadRatio float64              // moving average of latency over aim
+	lackAt    time.Duration        // when a request last found no server with room
+	draws     float64              // server choices, decayed over FallTime
+	taken     float64              // own attempts that servers accepted, decayed over FallTime
+	capacity  float64              // of the servers that this gateway uses, in warm servers of mean size
+	acts      []Action             // of the current event
+	asked     bool                 // the server list was asked for
+	size      float64              // in the server list
+	live      int                  // in the server list
+	mean      float64              // of an idle server over all classes, in seconds
+	minAim    float64              // the shortest aim, in seconds
+	unheard   int                  // since the last message from any peer
+	lets      float64              // requests that roots granted, decayed over grantDecayTime
+	credit    float64              // requests that may pass now without a root's answer
+	own       float64              // of an own outcome in a server's relative latency
+	admitted  float64              // part of the requests that load shedding admits
+	tree      bool                 // too large for reports from every gateway to every other
 	asks      map[uint32]*request
-	asking    []*request // in the order asked, answered ones too
-	ends      []end      // told to roots since the last tick, to be told once more
-	nextTag   uint32
-	tables    []*table       // the newest, and the one before where that differs
-	mixed     bool           // another table was met
-	speaks    map[int]uint16 // by which table a gateway speaks, where mixed
-	hinted    []int          // gateways told of the tables here since the last tick
-
-	departed map[int]time.Duration // gateways that have told that they end: until when they count as gone
-	leaving  bool                  // it ends, and hands its counts on
-	told     bool                  // and has told so
-	handing  []*part               // on their way
+	asking    []*request     // in the order asked, answered ones included
+	ends      []end          // sent to roots since the last tick, to be sent once more
+	nextTag   uint32         // counter part of the last tag
+	tables    []*table       // the newest, and its predecessor where that differs
+	mixed     bool           // another table is in use in the fleet
+	speaks    map[int]uint16 // mark of the table that a peer uses, where mixedTables
+	hinted    []int          // peers that were sent the newest mark since the last tick
+
+	departed map[int]time.Duration // by gateway: until when it counts as shut down
+	leaving  bool                  // this gateway shuts down and transfers its counts
+	told     bool
+	handing  []*part // not acknowledged yet
 	handSeq  uint32
-	adopted  map[handKey]time.Duration // parts that have come: until when that is remembered
-	restored bool                      // it was told of the time before its start,
-	clean    bool                      // and of all that was let in then
-	kept     map[uint64]float64        // token buckets, as they were so long before the start
-	keptFor  time.Duration
+	adopted  map[handKey]time.Duration // until when they are remembered
+	restored bool                      // a Restore event has come,
+	clean    bool                      // with all that was admitted before the start
+	kept     map[uint64]float64        // token buckets of the Restore event,
+	keptFor  time.Duration             // this long before the start
 
-	lapsedClasses map[string]*class // of the generation before, gone from the newest
+	lapsedClasses map[string]*class // no longer in the settings, but in the table before
 	lapsedPlans   map[string]*quota
-	reply         time.Duration // mean time to an answer
+	reply         time.Duration // mean time to a root's answer
 }
 
 func (g *Gateway) do(a Action) { g.acts = append(g.acts, a) }
 
+// addInFlight changes the number of attempts in flight by d.
 func (c *customer) count(now time.Duration, d int) {
 	c.area += float64(c.out) * (now - c.areaAt).Seconds()
 	c.areaAt = now
 	c.out += d
 }
 
-// settle takes or gives back units after a guess.
+// adjustUnits charges further units, or returns some, once the actual number is known.
 func (c *customer) settle(units float64) {
 	c.tokens -= units
 	c.passed += uint16(int(units))
 }
 
-// customer finds the customer of a request.
+// customerOf returns the customer of a request, and starts its counts at the first one.
 func (g *Gateway) customer(r *Request) *customer {
 	key := keyOf(r.Customer)
 	plan := g.plans[r.Plan]
@@ -261,8 +268,8 @@
 	return g.account(key, plan, r.First, r.Spread)
 }
 
-// arrive enters a client's request. One of a class not in the settings is
-// taken for unsafe.
+// newRequest registers a client's request. A class that is not in the settings
+// is treated as Unsafe.
 func (g *Gateway) arrive(ev Request) *request {
 	c, cl := g.customer(&ev), g.classes[ev.Class]
 	if cl == nil {
@@ -275,7 +282,7 @@
 	return r
 }
 
-// sent and ended keep the lists of attempts out.
+// recordSend and recordEnd update the attempts in flight.
 func (g *Gateway) sent(r *request, s *server) {
 	r.c.count(g.now, 1)
 	r.srv, r.last, r.sentAt, r.load, r.quit = s, s, g.now, g.load(s), false
@@ -297,12 +304,12 @@
 	}
 }
 
-// sameGroup tells whether a server drops repeats of what may have run.
+// sameGroup reports whether a server drops repeats of an attempt that may have run.
 func (r *request) sameGroup(s *server) bool {
 	return (r.cl.Group != GroupZone || s.Zone == r.ranZone) && (r.cl.Group != GroupCell || s.Cell == r.ranCell)
 }
 
-// measure takes each customer's mean of attempts out over a tick.
+// updateMeans computes each customer's mean of attempts in flight over a tick.
 func (g *Gateway) measure(dt time.Duration) {
 	g.hinted = g.hinted[:0]
 	g.keepTime()
@@ -313,7 +320,7 @@
 	}
 }
 
-// wear lets a part of what is known of a server go.
+// decay moves what is known of a server by a part of the way back to the defaults.
 func (s *server) wear(part float64) {
 	s.slow += (1 - s.slow) * part
 	for i := range s.by {
@@ -321,7 +328,7 @@
 	}
 }
 
-// expire drops the leases that have run out.
+// expireLeases drops the leases whose time is over.
 func (g *Gateway) expire(c *customer) {
 	for l, v := range c.leases {
 		if g.now > v.until {
@@ -331,15 +338,15 @@
 	}
 }
 
-// heldFor is the place in the queue of what another gateway asked for; -1: none.
+// heldIndex is the index in the queue of a request that another gateway asked for; -1: none.
 func (c *customer) heldFor(from int, tag uint32) int {
 	return slices.IndexFunc(c.held, func(r *request) bool {
 		return r.remote && r.root == from && r.tag == tag
 	})
 }
 
-// views makes room for what each of the others says of a customer, and lets go
-// of what those say who count for it no longer.
+// updatePeerViews adds a view for each of the given gateways and drops those of
+// all others.
 func (g *Gateway) views(c *customer, others []int) {
 	c.set = slices.DeleteFunc(c.set, func(v *peerView) bool {
 		if slices.Contains(others, v.p.num) {
@@ -356,12 +363,13 @@
 	}
 }
 
+// detach removes the view from its peer.
 func (v *peerView) leave() {
 	v.p.views = slices.DeleteFunc(v.p.views, func(o *peerView) bool { return o == v })
 }
 
-// enter puts a customer in the tables. Two of one short hash can't be told
-// apart in reports: none is taken for either.
+// indexCustomer enters a customer in the tables. Customers with the same short hash can't be
+// told apart in reports, so report entries with that hash are ignored.
 func (g *Gateway) enter(c *customer) {
 	g.customers[c.key] = c
 	if _, twice := g.byHash[c.hash]; twice {
@@ -372,14 +380,15 @@
 	g.ring = append(g.ring, c)
 }
 
-// letIn learns from a root's last word on a request: what part of it may go.
+// learnGrant learns from a root's final answer: share is 1 if it granted the request, else 0.
 func (g *Gateway) letIn(r *request, part float64) {
 	g.lets += part
 	g.credit = max(0, g.credit-part)
 	r.c.plan.fits += fitLearn * (part - r.c.plan.fits)
 }
 
-// earn has the credit grow by what roots let in of late, and that fade.
+// accrueCredit raises the isolation credit by the recent rate of grants from roots. That rate
+// decays, except while this gateway is isolated.
 func (g *Gateway) earn(dt time.Duration) {
 	part := dt.Seconds() / letSpan.Seconds()
 	g.credit = min(g.credit+g.lets*part, g.maxCredit())
@@ -390,7 +399,7 @@
 
 func (g *Gateway) maxCredit() float64 { return 1 + g.lets*creditSpan.Seconds()/letSpan.Seconds() }
 
-// byWeight draws a server by weight.
+// drawByWeight chooses a server at random, by drawWeight.
 func (g *Gateway) byWeight(list []*server) *server {
 	sum := 0.0
 	for _, s := range list {
@@ -405,7 +414,7 @@
 	return nil
 }
 
-// usableCapacity sums the capacity that the servers surely have of which this gateway chooses.
+// usableCapacity sums the capacity that the servers this gateway chooses from have at least.
 func (g *Gateway) usableCapacity() float64 {
 	list, sum := g.fleet, 0.0
 	if g.tree {
@@ -419,7 +428,7 @@
 	return sum
 }
 
-// queue puts a request in its customer's queue, one with units taken first.
+// enqueue puts a request in its customer's queue, in front if its units are taken.
 func (g *Gateway) queue(r *request) {
 	if len(r.c.held) == 0 {
 		g.waiting = append(g.waiting, r.c)
@@ -431,7 +440,7 @@
 	}
 }
 
-// unhold takes the i-th request out of its customer's queue.
+// dequeue removes the i-th request from its customer's queue.
 func (g *Gateway) unhold(c *customer, i int) {
 	c.held = slices.Delete(c.held, i, i+1)
 	c.fresh = repeatTicks
@@ -440,9 +449,10 @@
 	}
 }
 
+// toByte rounds a value, which must not be negative, to at most 255.
 func small(v float64) byte { return byte(min(math.Round(v), 255)) }
 
-// size is a server's size against the fleet's mean, where the list tells it.
+// relativeSize is a server's size against the fleet's mean; 1 where sizes are not known.
 func (g *Gateway) sizeOf(s *server) float64 {
 	if g.set.SizeKnown && s.Weight > 0 && g.size > 0 {
 		return s.Weight / g.size
@@ -474,7 +484,7 @@
 	}
 }
 
-// peer returns what is known of a gateway.
+// peer returns the state of a gateway, made at first use.
 func (g *Gateway) peer(num int) *peer {
 	if g.peers[num] == nil {
 		g.peers[num] = &peer{num: num}
@@ -482,10 +492,10 @@
 	return g.peers[num]
 }
 
-// sumLoads sums the peers' attempts out at each server; old counts are let go.
+// sumPeerLoads sums the peers' attempts in flight at each server. Silent peers don't count.
 func (g *Gateway) sumLoads() {
 	if g.tree {
-		return // its reports tell of no servers
+		return // their reports name no servers
 	}
 	for _, s := range g.fleet {
 		s.heard = 0
@@ -497,7 +507,7 @@
 	}
 }
 
-// watch asks for the server list where it must be asked for, once.
+// requestServerList asks for the server list once, where it must be asked for.
 func (g *Gateway) watch() {
 	if g.set.MustAsk && !g.asked {
 		g.asked = true
@@ -505,7 +515,7 @@
 	}
 }
 
-// markRemoved notes that a server is in the list no longer.
+// markRemoved records that a server is no longer in the list.
 func (s *server) markRemoved(now time.Duration) {
 	s.State = Removed
 	if s.goneAt == 0 {
@@ -513,8 +523,8 @@
 	}
 }
 
-// forget drops the state of servers that is of no use any more and the customers for whom a
-// fresh start would come to the same.
+// dropUnused drops the state of unused servers, and of customers for whom a fresh start
+// gives the same state.
 func (g *Gateway) forget() {
 	if g.kept != nil {
 		g.letGo()
@@ -539,8 +549,8 @@
 	})
 }
 
-// spent tells whether nothing is left of a customer: its token bucket and its ceiling
-// are full again, nobody has anything out or held, and nothing is left to tell.
+// isIdle reports whether a customer's state can be dropped: its token bucket and its ceiling
+// are full, no gateway has attempts in flight or held requests, and nothing is left to report.
 func (g *Gateway) spent(c *customer) bool {
 	if c.out > 0 || len(c.held) > 0 || len(c.leases) > 0 || c.news() || c.area > 0 ||
 		g.now-c.seen < forgetAfter {
@@ -555,8 +565,8 @@
 	return (c.plan.Rate == 0 || c.tokens >= c.plan.Burst) && (c.plan.HardRate == 0 || c.ceiling >= c.plan.HardBurst/c.n)
 }
 
-// unname takes a customer's short hash out; another of the same hash has it for
-// itself then.
+// removeHash removes a customer's short hash. If one other customer has the same hash,
+// reports name that one by it from now on.
 func (g *Gateway) unname(c *customer) {
 	if g.byHash[c.hash] == c {
 		delete(g.byHash, c.hash)
@@ -578,7 +588,8 @@
 	}
 }
 
-// close drops what is kept of a request once it has its final answer or its client has gone.
+// closeRequest drops the state of a request that has its final answer or whose client
+// disconnected.
 func (g *Gateway) close(r *request) {
 	r.over = true
 	if i := slices.Index(r.c.held, r); i >= 0 {
@@ -589,21 +600,21 @@
 	}
 	delete(g.reqs, r.id)
 	delete(g.asks, r.tag)
-	// A grant may still be on its way here, or the request held at the root.
+	// A grant may still be on its way here, or the root may hold the request.
 	if r.asked > 0 && (r.c.plan.Open > 0 || !r.counted) {
 		r.asked = 0
 		g.tellEnd(r, ended{r.c.key, r.tag, !r.counted})
 	}
 }
 
-// outOfUse tells whether a server is out of use for a class now.
+// outOfUse reports whether a server is out of use for a class now.
 func (g *Gateway) outOfUse(s *server, cl *class) bool {
 	v := g.record(s, cl)
 	return v != nil && v.bad && g.now < v.until
 }
 
-// idle tells whether a server's state is of no use any more: it is gone for good, or
-// of a large fleet and as good as new.
+// isUnused reports whether a server's state can be dropped: the server was removed a while
+// ago, or, in a large fleet, its state is almost that of a new one.
 func (g *Gateway) idle(s *server) bool {
 	if s.State == Removed {
 		return s.out == 0 && g.now-s.goneAt >= forgetAfter
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Numbers in messages. A class or plan is named by its place in the sender's
-// settings. While a fleet is being reconfigured these differ, and a number must
-// not be taken for another: each table has a mark, and what was said by another
-// table is translated by name or, where that table is not known, passed over.
+// Numbers in messages. A class or plan is identified by its index in the sender's
+// settings. While a fleet is being reconfigured the indexes differ, and a number must
+// not be read by the wrong table. So each table has a mark, and numbers of another
+// table are translated by name or, where that table is not known, ignored.
 //
-// An ask always bears its table's mark, in the upper bits of its tag, which means
-// nothing to the root and comes back as it was: older programs lose nothing. The
-// other messages bear one from when this gateway has first met a second table;
-// older programs pass those over. A number without a mark counts only where all
+// An ask always includes its table's mark, in the upper bits of its tag. The root
+// does not interpret the tag and returns it as it was, so older programs lose nothing.
+// The other messages include a mark once this gateway has met a second table;
+// older programs ignore these. A number without a mark counts only where all
 // tables known here agree on it.
 
-// table is the classes and plans of one generation of the settings, by place.
+// table is the classes and plans of one generation of the settings, by index.
 type table struct {
-	mark    uint16 // of the names and their order
+	mark    uint16 // hash of the names and their order
 	classes []string
 	plans   []string
 }
 
-// A tag: the mark's lowest bits, a check that tells it from an older program's
-// tag, and a counter that does not come round while a client waits: a gateway is
-// answered at most some hundreds of times a second.
+// A tag consists of check bits that tell it from an older program's tag, the mark's lowest
+// bits, and a counter. The counter does not wrap round while a client waits, since a gateway
+// gets at most some hundreds of answers a second.
 const (
 	countBits, checkBits = 14, 8
 	markMask             = 1<<(32-countBits-checkBits) - 1
 )
 
-// tables tells a peer whose numbers are not known here which are.
+// tablesMessage tells a peer, whose table is not known here, which one this gateway uses.
 type tables struct{ Mark uint16 }
 
-// markedSight and markedVerdict say by which table they count classes.
+// markedObservation and markedVerdict name the table that numbers their classes.
 type markedSight struct {
 	Mark  uint16
 	Sight sight
@@ -63,8 +63,8 @@
 	return t
 }
 
-// newTag names a request in the messages, by a table. The check covers the
-// counter too: of an older program's tags now and then one passes, not all.
+// newTag returns a tag for a request, with the mark of table t. The check covers the counter
+// too, so that an older program's tags pass it now and then, not always.
 func (g *Gateway) newTag(t *table) uint32 {
 	g.nextTag++
 	body := uint32(t.mark)<<countBits&(1<<(32-checkBits)-1) | g.nextTag&(1<<countBits-1)
@@ -73,13 +73,13 @@
 
 func checkOf(body uint32) uint32 { return (body + 1) * 0x9e3779b1 >> (32 - checkBits) }
 
-// tagMark reads the mark's lowest bits from a tag, if it bears one.
+// tagMark returns the mark's lowest bits from a tag, if it holds a mark.
 func tagMark(tag uint32) (mark uint16, ok bool) {
 	body := tag & (1<<(32-checkBits) - 1)
 	return uint16(body >> countBits), checkOf(body) == tag>>(32-checkBits)
 }
 
-// known finds a table by its mark's lowest bits; nil: there is none.
+// tableByMark finds a table by its mark's lowest bits; nil: not known.
 func (g *Gateway) known(mark uint16) *table {
 	for _, t := range g.tables {
 		if (t.mark^mark)&markMask == 0 {
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// toPeer is the table to ask a gateway by, nil where none would be understood:
-// the newest, unless that gateway was heard to use another, or a name has left
-// the newest.
+// tableFor returns the table for asking a gateway: the newest, unless that gateway uses
+// another one or a name is missing from the newest. It is nil where the gateway would
+// understand none.
 func (g *Gateway) toPeer(num int, r *request) *table {
 	t := g.tables[0]
 	if !g.mixed {
@@ -99,7 +99,7 @@
 	}
 	list := g.tables
 	if mark, heard := g.speaks[num]; heard {
-		list = list[max(0, slices.Index(list, g.known(mark))):] // it knows none that came later
+		list = list[max(0, slices.Index(list, g.known(mark))):] // it knows no newer one
 		if g.known(mark) == nil {
 			return nil
 		}
@@ -112,11 +112,11 @@
 	return nil
 }
 
-// meant gives the plan and class that a gateway asks for; nil: it can't be told,
-// and that gateway is told why.
+// resolveAsk returns the plan and class that a gateway asks for. Both are nil if they can't be
+// determined; a gateway whose table is not known is sent the mark of the newest table here.
 func (g *Gateway) meant(from int, m *ask) (*quota, *class) {
 	if g.leaving {
-		return nil, nil // its counts are another's by now
+		return nil, nil // another gateway sums these counts by now
 	}
 	mark, marked := tagMark(m.Tag)
 	t := g.tables[0]
@@ -150,8 +150,8 @@
 	return plan, cl
 }
 
-// hint tells a gateway that speaks by a table not known here which is, at most
-// once a tick.
+// sendTableMark sends the mark of the newest table, at most once a tick, to a gateway that
+// uses a table not known here.
 func (g *Gateway) hint(to int) {
 	if !slices.Contains(g.hinted, to) {
 		g.hinted = append(g.hinted, to)
@@ -159,16 +159,16 @@
 	}
 }
 
-// mix notes that more than one table is about. It is never taken back: a gateway
-// that lagged behind is not heard of.
+// noteMixedTables records that more than one table is in use. This is never reset, since
+// nothing shows that the last gateway has changed its table.
 func (g *Gateway) mix() {
 	if !g.mixed {
 		g.mixed, g.speaks = true, map[int]uint16{}
 	}
 }
 
-// onTables takes in which table a gateway knows. Where that is news it is told
-// of the one here: it must not go on taking its numbers for those of this one.
+// onTablesMessage records the table that a gateway uses. If that is new, the gateway is sent
+// the mark of the table here, so that it stops reading its numbers by the wrong table.
 func (g *Gateway) onTables(from int, m tables) {
 	if m.Mark == g.tables[0].mark && !g.mixed {
 		return
@@ -180,7 +180,7 @@
 	}
 }
 
-// agreed tells whether a number without a mark means the same in all tables.
+// sameInAllTables reports whether a number without a mark means the same in all tables.
 func (g *Gateway) agreed(no byte, names func(*table) []string) bool {
 	first := names(g.tables[0])
 	for _, t := range g.tables[1:] {
@@ -191,7 +191,7 @@
 	return int(no) < len(first)
 }
 
-// marked is a message as it goes out: with a mark once that is called for.
+// withMark returns a message as it is sent: with a mark once tables are mixed.
 func (g *Gateway) marked(m any) any {
 	if !g.mixed {
 		return m
@@ -205,8 +205,8 @@
 	return m
 }
 
-// place gives the place here of the class that a message names by its mark, or
-// by none; -1: it can't be told.
+// localClass returns the index here of a class that a message numbers by a marked table, or
+// by none; -1: not known.
 func (g *Gateway) place(no byte, marked bool, mark uint16) int {
 	if !marked {
 		if g.agreed(no, func(t *table) []string { return t.classes }) {
@@ -224,7 +224,7 @@
 	return -1
 }
 
-// placeMask moves a mask of classes to the places here.
+// localClassMask translates a mask of classes to the indexes here.
 func (g *Gateway) placeMask(mask byte, marked bool, mark uint16) (here byte) {
 	for i := range 8 {
 		if at := g.place(byte(i), marked, mark); mask>>i&1 == 1 && at >= 0 {
@@ -234,16 +234,16 @@
 	return here
 }
 
-// reconfigure puts new settings in force. What stays keeps its state, by name.
-// An open request keeps the class it came under, and a customer of a plan that
-// is gone keeps that plan until it names another.
+// reconfigure applies new settings. State is kept by name. A pending request keeps the
+// class that it has, and a customer whose plan is removed keeps that plan until a request
+// names another.
 func (g *Gateway) reconfigure(s Settings) {
 	if err := s.check(); err != nil {
-		g.do(Log{Text: "new settings not taken: " + err.Error()})
+		g.do(Log{Text: "new settings rejected: " + err.Error()})
 		return
 	}
 	for _, c := range g.ring {
-		g.advance(c) // by the old figures up to now
+		g.advance(c) // the old settings apply up to now
 	}
 	was := make(map[*quota]Plan, len(g.plans))
 	for _, q := range g.plans {
@@ -262,7 +262,7 @@
 	}
 }
 
-// replan takes a customer whose plan is gone over to one that it names now.
+// changePlan moves a customer whose plan was removed to the plan that it names now.
 func (g *Gateway) replan(c *customer, plan *quota) {
 	if plan != nil && g.plans[c.plan.Name] != c.plan {
 		g.advance(c)
@@ -272,12 +272,12 @@
 	}
 }
 
-// newClasses makes the classes of new settings; one whose figures have changed
-// leaves those of open requests alone. It returns the classes that are gone.
+// replaceClasses makes the classes of new settings. A class whose settings changed becomes
+// a new one, so that pending requests keep the old settings. It returns the removed classes.
 func (g *Gateway) newClasses(list []Class) (old map[string]*class) {
 	old = g.classes
 	g.classes, g.minAim = map[string]*class{}, math.Inf(1)
-	from := make([]int, len(list)) // the places before
+	from := make([]int, len(list)) // index before
 	for i, c := range list {
 		from[i] = -1
 		cl := old[c.Name]
@@ -311,9 +311,8 @@
 	return old
 }
 
-// newPlans puts the figures of new plans in the place of the old ones: attempts
-// out and held requests are judged by them from now on. It returns the plans
-// that are gone.
+// replacePlans changes the settings of the plans in place, so that they apply to attempts
+// in flight and held requests too. It returns the removed plans.
 func (g *Gateway) newPlans(list []Plan) (old map[string]*quota) {
 	old = g.plans
 	g.plans = map[string]*quota{}
@@ -336,7 +335,7 @@
 	return old
 }
 
-// onSight takes in an outcome that another gateway saw at a server watched here.
+// onObservation adds an outcome that another gateway observed at a server monitored here.
 func (g *Gateway) onSight(m sight, class int) {
 	s := g.meet(ServerID(m.Server))
 	if s != nil && slices.Contains(s.watchers[:], g.set.Me) && class >= 0 {
