--- a/policy/events.go
+++ b/policy/events.go
@@ -4,23 +4,23 @@
 
 // Handle processes one event and appends the resulting actions to out.
 func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
-	g.now, g.acts = now, out
-	if !g.begun {
-		g.begun, g.start, g.lastTick = true, now, now
-		g.do(SetTimer{Token: "tick", After: time.Duration(g.rng.Int64N(int64(g.tick))) + 1})
-		g.watch()
+	g.now, g.actions = now, out
+	if !g.started {
+		g.started, g.startedAt, g.lastTick = true, now, now
+		g.emit(SetTimer{Token: "tick", After: time.Duration(g.rng.Int64N(int64(g.tick))) + 1})
+		g.requestServerList()
 	}
 	switch ev := ev.(type) {
 	case Request:
-		g.onRequest(g.arrive(ev))
+		g.onRequest(g.newRequest(ev))
 	case Outcome:
 		g.onOutcome(ev)
 	case Started:
-		if r := g.reqs[ev.ID]; r != nil && r.attempts == ev.Attempt+1 && r.srv != nil {
-			r.stream = true
+		if r := g.requests[ev.ID]; r != nil && r.attempts == ev.Attempt+1 && r.server != nil {
+			r.streaming = true
 		}
 	case Gone:
-		if r := g.reqs[ev.ID]; r != nil {
+		if r := g.requests[ev.ID]; r != nil {
 			g.close(r)
 		}
 	case Timer:
@@ -30,7 +30,7 @@
 		case ev.Token == "ask":
 			g.onAskTimer()
 		case ev.Token == "hand":
-			g.handAgain()
+			g.sendTransfers()
 		}
 	case PeerMessage:
 		g.onPeer(ev)
@@ -41,58 +41,58 @@
 	case Restore:
 		g.restore(ev)
 	case Shutdown:
-		g.onLeaving()
+		g.onShutdown()
 	}
-	out, g.acts = g.acts, nil
+	out, g.actions = g.actions, nil
 	return out
 }
 
 // onMembers applies a whole server list, or changes to it.
 func (g *Gateway) onMembers(ev Members) {
 	if ev.Kind == AskFailed {
-		g.asked = false
+		g.watchSent = false
 		return
 	}
 	if ev.Kind != Changes {
-		g.list.beginWhole()
-		for _, s := range g.fleet {
+		g.allServers.beginFullList()
+		for _, s := range g.tracked {
 			s.markRemoved(g.now)
 		}
 	}
 	for _, m := range ev.Servers {
-		g.list.put(m)
-		g.follow(m)
+		g.allServers.put(m)
+		g.updateTracked(m)
 	}
 	if ev.Kind != Changes {
-		g.list.endWhole()
+		g.allServers.endFullList()
 	}
-	g.live, g.size = g.list.running, g.list.meanWeight()
-	g.keepTo()
+	g.runningServers, g.meanWeight = g.allServers.running, g.allServers.meanWeight()
+	g.chooseSubset()
 	g.capacity = g.usableCapacity()
 }
 
 // onPeer decodes another gateway's message and passes it to its handler.
 func (g *Gateway) onPeer(ev PeerMessage) {
-	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.set.Me {
+	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.settings.Me {
 		return
 	}
-	g.unheard = 0
+	g.unansweredAsks = 0
 	switch m := decode(ev.Data).(type) {
-	case ask:
-		if plan, cl := g.meant(ev.From, &m); cl != nil && m.Spread > 0 {
+	case askMessage:
+		if plan, cl := g.resolveAsk(ev.From, &m); cl != nil && m.Spread > 0 {
 			g.onAsk(ev.From, m, plan, cl)
 		}
-	case answer:
+	case answerMessage:
 		g.onAnswer(ev.From, m)
-	case ended:
-		g.onEnded(ev.From, m)
-	case sight:
-		g.onSight(m, g.place(m.Class, false, 0))
-	case verdict:
-		g.onVerdict(m, g.placeMask(m.Bad, false, 0))
+	case endMessage:
+		g.onEnd(ev.From, m)
+	case observation:
+		g.onObservation(m, g.localClass(m.Class, false, 0))
+	case verdictMessage:
+		g.onVerdict(m, g.localClassMask(m.OutOfUse, false, 0))
 	case report:
 		g.onReport(g.peers[ev.From], m)
 	default:
-		g.onFleet(ev.From, m)
+		g.onNewerMessage(ev.From, m)
 	}
 }
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -24,145 +24,152 @@
 
 // customerTransfer is a part of a customer's counts. On the wire: version, kind 9, the fields
 // in order, with the number of grants before the grants.
-type handed struct {
-	Inc           uint32 // of the sender
+type customerTransfer struct {
+	Incarnation   uint32 // of the sender
 	Seq           uint32 // identifies the transfer
 	Mark          uint16 // of the table that numbers plans
 	Plan          byte
 	Customer      uint64
 	First, Spread uint16
-	Store         float32 // units
-	Grants        []handedGrant
+	Tokens        float32 // units
+	Grants        []transferredGrant
 }
 
 // transferredGrant is an attempt in flight that the root granted to a gateway.
-type handedGrant struct {
-	From        uint16
-	Tag         uint32
-	Units, Left uint16 // RemainingMS: until its client gives up
+type transferredGrant struct {
+	From               uint16
+	Tag                uint32
+	Units, RemainingMS uint16 // RemainingMS: until its client gives up
 }
 
 // monitorState is what a monitor knows of a server, by class of the table with the mark, for
 // the first eight classes as in verdictMessage.
-type judged struct {
-	Inc, Seq uint32
-	Mark     uint16
-	Server   uint32
-	Pace     byte    // as in verdictMessage
-	Errs     [8]byte // 250: an average of 1
-	Bad      [8]byte // remaining time, in units of outOfUseStep
+type monitorState struct {
+	Incarnation, Seq uint32
+	Mark             uint16
+	Server           uint32
+	RelativeLatency  byte    // as in verdictMessage
+	FailureAverages  [8]byte // 250: an average of 1
+	OutOfUseFor      [8]byte // remaining time, in units of outOfUseStep
 }
 
-const judgedStep = verdictLife / 250
+const outOfUseStep = verdictLifetime / 250
 
 // forwardedEnd forwards the end of an attempt that a gateway reported.
-type endedFor struct {
+type forwardedEnd struct {
 	From uint16
-	End  ended
+	End  endMessage
 }
 
 // transferAck acknowledges a transfer.
-type took struct{ Inc, Seq uint32 }
+type transferAck struct{ Incarnation, Seq uint32 }
 
 // Sizes in bytes, and limits.
 const (
-	handedKind = 9
-	handedHead = 2 + 29
-	handedSize = 10 // of a grant
+	transferKind       = 9
+	transferHeaderSize = 2 + 29 // version and kind, then the fields
+	grantSize          = 10
 
-	handTries  = 4
-	handAtOnce = 20   // each takes a place in a receiver's datagram queue
-	maxAdopted = 4096 // remembered at once
+	maxTransferTries     = 4
+	maxTransfersAtOnce   = 20   // each takes a place in a receiver's datagram queue
+	maxReceivedTransfers = 4096 // remembered at once
 )
 
-func (m *handed) encode() []byte {
-	b := binary.BigEndian.AppendUint32([]byte{shortVersion, handedKind}, m.Inc)
+func (m *customerTransfer) encode() []byte {
+	b := binary.BigEndian.AppendUint32([]byte{shortVersion, transferKind}, m.Incarnation)
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
 	b = binary.BigEndian.AppendUint16(b, m.Mark)
 	b = append(b, m.Plan)
 	b = binary.BigEndian.AppendUint64(b, m.Customer)
 	b = binary.BigEndian.AppendUint16(b, m.First)
 	b = binary.BigEndian.AppendUint16(b, m.Spread)
-	b = binary.BigEndian.AppendUint32(b, math.Float32bits(m.Store))
+	b = binary.BigEndian.AppendUint32(b, math.Float32bits(m.Tokens))
 	b = binary.BigEndian.AppendUint16(b, uint16(len(m.Grants)))
 	for _, l := range m.Grants {
 		b = binary.BigEndian.AppendUint16(b, l.From)
 		b = binary.BigEndian.AppendUint32(b, l.Tag)
 		b = binary.BigEndian.AppendUint16(b, l.Units)
-		b = binary.BigEndian.AppendUint16(b, l.Left)
+		b = binary.BigEndian.AppendUint16(b, l.RemainingMS)
 	}
 	return b
 }
 
 // decodeCustomerTransfer reads what follows version and kind; nil: incomplete or invalid.
-func decodeHanded(b []byte) any {
-	const head = handedHead - 2
+func decodeCustomerTransfer(b []byte) any {
+	const head = transferHeaderSize - 2
 	if len(b) < head || len(b) > maxMessage {
 		return nil
 	}
 	be := binary.BigEndian
-	m := handed{Inc: be.Uint32(b), Seq: be.Uint32(b[4:]), Mark: be.Uint16(b[8:]), Plan: b[10], Customer: be.Uint64(b[11:]),
-		First: be.Uint16(b[19:]), Spread: be.Uint16(b[21:]), Store: math.Float32frombits(be.Uint32(b[23:]))}
+	m := customerTransfer{Incarnation: be.Uint32(b), Seq: be.Uint32(b[4:]), Mark: be.Uint16(b[8:]),
+		Plan: b[10], Customer: be.Uint64(b[11:]), First: be.Uint16(b[19:]), Spread: be.Uint16(b[21:]),
+		Tokens: math.Float32frombits(be.Uint32(b[23:]))}
 	n := int(be.Uint16(b[27:]))
-	if b = b[head:]; len(b) != n*handedSize || !(m.Store >= 0) || m.Spread == 0 { // rejects NaN too
+	if b = b[head:]; len(b) != n*grantSize || !(m.Tokens >= 0) || m.Spread == 0 { // rejects NaN too
 		return nil
 	}
-	for ; len(b) > 0; b = b[handedSize:] {
-		m.Grants = append(m.Grants, handedGrant{be.Uint16(b), be.Uint32(b[2:]), be.Uint16(b[6:]), be.Uint16(b[8:])})
+	for ; len(b) > 0; b = b[grantSize:] {
+		m.Grants = append(m.Grants,
+			transferredGrant{be.Uint16(b), be.Uint32(b[2:]), be.Uint16(b[6:]), be.Uint16(b[8:])})
 	}
 	return m
 }
 
 // pendingTransfer is a transfer that is not acknowledged yet.
-type part struct {
-	to    int
-	seq   uint32
-	data  []byte
-	m     *handed // nil: a monitorState
-	tries int
-	until time.Duration // if not acknowledged before
+type pendingTransfer struct {
+	to        int
+	seq       uint32
+	data      []byte
+	customer  *customerTransfer // nil: a monitorState
+	tries     int
+	nextTryAt time.Duration // if not acknowledged before
 }
 
 // transferKey identifies a received transfer.
-type handKey struct {
-	from     int
-	inc, seq uint32
+type transferKey struct {
+	from             int
+	incarnation, seq uint32
 }
 
 // onShutdown starts the transfers to deputies and second monitors.
-func (g *Gateway) onLeaving() {
-	g.leaving = true
-	for _, c := range g.ring {
-		if roots, deputy := g.roots(c); g.tree && deputy != g.set.Me && slices.Contains(roots, g.set.Me) {
-			g.handOn(c, deputy, true)
+func (g *Gateway) onShutdown() {
+	g.shuttingDown = true
+	for _, c := range g.customerList {
+		if roots, deputy := g.roots(c); g.largeFleet && deputy != g.settings.Me &&
+			slices.Contains(roots, g.settings.Me) {
+			g.transferCustomer(c, deputy, true)
 		}
 	}
-	g.handJudged(g.set.Me, 1)
-	g.handAgain()
+	g.transferMonitorStates(g.settings.Me, 1)
+	g.sendTransfers()
 }
 
 // transferCustomer queues the transfer of a customer's counts, and of its leases where
 // withGrants is set, to another gateway.
-func (g *Gateway) handOn(c *customer, to int, grants bool) {
-	if g.advance(c); c.plan.Rate == 0 && len(c.leases) == 0 || c.plan.no >= byte(len(g.tables[0].plans)) ||
-		g.tables[0].plans[c.plan.no] != c.plan.Name {
+func (g *Gateway) transferCustomer(c *customer, to int, withGrants bool) {
+	if g.advance(c); c.plan.Rate == 0 && len(c.leases) == 0 || c.plan.index >= byte(len(g.tables[0].plans)) ||
+		g.tables[0].plans[c.plan.index] != c.plan.Name {
 		return
 	}
-	m := handed{Inc: g.inc, Mark: g.tables[0].mark, Plan: c.plan.no, Customer: c.key, First: uint16(c.first),
-		Spread: uint16(c.spread), Store: float32(max(0, c.tokens))}
-	var list []handedGrant
+	m := customerTransfer{Incarnation: g.incarnation, Mark: g.tables[0].mark, Plan: c.plan.index,
+		Customer: c.key, First: uint16(c.first), Spread: uint16(c.spread), Tokens: float32(max(0, c.tokens))}
+	var list []transferredGrant
 	for l, v := range c.leases {
-		if left := (v.until - g.now).Milliseconds(); grants && left > 0 {
-			list = append(list, handedGrant{uint16(l.from), l.tag, uint16(v.r.units), uint16(min(left, math.MaxUint16))})
+		if left := (v.until - g.now).Milliseconds(); withGrants && left > 0 {
+			list = append(list, transferredGrant{uint16(l.from), l.tag, uint16(v.request.units),
+				uint16(min(left, math.MaxUint16))})
 		}
 	}
-	slices.SortFunc(list, func(a, b handedGrant) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Tag, b.Tag)) })
+	slices.SortFunc(list, func(a, b transferredGrant) int {
+		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Tag, b.Tag))
+	})
 	for {
-		n := min(len(list), (maxMessage-handedHead)/handedSize)
-		g.handSeq++
+		n := min(len(list), (maxMessage-transferHeaderSize)/grantSize)
+		g.transferSeq++
 		p := m
-		p.Seq, p.Grants, list = g.handSeq, slices.Clone(list[:n]), list[n:]
-		g.handing = append(g.handing, &part{to: to, seq: p.Seq, data: p.encode(), m: &p})
+		p.Seq, p.Grants, list = g.transferSeq, slices.Clone(list[:n]), list[n:]
+		g.pendingTransfers = append(g.pendingTransfers,
+			&pendingTransfer{to: to, seq: p.Seq, data: p.encode(), customer: &p})
 		if len(list) == 0 {
 			return
 		}
@@ -171,178 +178,189 @@
 
 // transferMonitorStates queues the state of the servers whose first monitor is the given
 // gateway. It goes to their first (0) or second (1) monitor.
-func (g *Gateway) handJudged(first, to int) {
-	for _, s := range g.fleet {
-		if w := s.watchers; !g.tree || s.State == Removed || w[0] != first || w[1-to] != g.set.Me || w[to] == g.set.Me || g.gone(w[to]) {
+func (g *Gateway) transferMonitorStates(first, to int) {
+	for _, s := range g.tracked {
+		if w := s.monitors; !g.largeFleet || s.State == Removed || w[0] != first ||
+			w[1-to] != g.settings.Me || w[to] == g.settings.Me || g.isAbsent(w[to]) {
 			continue
 		}
-		g.handSeq++
-		m := judged{Inc: g.inc, Seq: g.handSeq, Mark: g.tables[0].mark, Server: uint32(s.ID), Pace: paceByte(s.pace)}
-		for i := range s.by[:min(len(s.by), len(m.Errs))] {
-			v := &s.by[i]
-			m.Errs[i] = small(250 * v.errs)
-			if left := v.until - g.now; v.bad && left > 0 {
-				m.Bad[i] = small(math.Ceil(float64(left) / float64(judgedStep)))
+		g.transferSeq++
+		m := monitorState{Incarnation: g.incarnation, Seq: g.transferSeq, Mark: g.tables[0].mark,
+			Server: uint32(s.ID), RelativeLatency: encodeRelativeLatency(s.monitoredLatency)}
+		for i := range s.health[:min(len(s.health), len(m.FailureAverages))] {
+			h := &s.health[i]
+			m.FailureAverages[i] = toByte(250 * h.failureAverage)
+			if left := h.outOfUseUntil - g.now; h.outOfUse && left > 0 {
+				m.OutOfUseFor[i] = toByte(math.Ceil(float64(left) / float64(outOfUseStep)))
 			}
 		}
-		g.handing = append(g.handing, &part{to: s.watchers[to], seq: m.Seq, data: encode(m)})
+		g.pendingTransfers = append(g.pendingTransfers,
+			&pendingTransfer{to: s.monitors[to], seq: m.Seq, data: encode(m)})
 	}
 }
 
 // sendTransfers sends the transfers that are due, a limited number at once, since receivers
 // queue few datagrams. When none is left, a gateway that shuts down announces it.
-func (g *Gateway) handAgain() {
-	said := 0
-	g.handing = slices.DeleteFunc(g.handing, func(p *part) bool {
+func (g *Gateway) sendTransfers() {
+	sent := 0
+	g.pendingTransfers = slices.DeleteFunc(g.pendingTransfers, func(p *pendingTransfer) bool {
 		switch {
-		case g.now < p.until:
-		case p.tries == handTries:
+		case g.now < p.nextTryAt:
+		case p.tries == maxTransferTries:
 			return true
-		case said < handAtOnce:
-			said++
+		case sent < maxTransfersAtOnce:
+			sent++
 			p.tries++
-			p.until = g.now + max(minReply, time.Duration(replySpread*float64(g.reply)))
-			g.do(Tell{To: p.to, Data: p.data})
+			p.nextTryAt = g.now + max(minReplyTimeout,
+				time.Duration(replyTimeoutFactor*float64(g.meanReplyTime)))
+			g.emit(Tell{To: p.to, Data: p.data})
 		}
 		return false
 	})
 	switch {
-	case len(g.handing) > 0:
-		g.do(SetTimer{Token: "hand", After: minReply})
-	case g.leaving && !g.told:
-		g.told = true
-		g.endsAgain()
-		g.report() // includes the last units admitted here
-		g.do(Tell{To: -1, Data: encode(departure{g.inc})})
-		g.do(ShutdownDone{})
+	case len(g.pendingTransfers) > 0:
+		g.emit(SetTimer{Token: "hand", After: minReplyTimeout})
+	case g.shuttingDown && !g.shutdownAnnounced:
+		g.shutdownAnnounced = true
+		g.resendEnds()
+		g.sendReports() // includes the last units admitted here
+		g.emit(Tell{To: -1, Data: encode(shutdownMessage{g.incarnation})})
+		g.emit(ShutdownDone{})
 	}
 }
 
 // onCustomerTransfer applies a transfer once and acknowledges every copy.
-func (g *Gateway) onHanded(from int, m handed) {
-	t := g.known(m.Mark)
-	if g.leaving || !g.tree || t == nil || int(m.Plan) >= len(t.plans) || g.plans[t.plans[m.Plan]] == nil {
+func (g *Gateway) onCustomerTransfer(from int, m customerTransfer) {
+	t := g.tableByMark(m.Mark)
+	if g.shuttingDown || !g.largeFleet || t == nil || int(m.Plan) >= len(t.plans) ||
+		g.plans[t.plans[m.Plan]] == nil {
 		return
 	}
-	if !g.first(from, m.Inc, m.Seq) {
+	if !g.acknowledge(from, m.Incarnation, m.Seq) {
 		return
 	}
 	c := g.customers[m.Customer]
 	if c == nil {
-		c = g.account(m.Customer, g.plans[t.plans[m.Plan]], int(m.First), int(m.Spread))
+		c = g.newCustomer(m.Customer, g.plans[t.plans[m.Plan]], int(m.First), int(m.Spread))
 	}
-	m.Grants = slices.DeleteFunc(m.Grants, func(l handedGrant) bool {
-		return int(l.From) == g.set.Me || int(l.From) >= len(g.peers) // its own attempts count already
+	// Attempts that were granted to this gateway already count as its own.
+	m.Grants = slices.DeleteFunc(m.Grants, func(l transferredGrant) bool {
+		return int(l.From) == g.settings.Me || int(l.From) >= len(g.peers)
 	})
-	g.adopt(c, &m)
+	g.adoptCustomer(c, &m)
 }
 
 // onMonitorState applies what the other monitor of a server knew of it.
-func (g *Gateway) onJudged(from int, m judged) {
-	s := g.meet(ServerID(m.Server))
-	if g.leaving || !g.tree || s == nil || g.known(m.Mark) == nil ||
-		s.watchers != [2]int{from, g.set.Me} && s.watchers != [2]int{g.set.Me, from} {
+func (g *Gateway) onMonitorState(from int, m monitorState) {
+	s := g.track(ServerID(m.Server))
+	if g.shuttingDown || !g.largeFleet || s == nil || g.tableByMark(m.Mark) == nil ||
+		s.monitors != [2]int{from, g.settings.Me} && s.monitors != [2]int{g.settings.Me, from} {
 		return
 	}
-	if g.first(from, m.Inc, m.Seq) {
-		g.adoptJudged(s, m)
+	if g.acknowledge(from, m.Incarnation, m.Seq) {
+		g.adoptMonitorState(s, m)
 	}
 }
 
 // acknowledge acknowledges a transfer and reports whether it is to be applied, which is so
 // for its first copy only.
-func (g *Gateway) first(from int, inc, seq uint32) bool {
-	g.do(Tell{To: from, Data: encode(took{inc, seq})})
-	k := handKey{from, inc, seq}
-	if _, twice := g.adopted[k]; twice || len(g.adopted) >= maxAdopted {
+func (g *Gateway) acknowledge(from int, incarnation, seq uint32) bool {
+	g.emit(Tell{To: from, Data: encode(transferAck{incarnation, seq})})
+	k := transferKey{from, incarnation, seq}
+	if _, received := g.receivedTransfers[k]; received || len(g.receivedTransfers) >= maxReceivedTransfers {
 		return false
 	}
-	g.adopted[k] = g.now + forgetAfter
+	g.receivedTransfers[k] = g.now + forgetAfter
 	return true
 }
 
 // leaseOf returns the lease for a transferred grant, as if this gateway had granted it.
-func (g *Gateway) grantOf(c *customer, l handedGrant) leased {
-	until := g.now + time.Duration(l.Left)*time.Millisecond
-	return leased{g.leaseDue(c, until), &request{c: c, units: float64(l.Units), deadline: until, remote: true,
-		counted: true, over: true, root: int(l.From), tag: l.Tag}}
+func (g *Gateway) leaseOf(c *customer, l transferredGrant) activeLease {
+	until := g.now + time.Duration(l.RemainingMS)*time.Millisecond
+	return activeLease{g.leaseExpiry(c, until),
+		&request{customer: c, units: float64(l.Units), deadline: until, remote: true,
+			charged: true, closed: true, root: int(l.From), tag: l.Tag}}
 }
 
 // onTransferAck drops an acknowledged transfer.
-func (g *Gateway) onTook(from int, m took) {
-	if m.Inc != g.inc || len(g.handing) == 0 {
+func (g *Gateway) onTransferAck(from int, m transferAck) {
+	if m.Incarnation != g.incarnation || len(g.pendingTransfers) == 0 {
 		return
 	}
-	g.handing = slices.DeleteFunc(g.handing, func(p *part) bool { return p.to == from && p.seq == m.Seq })
-	if len(g.handing) == 0 {
-		g.handAgain()
+	g.pendingTransfers = slices.DeleteFunc(g.pendingTransfers, func(p *pendingTransfer) bool {
+		return p.to == from && p.seq == m.Seq
+	})
+	if len(g.pendingTransfers) == 0 {
+		g.sendTransfers()
 	}
 }
 
 // transferBack transfers to a gateway that is asked again its customers' counts, and the state
 // of the servers that it monitors.
-func (g *Gateway) handBack(root int) {
-	for _, c := range g.ring {
-		if c.sums && len(c.ask) > 0 && c.ask[0] == root {
-			g.handOn(c, root, false)
+func (g *Gateway) transferBack(root int) {
+	for _, c := range g.customerList {
+		if c.actsAsRoot && len(c.rootAndDeputy) > 0 && c.rootAndDeputy[0] == root {
+			g.transferCustomer(c, root, false)
 		}
 	}
-	g.handJudged(root, 0)
-	g.handAgain()
+	g.transferMonitorStates(root, 0)
+	g.sendTransfers()
 }
 
 // notifyEnd reports the end of a granted attempt to the gateway that counts it: its root, or
 // the deputy that took over from that root, which may be this gateway.
-func (g *Gateway) tellEnd(r *request, m ended) {
-	if e := (end{r.c, r.root, encode(m)}); g.sendEnd(e) {
-		g.ends = append(g.ends, e)
+func (g *Gateway) notifyEnd(r *request, m endMessage) {
+	if e := (attemptEnd{r.customer, r.root, encode(m)}); g.sendEnd(e) {
+		g.recentEnds = append(g.recentEnds, e)
 	} else {
-		g.onEnded(g.set.Me, m)
+		g.onEnd(g.settings.Me, m)
 	}
 }
 
 // attemptEnd is the end of an attempt that another gateway granted.
-type end struct {
-	c    *customer
-	root int // the gateway that granted it
-	data []byte
+type attemptEnd struct {
+	customer *customer
+	root     int // the gateway that granted it
+	data     []byte
 }
 
 // sendEnd sends an end. It is false where this gateway itself counts the attempt by now.
-func (g *Gateway) sendEnd(e end) bool {
+func (g *Gateway) sendEnd(e attemptEnd) bool {
 	to := e.root
-	if len(e.c.ask) > 0 && to == e.c.ask[0] && g.gone(to) {
-		to = e.c.ask[1]
+	if len(e.customer.rootAndDeputy) > 0 && to == e.customer.rootAndDeputy[0] && g.isAbsent(to) {
+		to = e.customer.rootAndDeputy[1]
 	}
-	if to != g.set.Me {
-		g.do(Tell{To: to, Data: e.data})
+	if to != g.settings.Me {
+		g.emit(Tell{To: to, Data: e.data})
 	}
-	return to != g.set.Me
+	return to != g.settings.Me
 }
 
 // resendEnds sends the latest ends once more, to the gateways that count them by now.
-func (g *Gateway) endsAgain() {
-	for _, e := range g.ends {
+func (g *Gateway) resendEnds() {
+	for _, e := range g.recentEnds {
 		g.sendEnd(e)
 	}
-	g.ends = nil
+	g.recentEnds = nil
 }
 
 // forwardEnd forwards an end, received while this gateway shuts down, to the gateway that
 // counts the attempt from now on. Transfers that are not acknowledged yet drop that attempt.
-func (g *Gateway) passEnd(from int, m ended) {
-	for _, p := range g.handing {
-		if p.m == nil || p.m.Customer != m.Customer {
+func (g *Gateway) forwardEnd(from int, m endMessage) {
+	for _, p := range g.pendingTransfers {
+		if p.customer == nil || p.customer.Customer != m.Customer {
 			continue
 		}
-		p.m.Grants = slices.DeleteFunc(p.m.Grants, func(l handedGrant) bool { return int(l.From) == from && l.Tag == m.Tag })
-		p.data = p.m.encode()
+		p.customer.Grants = slices.DeleteFunc(p.customer.Grants, func(l transferredGrant) bool {
+			return int(l.From) == from && l.Tag == m.Tag
+		})
+		p.data = p.customer.encode()
 	}
-	if c := g.customers[m.Customer]; g.tree && c != nil {
+	if c := g.customers[m.Customer]; g.largeFleet && c != nil {
 		_, deputy := g.roots(c)
-		e := end{c, deputy, encode(endedFor{uint16(from), m})}
+		e := attemptEnd{c, deputy, encode(forwardedEnd{uint16(from), m})}
 		if g.sendEnd(e) {
-			g.ends = append(g.ends, e)
+			g.recentEnds = append(g.recentEnds, e)
 		}
 	}
 }
@@ -351,74 +369,74 @@
 // reports count again once they come from a new process. In a large fleet, where most
 // gateways get no reports from it, all wait for the same time, so that they ask it again
 // together. Requests that it was asked for and has not granted are asked for again.
-func (g *Gateway) onDeparture(from int, m departure) {
-	g.departed[from] = g.now + departedFor
-	if p := g.peers[from]; p != nil && (!p.heard || p.inc == m.Inc) {
-		p.left = true
+func (g *Gateway) onPeerShutdown(from int, m shutdownMessage) {
+	g.absentUntil[from] = g.now + shutdownAbsence
+	if p := g.peers[from]; p != nil && (!p.hasReported || p.incarnation == m.Incarnation) {
+		p.shutDown = true
 	}
-	for _, r := range slices.Clone(g.asking) {
-		if r.root == from && !r.over && !r.granted && g.asks[r.tag] == r {
-			g.asking = slices.DeleteFunc(g.asking, func(o *request) bool { return o == r })
-			r.waits = false
-			g.ask(r)
+	for _, r := range slices.Clone(g.pendingAsks) {
+		if r.root == from && !r.closed && !r.granted && g.asksByTag[r.tag] == r {
+			g.pendingAsks = slices.DeleteFunc(g.pendingAsks, func(o *request) bool { return o == r })
+			r.heldAtRoot = false
+			g.askRoot(r)
 		}
 	}
 }
 
 // isAbsent reports whether a gateway announced its shutdown a short time ago.
-func (g *Gateway) gone(num int) bool { return g.now < g.departed[num] }
+func (g *Gateway) isAbsent(num int) bool { return g.now < g.absentUntil[num] }
 
 // endAbsences drops what has expired, and transfers counts and states back to the gateways
 // that are asked again from now on.
-func (g *Gateway) keepTime() {
-	for _, num := range slices.Sorted(maps.Keys(g.departed)) { // sorted: equal seeds give equal actions
-		if g.now >= g.departed[num] {
-			delete(g.departed, num)
-			g.handBack(num)
+func (g *Gateway) endAbsences() {
+	for _, num := range slices.Sorted(maps.Keys(g.absentUntil)) { // sorted: equal seeds give equal actions
+		if g.now >= g.absentUntil[num] {
+			delete(g.absentUntil, num)
+			g.transferBack(num)
 		}
 	}
-	for k, until := range g.adopted {
+	for k, until := range g.receivedTransfers {
 		if g.now >= until {
-			delete(g.adopted, k)
+			delete(g.receivedTransfers, k)
 		}
 	}
 }
 
 // onNewerMessage handles the messages that older programs don't know.
-func (g *Gateway) onFleet(from int, m any) {
+func (g *Gateway) onNewerMessage(from int, m any) {
 	switch m := m.(type) {
-	case markedSight:
-		g.onSight(m.Sight, g.place(m.Sight.Class, true, m.Mark))
+	case markedObservation:
+		g.onObservation(m.Observation, g.localClass(m.Observation.Class, true, m.Mark))
 	case markedVerdict:
-		g.onVerdict(m.Verdict, g.placeMask(m.Verdict.Bad, true, m.Mark))
-	case tables:
-		g.onTables(from, m)
-	case departure:
-		g.onDeparture(from, m)
-	case handed:
-		g.onHanded(from, m)
-	case judged:
-		g.onJudged(from, m)
-	case endedFor:
-		g.onEnded(int(m.From), m.End)
-	case stillOut:
-		a := ask(m)
-		if plan, _ := g.meant(from, &a); plan != nil && a.Spread > 0 {
-			g.onStill(from, a, plan)
+		g.onVerdict(m.Verdict, g.localClassMask(m.Verdict.OutOfUse, true, m.Mark))
+	case tablesMessage:
+		g.onTablesMessage(from, m)
+	case shutdownMessage:
+		g.onPeerShutdown(from, m)
+	case customerTransfer:
+		g.onCustomerTransfer(from, m)
+	case monitorState:
+		g.onMonitorState(from, m)
+	case forwardedEnd:
+		g.onEnd(int(m.From), m.End)
+	case stillInFlight:
+		a := askMessage(m)
+		if plan, _ := g.resolveAsk(from, &a); plan != nil && a.Spread > 0 {
+			g.onStillInFlight(from, a, plan)
 		}
-	case took:
-		g.onTook(from, m)
+	case transferAck:
+		g.onTransferAck(from, m)
 	}
 }
 
 // adoptCustomer takes over a root's counts. It may lower the token bucket here, but never
 // raises it.
-func (g *Gateway) adopt(c *customer, m *handed) {
+func (g *Gateway) adoptCustomer(c *customer, m *customerTransfer) {
 	g.advance(c)
-	c.tokens, c.sums, c.seen = min(c.tokens, float64(m.Store)), true, g.now
+	c.tokens, c.actsAsRoot, c.lastRequestAt = min(c.tokens, float64(m.Tokens)), true, g.now
 	for _, l := range m.Grants {
 		n := len(c.leases)
-		c.leases[lease{int(l.From), l.Tag}] = g.grantOf(c, l)
-		c.count(g.now, len(c.leases)-n)
+		c.leases[leaseKey{int(l.From), l.Tag}] = g.leaseOf(c, l)
+		c.addInFlight(g.now, len(c.leases)-n)
 	}
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestHandedRoundTrip(t *testing.T) {
-	m := handed{Inc: 1, Seq: 2, Mark: 3, Plan: 4, Customer: 5, First: 6, Spread: 7, Store: 8.5,
-		Grants: []handedGrant{{9, 10, 11, 12}, {13, 14, 15, 16}}}
+	m := customerTransfer{Incarnation: 1, Seq: 2, Mark: 3, Plan: 4, Customer: 5, First: 6, Spread: 7, Tokens: 8.5,
+		Grants: []transferredGrant{{9, 10, 11, 12}, {13, 14, 15, 16}}}
 	b := m.encode()
 	if got := decode(b); !reflect.DeepEqual(got, m) {
 		t.Errorf("%+v", got)
@@ -23,12 +23,12 @@
 			t.Errorf("%d bytes pass as %+v", n, got)
 		}
 	}
-	m.Store = float32(math.NaN())
+	m.Tokens = float32(math.NaN())
 	if decode(m.encode()) != nil {
 		t.Error("a store that is no number passed")
 	}
-	m.Store, m.Grants = 1, make([]handedGrant, (maxMessage-handedHead)/handedSize)
-	if n := len(m.encode()); n > maxMessage || n+handedSize <= maxMessage {
+	m.Tokens, m.Grants = 1, make([]transferredGrant, (maxMessage-transferHeaderSize)/grantSize)
+	if n := len(m.encode()); n > maxMessage || n+grantSize <= maxMessage {
 		t.Errorf("%d bytes when full", n)
 	}
 }
@@ -53,7 +53,7 @@
 	r.leaver = -1
 	for i := 0; len(r.customers) < 30; i++ {
 		name := fmt.Sprint("k", seed, "-", i)
-		roots, deputy := r.gs[0].roots(&customer{key: keyOf(name), plan: r.gs[0].plans["both"], spread: 60})
+		roots, deputy := r.gs[0].roots(&customer{key: customerKey(name), plan: r.gs[0].plans["both"], spread: 60})
 		if r.leaver < 0 {
 			r.leaver = roots[0]
 		}
@@ -96,8 +96,8 @@
 // right counts the customers whose deputy has their counts as the root had them.
 func (r *relay) right() (n int) {
 	for _, name := range r.customers {
-		was, c := r.gs[r.leaver].customers[keyOf(name)], r.gs[r.deputy[name]].customers[keyOf(name)]
-		if c != nil && c.out == was.out && c.tokens <= was.tokens+1 {
+		was, c := r.gs[r.leaver].customers[customerKey(name)], r.gs[r.deputy[name]].customers[customerKey(name)]
+		if c != nil && c.inFlight == was.inFlight && c.tokens <= was.tokens+1 {
 			n++
 		}
 	}
@@ -110,7 +110,7 @@
 	for seed := range uint64(10) {
 		r := newRelay(t, seed, 0)
 		for _, name := range r.customers {
-			if c := r.gs[r.leaver].customers[keyOf(name)]; c == nil || c.out != 1 {
+			if c := r.gs[r.leaver].customers[customerKey(name)]; c == nil || c.inFlight != 1 {
 				t.Fatalf("seed %d: %s at its root: %+v", seed, name, c)
 			}
 		}
@@ -134,8 +134,8 @@
 			}
 		}
 		r.pass(400*ms, nil)
-		if c := r.gs[r.deputy[name]].customers[keyOf(name)]; c.out-len(c.held) > 2 || c.out == 2 && len(r.sends) < before+3 {
-			t.Errorf("seed %d: %d out after the ends were told", seed, c.out)
+		if c := r.gs[r.deputy[name]].customers[customerKey(name)]; c.inFlight-len(c.held) > 2 || c.inFlight == 2 && len(r.sends) < before+3 {
+			t.Errorf("seed %d: %d out after the ends were told", seed, c.inFlight)
 		}
 	}
 }
@@ -158,23 +158,23 @@
 		total := map[string]float64{}
 		outs := map[string]int{}
 		for _, name := range r.customers {
-			c := r.gs[r.leaver].customers[keyOf(name)]
+			c := r.gs[r.leaver].customers[customerKey(name)]
 			r.gs[r.leaver].advance(c)
-			total[name], outs[name] = c.tokens, c.out
+			total[name], outs[name] = c.tokens, c.inFlight
 		}
 		at := r.now
 		r.leave(true)
 		check := func(when string) {
 			for _, name := range r.customers {
-				c := r.gs[r.deputy[name]].customers[keyOf(name)]
+				c := r.gs[r.deputy[name]].customers[customerKey(name)]
 				if c == nil {
 					continue
 				}
-				if most := total[name] + 10*(r.now-at).Seconds() + 0.1; c.sums && len(c.leases) > 0 && c.tokens > most {
+				if most := total[name] + 10*(r.now-at).Seconds() + 0.1; c.actsAsRoot && len(c.leases) > 0 && c.tokens > most {
 					t.Fatalf("seed %d, %s: a store of %.1f, the root had %.1f", seed, when, c.tokens, total[name])
 				}
-				if c.out != len(c.leases) || c.out > outs[name] {
-					t.Fatalf("seed %d, %s: %d out, %d leases, the root counted %d", seed, when, c.out, len(c.leases), outs[name])
+				if c.inFlight != len(c.leases) || c.inFlight > outs[name] {
+					t.Fatalf("seed %d, %s: %d out, %d leases, the root counted %d", seed, when, c.inFlight, len(c.leases), outs[name])
 				}
 			}
 		}
@@ -183,8 +183,8 @@
 		check("later")
 		r.pass(2500*ms, nil) // their clients have given up
 		for _, name := range r.customers {
-			if c := r.gs[r.deputy[name]].customers[keyOf(name)]; c != nil && c.out > 0 {
-				t.Fatalf("seed %d: %d out though no client waits", seed, c.out)
+			if c := r.gs[r.deputy[name]].customers[customerKey(name)]; c != nil && c.inFlight > 0 {
+				t.Fatalf("seed %d: %d out though no client waits", seed, c.inFlight)
 			}
 		}
 	}
@@ -206,7 +206,7 @@
 		}
 		r.pass(500*ms, nil)
 		for _, name := range r.customers {
-			if c := r.gs[r.deputy[name]].customers[keyOf(name)]; c != nil {
+			if c := r.gs[r.deputy[name]].customers[customerKey(name)]; c != nil {
 				phantoms += len(c.leases)
 			}
 			all++
@@ -219,8 +219,8 @@
 
 // all returns the state of all servers in the list, made where there is none.
 func (g *Gateway) all() (list []*server) {
-	for _, id := range slices.Sorted(maps.Keys(g.list.lines)) {
-		list = append(list, g.meet(id))
+	for _, id := range slices.Sorted(maps.Keys(g.allServers.entryByID)) {
+		list = append(list, g.track(id))
 	}
 	return list
 }
@@ -228,14 +228,14 @@
 // judged brings a server that fails a class to its watcher's notice, short of a
 // verdict for another class, and slow.
 func (r *relay) judged(t testing.TB) []*server {
-	list := slices.DeleteFunc(r.gs[r.leaver].all(), func(s *server) bool { return s.watchers[0] != r.leaver })
+	list := slices.DeleteFunc(r.gs[r.leaver].all(), func(s *server) bool { return s.monitors[0] != r.leaver })
 	if len(list) == 0 {
 		t.Fatal("the leaver watches no server")
 	}
 	for _, s := range list {
 		for range 12 {
 			for class, code := range []Code{Error, OK} {
-				r.do(r.leaver, PeerMessage{From: s.watchers[1], Data: encode(sight{Server: uint32(s.ID), Class: byte(class), Code: byte(code),
+				r.do(r.leaver, PeerMessage{From: s.monitors[1], Data: encode(observation{Server: uint32(s.ID), Class: byte(class), Code: byte(code),
 					Latency: 400})})
 			}
 		}
@@ -246,9 +246,9 @@
 // heirs counts the servers whose second watcher judges them as the first did.
 func (r *relay) heirs(list []*server) (n int) {
 	for _, s := range list {
-		heir := r.gs[s.watchers[1]].meet(s.ID)
-		if math.Abs(heir.by[0].errs-s.by[0].errs) < 0.05 && math.Abs(heir.by[1].errs-s.by[1].errs) < 0.05 &&
-			math.Abs(math.Log2(heir.pace/s.pace)) < 0.2 {
+		heir := r.gs[s.monitors[1]].track(s.ID)
+		if math.Abs(heir.health[0].failureAverage-s.health[0].failureAverage) < 0.05 && math.Abs(heir.health[1].failureAverage-s.health[1].failureAverage) < 0.05 &&
+			math.Abs(math.Log2(heir.monitoredLatency/s.monitoredLatency)) < 0.2 {
 			n++
 		}
 	}
@@ -262,15 +262,15 @@
 	var parts, lost [3]int // by how much is lost: of a part all that is said of it may be
 	for seed := range uint64(20) {
 		r := newRelay(t, seed, float64(seed%3)*0.2)
-		list, came := r.judged(t), map[ServerID]judged{}
+		list, came := r.judged(t), map[ServerID]monitorState{}
 		r.kept = func(from, to int, data []byte) {
-			if m, ok := decode(data).(judged); ok && from == r.leaver {
+			if m, ok := decode(data).(monitorState); ok && from == r.leaver {
 				came[ServerID(m.Server)] = m
 			}
 		}
 		knew := map[ServerID][2]float64{}
 		for _, s := range list {
-			knew[s.ID] = [2]float64{s.by[0].errs, s.by[1].errs}
+			knew[s.ID] = [2]float64{s.health[0].failureAverage, s.health[1].failureAverage}
 		}
 		r.leave(true)
 		r.kept = nil
@@ -278,25 +278,25 @@
 		lost[seed%3] += len(list) - len(came)
 		for _, s := range list { // as the first did when it began to leave: it learns on for a moment
 			m, told := came[s.ID]
-			heir := r.gs[s.watchers[1]].meet(s.ID)
-			if told && (math.Abs(heir.by[0].errs-knew[s.ID][0]) > 0.05 || math.Abs(heir.by[1].errs-knew[s.ID][1]) > 0.05 ||
-				math.Abs(math.Log2(heir.pace/paceOf(m.Pace))) > 0.2) {
-				t.Fatalf("seed %d: server %d judged by %+v, pace %v, after %v, %+v", seed, s.ID, heir.by, heir.pace, knew[s.ID], m)
+			heir := r.gs[s.monitors[1]].track(s.ID)
+			if told && (math.Abs(heir.health[0].failureAverage-knew[s.ID][0]) > 0.05 || math.Abs(heir.health[1].failureAverage-knew[s.ID][1]) > 0.05 ||
+				math.Abs(math.Log2(heir.monitoredLatency/decodeRelativeLatency(m.RelativeLatency))) > 0.2) {
+				t.Fatalf("seed %d: server %d judged by %+v, pace %v, after %v, %+v", seed, s.ID, heir.health, heir.monitoredLatency, knew[s.ID], m)
 			}
 		}
 		was, s := r.gs[r.leaver], list[0]
-		heir := r.gs[s.watchers[1]]
-		if by := heir.meet(s.ID).by[0]; !by.bad && came[s.ID].Server != 0 || by.until > s.by[0].until+judgedStep+300*ms {
-			t.Errorf("seed %d: out of use until %v, for the first watcher until %v", seed, by.until, s.by[0].until)
+		heir := r.gs[s.monitors[1]]
+		if by := heir.track(s.ID).health[0]; !by.outOfUse && came[s.ID].Server != 0 || by.outOfUseUntil > s.health[0].outOfUseUntil+outOfUseStep+300*ms {
+			t.Errorf("seed %d: out of use until %v, for the first watcher until %v", seed, by.outOfUseUntil, s.health[0].outOfUseUntil)
 		}
 		r.lose = func(int, int) bool { return false }
 		r.pass(100*ms, nil)
-		member := r.gs[(s.watchers[1]+1)%60]
+		member := r.gs[(s.monitors[1]+1)%60]
 		member.now = r.now
-		if member.gone(r.leaver) { // the word may be lost
-			member.acts = nil
-			member.sight(member.meet(s.ID), member.classes["safe"], Error, 0)
-			if tells := of[Tell](member.acts); len(tells) != 1 || tells[0].To != s.watchers[1] {
+		if member.isAbsent(r.leaver) { // the word may be lost
+			member.actions = nil
+			member.notifyMonitors(member.track(s.ID), member.classes["safe"], Error, 0)
+			if tells := of[Tell](member.actions); len(tells) != 1 || tells[0].To != s.monitors[1] {
 				t.Errorf("seed %d: outcomes are told to %v", seed, tells)
 			}
 		}
@@ -304,14 +304,14 @@
 		set.Me, set.Gateways = r.leaver, 60
 		r.gs[r.leaver], _ = New(set, 99)
 		r.do(r.leaver, Members{Kind: Remembered, Servers: fleet(200)})
-		r.pass(departedFor+300*ms, nil)
+		r.pass(shutdownAbsence+300*ms, nil)
 		for _, s := range list {
-			back, heir := r.gs[r.leaver].meet(s.ID), r.gs[s.watchers[1]]
-			if _, pending := heir.departed[r.leaver]; pending || seed%3 > 0 {
+			back, heir := r.gs[r.leaver].track(s.ID), r.gs[s.monitors[1]]
+			if _, pending := heir.absentUntil[r.leaver]; pending || seed%3 > 0 {
 				continue // neither the part nor the word of the end may have come
 			}
-			if back.by[0].errs < 0.5*was.meet(s.ID).by[0].errs {
-				t.Errorf("seed %d: %.2f back of %.2f", seed, back.by[0].errs, was.meet(s.ID).by[0].errs)
+			if back.health[0].failureAverage < 0.5*was.track(s.ID).health[0].failureAverage {
+				t.Errorf("seed %d: %.2f back of %.2f", seed, back.health[0].failureAverage, was.track(s.ID).health[0].failureAverage)
 			}
 		}
 	}
@@ -338,11 +338,11 @@
 		r.request(r.member[name], RequestID(3000+i), name, "both", "safe", 60)
 		r.pass(200*ms, nil)
 	}
-	c := r.gs[r.deputy[name]].customers[keyOf(name)]
+	c := r.gs[r.deputy[name]].customers[customerKey(name)]
 	r.gs[r.deputy[name]].advance(c)
 	c.tokens = 3
-	r.pass(departedFor-1600*ms+300*ms, nil)
-	back := r.gs[r.leaver].customers[keyOf(name)]
+	r.pass(shutdownAbsence-1600*ms+300*ms, nil)
+	back := r.gs[r.leaver].customers[customerKey(name)]
 	if back == nil || back.tokens > 3+10*0.7 { // filled since; one that knew nothing has more
 		t.Fatalf("%+v", back)
 	}
@@ -358,8 +358,8 @@
 	r.lose = func(from, to int) bool { return from == r.leaver }
 	r.told = 0
 	r.cluster.leave(r.leaver)
-	if g := r.gs[r.leaver]; len(g.handing) > 0 || r.now > 30*time.Second {
-		t.Errorf("told %v, %d parts left", g.told, len(g.handing))
+	if g := r.gs[r.leaver]; len(g.pendingTransfers) > 0 || r.now > 30*time.Second {
+		t.Errorf("told %v, %d parts left", g.shutdownAnnounced, len(g.pendingTransfers))
 	}
 }
 
@@ -400,7 +400,7 @@
 				id++
 				k := rng.IntN(1000)
 				from := (k*7 + rng.IntN(4)) % 300
-				if w.gs[from] == nil || w.gs[from].leaving {
+				if w.gs[from] == nil || w.gs[from].shuttingDown {
 					continue
 				}
 				w.do(from, Request{ID: id, Customer: fmt.Sprint(k), Plan: []string{"rate", "both"}[k%2], Class: "once", Units: 1,
@@ -445,13 +445,13 @@
 		t.Fatal("not granted")
 	}
 	r.leave(true)
-	c := r.gs[d].customers[keyOf(name)]
-	if c.out != 2 || len(c.leases) != 1 { // its own attempt, and another's
-		t.Fatalf("%d out, %d leases", c.out, len(c.leases))
+	c := r.gs[d].customers[customerKey(name)]
+	if c.inFlight != 2 || len(c.leases) != 1 { // its own attempt, and another's
+		t.Fatalf("%d out, %d leases", c.inFlight, len(c.leases))
 	}
 	r.do(d, Outcome{ID: 5000, Server: r.sends[len(r.sends)-1].Server, Code: OK, Latency: 50 * ms, Over: true})
-	if c.out != 1 || len(c.leases) != 1 {
-		t.Errorf("%d out, %d leases after the end of its own attempt", c.out, len(c.leases))
+	if c.inFlight != 1 || len(c.leases) != 1 {
+		t.Errorf("%d out, %d leases after the end of its own attempt", c.inFlight, len(c.leases))
 	}
 }
 
@@ -495,21 +495,21 @@
 // verdictGap plays one end of a watcher; a gap below 0: nobody succeeds it.
 func verdictGap(b *testing.B, seed uint64, told, back bool, gap func(*rand.Rand) time.Duration) (millis float64) {
 	r := newRelay(b, seed, 0)
-	list := slices.DeleteFunc(slices.Clone(r.gs[r.leaver].fleet), func(s *server) bool { return s.watchers[0] != r.leaver })
+	list := slices.DeleteFunc(slices.Clone(r.gs[r.leaver].tracked), func(s *server) bool { return s.monitors[0] != r.leaver })
 	id, empty := list[0].ID, gap(r.rng)
 	r.leave(told)
 	at, heir, returned := r.now, (r.leaver+1)%60, !back
 	if empty >= 0 { // the duty is a lease: only its holder counts
 		for i := range r.gs {
-			r.gs[i].meet(id).watchers = [2]int{r.leaver, r.leaver}
+			r.gs[i].track(id).monitors = [2]int{r.leaver, r.leaver}
 		}
 	}
 	for r.now < at+30*time.Second {
 		r.pass(10*ms, func(time.Duration) {
-			if m := r.gs[r.rng.IntN(60)]; r.rng.IntN(5) == 0 && m.set.Me != r.leaver {
-				m.now, m.acts = r.now, nil
-				m.sight(m.meet(id), m.classes["safe"], Error, 5*ms)
-				r.carry(m.set.Me, m.acts)
+			if m := r.gs[r.rng.IntN(60)]; r.rng.IntN(5) == 0 && m.settings.Me != r.leaver {
+				m.now, m.actions = r.now, nil
+				m.notifyMonitors(m.track(id), m.classes["safe"], Error, 5*ms)
+				r.carry(m.settings.Me, m.actions)
 			}
 		})
 		if !returned && r.now >= at+time.Second {
@@ -519,18 +519,18 @@
 			r.lose = func(int, int) bool { return false }
 			r.do(r.leaver, Members{Kind: Remembered, Servers: fleet(200)})
 			if returned = true; empty >= 0 {
-				r.gs[r.leaver].meet(id).watchers = [2]int{heir, heir} // a new process holds no lease
+				r.gs[r.leaver].track(id).monitors = [2]int{heir, heir} // a new process holds no lease
 			}
 		}
 		if empty >= 0 && r.now >= at+empty {
 			for i := range r.gs {
-				r.gs[i].meet(id).watchers = [2]int{heir, heir}
+				r.gs[i].track(id).monitors = [2]int{heir, heir}
 			}
 			empty = time.Hour
 		}
 		know := 0
 		for _, g := range r.gs {
-			if g.meet(id).by[0].bad {
+			if g.track(id).health[0].outOfUse {
 				know++
 			}
 		}
--- a/policy/isolated_test.go
+++ b/policy/isolated_test.go
@@ -46,7 +46,7 @@
 			isolated := g.isolated()
 			w.do(from, r)
 			passed := len(w.sends) > sent
-			if c := g.customers[keyOf(r.Customer)]; !isolated || c != nil && len(c.ask) == 0 {
+			if c := g.customers[customerKey(r.Customer)]; !isolated || c != nil && len(c.rootAndDeputy) == 0 {
 				continue // it hears, or counts the customer itself
 			}
 			if !passed && w.final == final {
@@ -68,7 +68,7 @@
 	}
 	w.pass(8*time.Second, step)
 	for _, g := range w.gs {
-		s.most += g.maxCredit() + g.lets*silence.Seconds()/letSpan.Seconds()
+		s.most += g.maxCredit() + g.recentGrants*silence.Seconds()/grantDecayTime.Seconds()
 	}
 	lost = true
 	w.pass(silence, func(now time.Duration) {
@@ -110,7 +110,7 @@
 	// The bound is seen to be broken where it is.
 	s := isolate(t, 1, func(w *cluster) {
 		for _, g := range w.gs {
-			g.credit = 2 * g.maxCredit()
+			g.isolationCredit = 2 * g.maxCredit()
 		}
 	})
 	if float64(s.alone) <= s.most {
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -108,7 +108,7 @@
 func (c *cluster) leave(i int) {
 	c.do(i, Shutdown{})
 	for range 300 {
-		if c.gs[i].told {
+		if c.gs[i].shutdownAnnounced {
 			return
 		}
 		c.pass(10*ms, nil)
@@ -132,11 +132,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if told := float64(n-1) / g.tick.Seconds(); !g.tree && told > 1.001*reportShare*s.DatagramsPerSecond {
+		if told := float64(n-1) / g.tick.Seconds(); !g.largeFleet && told > 1.001*reportBudgetShare*s.DatagramsPerSecond {
 			t.Errorf("%d gateways: %.0f reports a second to each", n, told)
 		}
-		if tree := n > 13; g.tree != tree {
-			t.Errorf("%d gateways: roots %v", n, g.tree)
+		if tree := n > 13; g.largeFleet != tree {
+			t.Errorf("%d gateways: roots %v", n, g.largeFleet)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 // for it.
 func TestDeputyStepsIn(t *testing.T) {
 	w := newCluster(t, 100, fleet(20))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
+	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	w.lose = func(from, to int) bool { return to == roots[0] || from == roots[0] }
 	asked := 0
@@ -204,8 +204,8 @@
 	servers[0].HasStart, servers[0].Start = true, 10*time.Second
 	w := newCluster(t, 300, servers)
 	for _, g := range w.gs { // the warm ones are all slow
-		for _, s := range g.fleet[1:] {
-			s.slow = maxPace
+		for _, s := range g.tracked[1:] {
+			s.relativeLatency = maxRelativeLatency
 		}
 	}
 	id := 0
@@ -232,17 +232,17 @@
 // classes still go there.
 func TestWatcherTellsOfOneClass(t *testing.T) {
 	w := newCluster(t, 100, fleet(10))
-	s := w.gs[0].servers[3]
+	s := w.gs[0].trackedByID[3]
 	id := 0
 	for range 6 {
 		for i := range 12 {
-			from := (s.watchers[0] + 1 + i) % 100
-			w.do(from, PeerMessage{From: s.watchers[0], Data: []byte{shortVersion}}) // foreign: nothing
+			from := (s.monitors[0] + 1 + i) % 100
+			w.do(from, PeerMessage{From: s.monitors[0], Data: []byte{shortVersion}}) // foreign: nothing
 			g := w.gs[from]
-			w.do(s.watchers[0], PeerMessage{From: from,
-				Data: encode(sight{uint32(s.ID), byte(g.classes["safe"].no), byte(Error), 5})})
-			w.do(s.watchers[0], PeerMessage{From: from,
-				Data: encode(sight{uint32(s.ID), byte(g.classes["once"].no), byte(OK), 80})})
+			w.do(s.monitors[0], PeerMessage{From: from,
+				Data: encode(observation{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5})})
+			w.do(s.monitors[0], PeerMessage{From: from,
+				Data: encode(observation{uint32(s.ID), byte(g.classes["once"].index), byte(OK), 80})})
 		}
 	}
 	w.pass(100*ms, nil)
@@ -250,7 +250,7 @@
 	for _, class := range []string{"safe", "once"} {
 		before := len(w.sends)
 		for i := range w.gs {
-			if i != s.watchers[0] {
+			if i != s.monitors[0] {
 				for range 4 {
 					id++
 					w.request(i, RequestID(id), "k", "free", class, 100)
@@ -272,21 +272,21 @@
 // to a second.
 func TestSecondWatcherTellsOfUnreachable(t *testing.T) {
 	w := newCluster(t, 100, fleet(10))
-	s := w.gs[0].servers[3]
-	w.lose = func(from, to int) bool { return from == s.watchers[0] || to == s.watchers[0] }
+	s := w.gs[0].trackedByID[3]
+	w.lose = func(from, to int) bool { return from == s.monitors[0] || to == s.monitors[0] }
 	cl := w.gs[70].classes["safe"]
 	for range 6 {
-		w.gs[70].now, w.gs[70].acts = w.now, nil
-		w.gs[70].sight(w.gs[70].servers[3], cl, ConnectFailed, 250*ms)
-		acts := w.gs[70].acts
+		w.gs[70].now, w.gs[70].actions = w.now, nil
+		w.gs[70].notifyMonitors(w.gs[70].trackedByID[3], cl, ConnectFailed, 250*ms)
+		acts := w.gs[70].actions
 		for _, a := range of[Tell](acts) {
-			if a.To == s.watchers[1] {
+			if a.To == s.monitors[1] {
 				w.do(a.To, PeerMessage{From: 70, Data: a.Data})
 			}
 		}
 	}
 	w.pass(100*ms, nil)
-	if v := w.gs[20].record(w.gs[20].servers[3], cl); !v.bad {
+	if v := w.gs[20].healthOf(w.gs[20].trackedByID[3], cl); !v.outOfUse {
 		t.Error("a gateway far off has not heard of it")
 	}
 }
@@ -295,13 +295,13 @@
 // may be lost.
 func TestRepeatedAskCountsOnce(t *testing.T) {
 	w := newCluster(t, 100, fleet(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
+	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, _ := w.gs[0].roots(c)
-	m := encode(ask{Customer: keyOf("k"), Spread: 50, Plan: 1, Units: 4, Left: 2000, Tag: 9, Thin: 250, Fill: unknownTokens})
+	m := encode(askMessage{Customer: customerKey("k"), Spread: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, TokenFill: unknownTokens})
 	for range 3 {
 		w.do(roots[0], PeerMessage{From: 99, Data: m})
 	}
-	if got := w.gs[roots[0]].customers[keyOf("k")].passed; got != 4 || w.told != 3 {
+	if got := w.gs[roots[0]].customers[customerKey("k")].admittedUnits; got != 4 || w.told != 3 {
 		t.Errorf("%d units counted, %d answers", got, w.told)
 	}
 }
@@ -310,21 +310,21 @@
 // request held there nor a grant on its way may keep a place under the cap.
 func TestGivenUpRequestFreesItsPlace(t *testing.T) {
 	w := newCluster(t, 100, fleet(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
+	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["open"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	i := 0
 	for i == roots[0] || i == deputy {
 		i++
 	}
-	m := ask{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, Left: 5000, Thin: 250, Fill: unknownTokens}
+	m := askMessage{Customer: customerKey("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 5000, AskChance: 250, TokenFill: unknownTokens}
 	for m.Tag = range uint32(2) {
 		w.do(roots[0], PeerMessage{From: 99, Data: encode(m)})
 	}
-	root := w.gs[roots[0]].customers[keyOf("k")]
+	root := w.gs[roots[0]].customers[customerKey("k")]
 	w.request(i, 1, "k", "open", "safe", 50)
 	w.pass(100*ms, nil)
-	if root.out != 2 || len(root.held) != 1 {
-		t.Fatalf("%d out, %d held", root.out, len(root.held))
+	if root.inFlight != 2 || len(root.held) != 1 {
+		t.Fatalf("%d out, %d held", root.inFlight, len(root.held))
 	}
 	w.do(i, Gone{ID: 1})
 	w.pass(100*ms, nil)
@@ -334,14 +334,14 @@
 
 	w.request(i, 2, "k", "open", "safe", 50)
 	w.pass(100*ms, nil)
-	w.do(roots[0], PeerMessage{From: 99, Data: encode(ended{Customer: keyOf("k"), Tag: 0})})
-	if root.out != 2 || len(root.held) != 0 {
-		t.Fatalf("%d out, %d held: not granted", root.out, len(root.held))
+	w.do(roots[0], PeerMessage{From: 99, Data: encode(endMessage{Customer: customerKey("k"), Tag: 0})})
+	if root.inFlight != 2 || len(root.held) != 0 {
+		t.Fatalf("%d out, %d held: not granted", root.inFlight, len(root.held))
 	}
 	w.do(i, Gone{ID: 2}) // the grant is on its way
 	w.pass(100*ms, nil)
-	if root.out != 1 {
-		t.Errorf("%d out: a grant that nobody took keeps its place", root.out)
+	if root.inFlight != 1 {
+		t.Errorf("%d out: a grant that nobody took keeps its place", root.inFlight)
 	}
 }
 
@@ -349,13 +349,13 @@
 // member would turn to the deputy, which knows of no attempt under the cap.
 func TestLostWordOfWaitingIsSaidAgain(t *testing.T) {
 	w := newCluster(t, 100, fleet(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
+	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["open"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	i := 0
 	for i == roots[0] || i == deputy {
 		i++
 	}
-	m := ask{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1, Left: 5000, Thin: 250, Fill: unknownTokens}
+	m := askMessage{Customer: customerKey("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 5000, AskChance: 250, TokenFill: unknownTokens}
 	for m.Tag = range uint32(2) {
 		w.do(roots[0], PeerMessage{From: 99, Data: encode(m)})
 	}
@@ -376,35 +376,35 @@
 // longer than leaseTicks. A root that starts anew learns of it within two ticks.
 func TestGrantCountsUntilItsEnd(t *testing.T) {
 	w := newCluster(t, 100, fleet(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["open"], 0, 50)
+	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["open"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	i := 0
 	for i == roots[0] || i == deputy {
 		i++
 	}
-	w.do(roots[0], PeerMessage{From: 99, Data: encode(ask{Customer: keyOf("k"), Spread: 50, Plan: 2, Units: 1,
-		Left: 2000, Thin: 250, Fill: unknownTokens})})
-	root := w.gs[roots[0]].customers[keyOf("k")]
+	w.do(roots[0], PeerMessage{From: 99, Data: encode(askMessage{Customer: customerKey("k"), Spread: 50, Plan: 2, Units: 1,
+		RemainingMS: 2000, AskChance: 250, TokenFill: unknownTokens})})
+	root := w.gs[roots[0]].customers[customerKey("k")]
 	w.pass(500*ms, nil)
-	if root.out != 1 {
-		t.Errorf("%d out, one was granted", root.out)
+	if root.inFlight != 1 {
+		t.Errorf("%d out, one was granted", root.inFlight)
 	}
 	w.pass(500*ms, nil) // that member says no more of it
-	if root.out != 0 {
-		t.Errorf("%d out of which nothing was heard", root.out)
+	if root.inFlight != 0 {
+		t.Errorf("%d out of which nothing was heard", root.inFlight)
 	}
 	w.over = 1 << 30 // attempts last
 	w.request(i, 9, "k", "open", "once", 50)
 	w.pass(1500*ms, nil) // the aim is 800 ms
-	if root.out != 1 {
-		t.Errorf("%d out for a client that waits", root.out)
+	if root.inFlight != 1 {
+		t.Errorf("%d out for a client that waits", root.inFlight)
 	}
 	set := base()
 	set.Me, set.Gateways = roots[0], 100
 	w.gs[roots[0]], _ = New(set, 99)
 	w.do(roots[0], Members{Kind: Remembered, Servers: fleet(10)})
 	w.pass(500*ms, nil)
-	if root = w.gs[roots[0]].customers[keyOf("k")]; root == nil || root.out != 1 {
+	if root = w.gs[roots[0]].customers[customerKey("k")]; root == nil || root.inFlight != 1 {
 		t.Fatalf("a root that starts anew does not know of the attempt out: %+v", root)
 	}
 	w.do(i, Outcome{ID: 9, Server: w.sends[len(w.sends)-1].Server, Code: OK, Over: true})
@@ -420,8 +420,8 @@
 		return from == i && to == roots[0] && lost == 1
 	}
 	w.pass(time.Second, nil) // the client of the first has given up by then
-	if lost != 2 || root.out != 0 {
-		t.Errorf("told %d times of the end, %d out", lost, root.out)
+	if lost != 2 || root.inFlight != 0 {
+		t.Errorf("told %d times of the end, %d out", lost, root.inFlight)
 	}
 }
 
@@ -455,15 +455,15 @@
 	servers := fleet(20)
 	servers[0].HasStart, servers[0].Start = true, 10*time.Second
 	w := newCluster(t, 100, servers)
-	watcher := w.gs[0].servers[1].watchers[0]
+	watcher := w.gs[0].trackedByID[1].monitors[0]
 	g := w.gs[watcher]
-	s := g.servers[1]
+	s := g.trackedByID[1]
 	for range 200 {
-		latency := g.classes["safe"].mean / g.warmUpFraction(s) * 1000
-		w.do(watcher, PeerMessage{From: (watcher + 1) % 100, Data: encode(sight{Server: 1, Latency: uint16(latency)})})
+		latency := g.classes["safe"].meanLatency / g.warmUpFraction(s) * 1000
+		w.do(watcher, PeerMessage{From: (watcher + 1) % 100, Data: encode(observation{Server: 1, Latency: uint16(latency)})})
 	}
-	if s.pace < 0.9 || s.pace > 1.1 {
-		t.Errorf("taken to be %.1f times as slow as the rest", s.pace)
+	if s.monitoredLatency < 0.9 || s.monitoredLatency > 1.1 {
+		t.Errorf("taken to be %.1f times as slow as the rest", s.monitoredLatency)
 	}
 }
 
@@ -494,7 +494,7 @@
 	}
 	play()
 	for i, servers := range by {
-		if len(servers) > minSet {
+		if len(servers) > minSubsetSize {
 			t.Errorf("gateway %d uses %d servers", i, len(servers))
 		}
 	}
@@ -511,7 +511,7 @@
 		w.do(i, Members{Kind: Changes, Servers: own})
 	}
 	play()
-	if len(by[0]) == 0 || len(by[0]) > minSet {
+	if len(by[0]) == 0 || len(by[0]) > minSubsetSize {
 		t.Errorf("once its own drain, gateway 0 uses %d others", len(by[0]))
 	}
 }
@@ -531,7 +531,7 @@
 // must not leave a request with no timer at all.
 func TestTimerARoundingEarly(t *testing.T) {
 	w := newCluster(t, 100, fleet(10))
-	c := w.gs[0].account(keyOf("k"), w.gs[0].plans["rate"], 0, 50)
+	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	i := 0
 	for i == roots[0] || i == deputy {
@@ -555,7 +555,7 @@
 func TestLeaverIsNotAsked(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		w := newCluster(t, 100, fleet(40))
-		roots, deputy := w.gs[0].roots(&customer{key: keyOf("k"), plan: w.gs[0].plans["rate"], first: 0, spread: 50})
+		roots, deputy := w.gs[0].roots(&customer{key: customerKey("k"), plan: w.gs[0].plans["rate"], first: 0, spread: 50})
 		root, i := roots[0], 0
 		for i == root || i == deputy {
 			i++
@@ -580,12 +580,12 @@
 		if !lost && (asked[root] > 0 || asked[deputy] == 0 || len(w.sends) != 1) {
 			t.Errorf("%d asks to the root that has left, %d to its deputy, %d sent on", asked[root], asked[deputy], len(w.sends))
 		}
-		w.pass(departedFor+300*ms, nil)
+		w.pass(shutdownAbsence+300*ms, nil)
 		dead = false
 		clear(asked)
 		w.request(i, 2, "k", "rate", "safe", 50)
 		w.pass(100*ms, nil)
-		if asked[root] == 0 || asked[deputy] > 0 || len(w.gs[i].departed) > 0 {
+		if asked[root] == 0 || asked[deputy] > 0 || len(w.gs[i].absentUntil) > 0 {
 			t.Errorf("lost %v: %d asks to the root that is back, %d to its deputy", lost, asked[root], asked[deputy])
 		}
 	}
@@ -601,27 +601,27 @@
 		return len(of[Send](acts))
 	}
 	first := ask()
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), out: 15, rate: 60})
+	w.hear(1, 1, 1, true, customerEntry{hash: hashOf("c"), inFlight: 15, rate: 60})
 	if first != 1 || ask() != 0 {
 		t.Fatal("the cap is not full")
 	}
-	w.do(PeerMessage{From: 1, Data: encode(departure{Inc: 7})}) // of a process before that one
+	w.do(PeerMessage{From: 1, Data: encode(shutdownMessage{Incarnation: 7})}) // of a process before that one
 	w.now += ms
-	if w.g.peers[1].left {
+	if w.g.peers[1].shutDown {
 		t.Error("another process's end counts")
 	}
-	w.do(PeerMessage{From: 1, Data: encode(departure{Inc: 1})})
-	w.hear(1, 1, 2, true, entry{hash: hashOf("c"), out: 15})
+	w.do(PeerMessage{From: 1, Data: encode(shutdownMessage{Incarnation: 1})})
+	w.hear(1, 1, 2, true, customerEntry{hash: hashOf("c"), inFlight: 15})
 	w.pass(50 * ms)
-	if n := ask() + ask(); w.g.customers[keyOf("c")].out != 2 {
-		t.Errorf("%d sent on of a cap of 2, %d out", n, w.g.customers[keyOf("c")].out)
+	if n := ask() + ask(); w.g.customers[customerKey("c")].inFlight != 2 {
+		t.Errorf("%d sent on of a cap of 2, %d out", n, w.g.customers[customerKey("c")].inFlight)
 	}
 	w.pass(time.Minute) // gone for good, it counts for nothing
-	if out, _ := w.g.others(w.g.customers[keyOf("c")]); out != 0 {
+	if out, _ := w.g.peerCounts(w.g.customers[customerKey("c")]); out != 0 {
 		t.Errorf("%v out at one that has left", out)
 	}
-	w.hear(1, 2, 1, true, entry{hash: hashOf("c"), out: 4})
-	if out, _ := w.g.others(w.g.customers[keyOf("c")]); out != 1 {
+	w.hear(1, 2, 1, true, customerEntry{hash: hashOf("c"), inFlight: 4})
+	if out, _ := w.g.peerCounts(w.g.customers[customerKey("c")]); out != 1 {
 		t.Errorf("%v out at its next process", out)
 	}
 	if tells := of[Tell](w.do(Shutdown{})); len(tells) != 2 || tells[0].To != 1 || tells[1].To != -1 {
--- a/policy/left_client_test.go
+++ b/policy/left_client_test.go
@@ -15,14 +15,14 @@
 		words []byte // the root's
 		gone  int    // before this one of them
 	}{
-		{"granted", "rate", []byte{granted}, 0},
-		{"granted, cap", "open", []byte{granted}, 0},
-		{"waits, then granted", "open", []byte{waits, granted}, 1},
-		{"gone before both", "open", []byte{waits, granted}, 0},
+		{"granted", "rate", []byte{answerGranted}, 0},
+		{"granted, cap", "open", []byte{answerGranted}, 0},
+		{"waits, then granted", "open", []byte{answerHeld, answerGranted}, 1},
+		{"gone before both", "open", []byte{answerHeld, answerGranted}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newCluster(t, 100, fleet(10))
-			seat := w.gs[0].account(keyOf("k"), w.gs[0].plans[c.plan], 0, 50)
+			seat := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans[c.plan], 0, 50)
 			roots, deputy := w.gs[0].roots(seat)
 			i := 0
 			for i == roots[0] || i == deputy {
@@ -30,8 +30,8 @@
 			}
 			w.lose = func(int, int) bool { return true } // the words come by hand
 			w.request(i, 1, "k", c.plan, "safe", 50)
-			r := w.gs[i].reqs[1]
-			if r == nil || r.asked != 1 || r.root != roots[0] {
+			r := w.gs[i].requests[1]
+			if r == nil || r.askCount != 1 || r.root != roots[0] {
 				t.Fatalf("not asked of its root: %+v", r)
 			}
 			for k, word := range c.words {
@@ -39,12 +39,12 @@
 					w.do(i, Gone{ID: 1})
 				}
 				w.now += 20 * ms
-				w.do(i, PeerMessage{From: roots[0], Data: encode(answer{r.tag, word, 250, 0, 250})})
+				w.do(i, PeerMessage{From: roots[0], Data: encode(answerMessage{r.tag, word, 250, 0, 250})})
 			}
 			w.pass(time.Second, nil)
-			if len(w.sends) > 0 || len(w.gs[i].reqs) > 0 || len(w.gs[i].asks) > 0 {
-				t.Errorf("%d attempts, %d requests and %d asks left for a client that had gone", len(w.sends), len(w.gs[i].reqs),
-					len(w.gs[i].asks))
+			if len(w.sends) > 0 || len(w.gs[i].requests) > 0 || len(w.gs[i].asksByTag) > 0 {
+				t.Errorf("%d attempts, %d requests and %d asks left for a client that had gone", len(w.sends), len(w.gs[i].requests),
+					len(w.gs[i].asksByTag))
 			}
 		})
 	}
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -38,31 +38,33 @@
 
 // Memory returns a copy that shares nothing with the gateway. The token buckets are of use only
 // once nothing more is admitted, since they don't include later requests.
-func (g *Gateway) Memory(now time.Duration, stores bool) Memory {
+func (g *Gateway) Memory(now time.Duration, withTokens bool) Memory {
 	var m Memory
-	for _, s := range g.fleet {
+	for _, s := range g.tracked {
 		if s.State == Removed {
 			continue
 		}
-		k := ServerMemory{ID: s.ID, HasStart: s.HasStart, Start: s.Start, Slow: s.slow, Pace: s.pace}
+		saved := ServerMemory{ID: s.ID, HasStart: s.HasStart, Start: s.Start, Slow: s.relativeLatency,
+			Pace: s.monitoredLatency}
 		for name, cl := range g.classes {
-			if v := s.by[cl.no]; v.errs > 0 || v.bad && v.until > now {
-				f := FaultMemory{Class: name, Errs: v.errs}
-				if v.bad {
-					f.Bad = max(0, v.until-now)
+			if h := s.health[cl.index]; h.failureAverage > 0 || h.outOfUse && h.outOfUseUntil > now {
+				f := FaultMemory{Class: name, Errs: h.failureAverage}
+				if h.outOfUse {
+					f.Bad = max(0, h.outOfUseUntil-now)
 				}
-				k.Faults = append(k.Faults, f)
+				saved.Faults = append(saved.Faults, f)
 			}
 		}
-		m.Servers = append(m.Servers, k)
+		m.Servers = append(m.Servers, saved)
 	}
-	if !stores {
+	if !withTokens {
 		return m
 	}
 	g.now = max(g.now, now)
 	m.Tokens = map[uint64]float64{}
 	for key, c := range g.customers {
-		if g.advance(c); c.plan.Rate > 0 && c.tokens < c.plan.Burst && (len(c.ask) == 0 || c.sums) {
+		if g.advance(c); c.plan.Rate > 0 && c.tokens < c.plan.Burst &&
+			(len(c.rootAndDeputy) == 0 || c.actsAsRoot) {
 			m.Tokens[key] = c.tokens
 		}
 	}
@@ -72,47 +74,47 @@
 // restore applies what the process before knew. What it knew of a server decays over the time
 // since, and is ignored if another process of that server runs now.
 func (g *Gateway) restore(ev Restore) {
-	g.restored, g.clean, g.keptFor = true, ev.Clean, max(0, ev.Elapsed)
+	g.restored, g.restoredClean, g.restoredAge = true, ev.Clean, max(0, ev.Elapsed)
 	if ev.Clean {
-		g.kept = ev.Tokens
+		g.restoredTokens = ev.Tokens
 	}
-	part := 1 - math.Exp(-g.keptFor.Seconds()/slowSpan.Seconds())
-	for _, k := range ev.Servers {
-		s := g.meet(k.ID)
-		if s == nil || s.HasStart != k.HasStart || s.Start != k.Start {
+	part := 1 - math.Exp(-g.restoredAge.Seconds()/serverStateDecayTime.Seconds())
+	for _, saved := range ev.Servers {
+		s := g.track(saved.ID)
+		if s == nil || s.HasStart != saved.HasStart || s.Start != saved.Start {
 			continue
 		}
-		s.slow, s.pace = within(k.Slow), within(k.Pace)
-		for _, f := range k.Faults {
+		s.relativeLatency, s.monitoredLatency = clampLatency(saved.Slow), clampLatency(saved.Pace)
+		for _, f := range saved.Faults {
 			cl := g.classes[f.Class]
 			if cl == nil {
 				continue
 			}
-			v := &s.by[cl.no]
-			v.errs = min(max(f.Errs, 0), 1)
-			if left := min(f.Bad, verdictLife) - g.keptFor; left > 0 {
-				v.bad, v.until = true, g.now+left
+			h := &s.health[cl.index]
+			h.failureAverage = min(max(f.Errs, 0), 1)
+			if left := min(f.Bad, verdictLifetime) - g.restoredAge; left > 0 {
+				h.outOfUse, h.outOfUseUntil = true, g.now+left
 			}
 		}
-		s.pace += (1 - s.pace) * part
-		s.wear(part)
+		s.monitoredLatency += (1 - s.monitoredLatency) * part
+		s.decay(part)
 	}
 }
 
 // clampLatency limits a restored relative latency to the range that it can have.
-func within(pace float64) float64 {
-	if !(pace > 0) { // true for NaN too
+func clampLatency(latency float64) float64 {
+	if !(latency > 0) { // true for NaN too
 		return 1
 	}
-	return min(max(pace, 1/maxPace), maxPace)
+	return min(max(latency, 1/maxRelativeLatency), maxRelativeLatency)
 }
 
 // dropRestoredTokens drops the restored token buckets once a fresh start gives the same state.
-func (g *Gateway) letGo() {
+func (g *Gateway) dropRestoredTokens() {
 	for _, q := range g.plans {
-		if q.Rate > 0 && (g.now-g.start).Seconds() < q.Burst/q.Rate {
+		if q.Rate > 0 && (g.now-g.startedAt).Seconds() < q.Burst/q.Rate {
 			return
 		}
 	}
-	g.kept = nil
+	g.restoredTokens = nil
 }
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -112,7 +112,7 @@
 		want    int
 	}{{0, 4}, {200 * ms, 6}, {time.Hour, 10}, {-time.Hour, 4}} {
 		w := newWorld(t, s, fleet(8))
-		w.do(Restore{Memory: Memory{Tokens: map[uint64]float64{keyOf("c"): 4}}, Elapsed: c.elapsed, Clean: true})
+		w.do(Restore{Memory: Memory{Tokens: map[uint64]float64{customerKey("c"): 4}}, Elapsed: c.elapsed, Clean: true})
 		if n := w.spend(20, "rate"); n != c.want {
 			t.Errorf("%d units at once after %v, want %d", n, c.elapsed, c.want)
 		}
@@ -167,14 +167,14 @@
 		{"another process", known(7*ms, 4), 0, 1, 1, false},
 		{"clock back", known(ms, 4), -time.Hour, 4, 4, true},
 		{"not a number", known(ms, math.NaN()), 0, 1, 1, true},
-		{"huge", known(ms, math.Inf(1)), 0, maxPace, maxPace, true},
+		{"huge", known(ms, math.Inf(1)), 0, maxRelativeLatency, maxRelativeLatency, true},
 		{"another server", []ServerMemory{{ID: 9, Slow: 5}}, 0, 1, 1, false},
 	} {
 		w := newWorld(t, base(), started)
 		w.do(Restore{Memory: Memory{Servers: c.mem}, Elapsed: c.elapsed})
-		s := w.g.servers[1]
-		if s.slow < c.low || s.slow > c.top || s.pace < c.low || s.pace > c.top || s.by[0].bad != c.bad {
-			t.Errorf("%s: slow %v, pace %v, bad %v", c.name, s.slow, s.pace, s.by[0].bad)
+		s := w.g.trackedByID[1]
+		if s.relativeLatency < c.low || s.relativeLatency > c.top || s.monitoredLatency < c.low || s.monitoredLatency > c.top || s.health[0].outOfUse != c.bad {
+			t.Errorf("%s: slow %v, pace %v, bad %v", c.name, s.relativeLatency, s.monitoredLatency, s.health[0].outOfUse)
 		}
 	}
 }
@@ -183,11 +183,11 @@
 func TestMemoryIsACopy(t *testing.T) {
 	w := newWorld(t, base(), fleet(3))
 	w.spend(3, "rate")
-	w.g.servers[2].by[0] = record{errs: 0.5, bad: true, until: w.now + time.Second}
+	w.g.trackedByID[2].health[0] = classHealth{failureAverage: 0.5, outOfUse: true, outOfUseUntil: w.now + time.Second}
 	m := w.g.Memory(w.now, true)
 	before := fmt.Sprintf("%+v", m)
 	w.spend(3, "rate")
-	w.g.servers[2].by[0].errs = 1
+	w.g.trackedByID[2].health[0].failureAverage = 1
 	if after := fmt.Sprintf("%+v", m); after != before || len(m.Tokens) != 1 || len(m.Servers) != 3 {
 		t.Errorf("%s\n%s", before, after)
 	}
@@ -201,11 +201,11 @@
 	w := newWorld(t, base(), fleet(3))
 	w.do(Restore{Memory: Memory{Tokens: map[uint64]float64{1: 2}}, Clean: true})
 	w.pass(900 * ms)
-	if w.g.kept == nil {
+	if w.g.restoredTokens == nil {
 		t.Error("let go while a store may not be full")
 	}
 	w.pass(2 * time.Second)
-	if w.g.kept != nil {
+	if w.g.restoredTokens != nil {
 		t.Error("kept for good")
 	}
 }
@@ -223,7 +223,7 @@
 			}
 			g.Handle(time.Second, Members{Kind: Remembered, Servers: fleet(200)}, nil)
 			for i := range 10000 {
-				g.account(uint64(i)<<20, g.plans["rate"], i%gateways, min(gateways, 4))
+				g.newCustomer(uint64(i)<<20, g.plans["rate"], i%gateways, min(gateways, 4))
 			}
 			n := newer(s)
 			b.ReportAllocs()
@@ -250,7 +250,7 @@
 			}
 			g.Handle(time.Second, Members{Kind: Remembered, Servers: fleet(200)}, nil)
 			for i := range 10000 {
-				g.account(uint64(i)<<20, g.plans["rate"], 0, 1).tokens = 1
+				g.newCustomer(uint64(i)<<20, g.plans["rate"], 0, 1).tokens = 1
 			}
 			b.ReportAllocs()
 			for range b.N {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -20,108 +20,108 @@
 // Shares are fractions of one where no unit is given.
 const (
 	// Reports between gateways, sent once a tick.
-	reportShare = 0.75 // of a gateway's datagram budget
-	minTick     = 25 * time.Millisecond
-	maxTick     = 250 * time.Millisecond
-	staleTicks  = 6                     // ticks; an older report is replaced by the demand split
-	blindExtra  = 25 * time.Millisecond // assumed for a report on the network
-	untold      = 0.01                  // held requests that a tick without a report counts as
-	repeatTicks = 3                     // ticks for which a change is reported
-	anewFor     = 2 * time.Second       // for which a total that began at zero is marked
-	forgetAfter = 10 * time.Second      // unused state; also the decay time of a silent peer
+	reportBudgetShare    = 0.75 // of a gateway's datagram budget
+	minTick              = 25 * time.Millisecond
+	maxTick              = 250 * time.Millisecond
+	staleTicks           = 6                     // ticks; an older report is replaced by the demand split
+	reportTravelTime     = 25 * time.Millisecond // assumed for a report on the network
+	unreportedTickWeight = 0.01                  // held requests that a tick without a report counts as
+	changeReportTicks    = 3                     // ticks for which a change is reported
+	totalRestartWindow   = 2 * time.Second       // for which a total that began at zero is marked
+	forgetAfter          = 10 * time.Second      // unused state; also the decay time of a silent peer
 
 	// Demand, by which gateways divide a customer's quota.
-	demandSpan = 2 * time.Second // of the demand rates
-	minWeight  = 0.33            // share of its demand to which a silent peer's fades
-	evenRate   = 0.02            // demand assumed for each gateway: of the plan's rate,
-	evenLeast  = 0.05            // and units a second on top
+	demandDecayTime     = 2 * time.Second // of the demand rates
+	minSilentWeight     = 0.33            // share of its demand to which a silent peer's fades
+	baselineRateShare   = 0.02            // demand assumed for each gateway: of the plan's rate,
+	baselineDemandFloor = 0.05            // and units a second on top
 
 	// Caps on attempts in flight. Counts are means and thus fractional.
-	arriveSlack = 0.5  // part of an attempt's place that counts as a whole one at arrival
-	freeSlack   = 0.25 // and for held requests
+	arrivalSlack = 0.5  // part of an attempt's place that counts as a whole one at arrival
+	releaseSlack = 0.25 // and for held requests
 
 	// Holding and refusing requests.
 	retryReserve = 0.3                    // share of the token bucket that retries leave to first tries
-	pressedFor   = 200 * time.Millisecond // retries are refused this long after no server had room
-	holdAim      = 0.35                   // a request is held for this share of its aim
+	noRoomWindow = 200 * time.Millisecond // retries are refused this long after no server had room
+	maxHoldShare = 0.35                   // a request is held for this share of its aim
 
 	// Retry budget for attempts after the first, in attempts.
-	retryEarn = 0.15 // by each first attempt
-	retryCap  = 12.0
+	retryBudgetEarned = 0.15 // by each first attempt
+	maxRetryBudget    = 12.0
 
 	// Latency estimates. A server's relative latency is its latency over the fleet's at equal load.
-	firstGuess = 8.0              // a class's first latency estimate is its aim over this
-	learn      = 0.1              // of an outcome at a server, of an answer in the reply time
-	learnMean  = 0.03             // of an outcome in a class's mean latency
-	maxLatency = 4.0              // means at which a sample of a class's latency is cut off
-	maxPace    = 12.0             // at which a sample of a relative latency is cut off
-	slowSpan   = 10 * time.Second // of a server's relative latency and error rates
+	initialLatencyDivisor = 8.0              // a class's first latency estimate is its aim over this
+	latencySampleWeight   = 0.1              // of an outcome at a server, of an answer in the reply time
+	classSampleWeight     = 0.03             // of an outcome in a class's mean latency
+	maxLatencyMeans       = 4.0              // means at which a sample of a class's latency is cut off
+	maxRelativeLatency    = 12.0             // at which a sample of a relative latency is cut off
+	serverStateDecayTime  = 10 * time.Second // of a server's relative latency and failure averages
 
 	// Choice of a server in a small fleet.
-	choices     = 4               // servers compared for an attempt
-	jitter      = 0.2             // spread of a prediction, so that no server is left untried
-	zonePrice   = 25.0            // service times that a cross-zone cost of 1 counts as
-	queueWeight = 0.5             // service times that each attempt in flight adds to a latency
-	waitAim     = 0.15            // of the shortest aim: a longer wait makes a server full,
-	minOut      = 2.5             // but not with fewer attempts in flight than this
-	fullFor     = 2 * time.Second // for the plan that a server turned away
+	serverChoices     = 4               // servers compared for an attempt
+	predictionJitter  = 0.2             // spread of a prediction, so that no server is left untried
+	zoneCostWeight    = 25.0            // service times that a cross-zone cost of 1 counts as
+	queueWeight       = 0.5             // service times that each attempt in flight adds to a latency
+	maxWaitShare      = 0.15            // of the shortest aim: a longer wait makes a server full,
+	minFullLoad       = 2.5             // but not with fewer attempts in flight than this
+	fullServerBackoff = 2 * time.Second // for the plan that a server turned away
 
 	// Cold servers (slow start).
 	warmUpSlots = 2.0 // slots in FallTime, in which gateways take turns to send
 
 	// Overdue attempts.
-	minLate = 0.1 // of the aim: an attempt is not overdue sooner,
-	overdue = 4.0 // and is overdue at this multiple of the predicted latency
-
-	// Health verdicts, and trials of ejected servers.
-	sightWeight  = 0.2         // of a failure in an error rate
-	sightLimit   = 0.45        // above it a server is ejected for the class
-	mostOut      = 0.7         // above it ejected servers are used all the same
-	trialWorth   = 0.6         // of the error rate that a successful trial leaves
-	trialEvery   = time.Second // each trial doubles the interval and adds this
-	trialMost    = 8 * time.Second
-	paceLearn    = 0.025           // of an outcome in the monitor's relative latency of a server
-	paceStep     = 1.7             // a relative latency is sent when it changed by this factor
-	asGood       = 0.02            // an error rate or log of a relative latency within it counts as 0
-	verdictLife  = 8 * time.Second // unless it is sent again
-	verdictShare = 0.1             // of the datagram budget, for verdicts of all monitors
-	verdictKeep  = 2.0             // verdicts that may be sent at once for a server
-	zoneTurns    = 12              // divisible by 2, 3, 4 and 6, the possible numbers of zones
+	minOverdueShare = 0.1 // of the aim: an attempt is not overdue sooner,
+	overdueFactor   = 4.0 // and is overdue at this multiple of the predicted latency
+
+	// Health verdicts, and trials of servers that are out of use.
+	failureWeight       = 0.2         // of a failure in the failure average
+	maxFailureAverage   = 0.45        // above it a server is out of use for the class
+	maxOutOfUseShare    = 0.7         // above it servers out of use are used all the same
+	trialSuccessFactor  = 0.6         // of the failure average that a successful trial leaves
+	minTrialInterval    = time.Second // each trial doubles the interval and adds this
+	maxTrialInterval    = 8 * time.Second
+	monitorSampleWeight = 0.025           // of an outcome in the monitor's relative latency of a server
+	latencyChangeFactor = 1.7             // a relative latency is sent when it changed by this factor
+	equivalenceMargin   = 0.02            // a failure average or log of a latency ratio within it counts as 0
+	verdictLifetime     = 8 * time.Second // unless it is sent again
+	verdictBudgetShare  = 0.1             // of the datagram budget, for verdicts of all monitors
+	maxVerdictBudget    = 2.0             // verdicts that may be sent at once for a server
+	zoneMultiple        = 12              // divisible by 2, 3, 4 and 6, the possible numbers of zones
 
 	// Load shedding. The load ratio is the mean of latency over aim.
-	sheddingAim     = 0.6              // above it load is shed
-	sheddingTime    = 3 * time.Second  // in which the admitted share falls to 1/e
-	recoveryTime    = 8 * time.Second  // in which the admitted share grows from 0 to 1
-	minAdmitted     = 0.25             // share of requests: enough outcomes to notice a recovery
-	loadRatioLife   = 12 * time.Second // of the load ratio, to 1/e
-	loadRatioWeight = 0.15             // of an outcome, or of a root's answer
+	sheddingLoadRatio  = 0.6              // above it load is shed
+	sheddingTime       = 3 * time.Second  // in which the admitted share falls to 1/e
+	recoveryTime       = 8 * time.Second  // in which the admitted share grows from 0 to 1
+	minAdmitted        = 0.25             // share of requests: enough outcomes to notice a recovery
+	loadRatioDecayTime = 12 * time.Second // of the load ratio, to 1/e
+	loadRatioWeight    = 0.15             // of an outcome, or of a root's answer
 
 	// Roots, in fleets whose reports from all to all would exceed the datagram budget.
-	treeTick    = maxTick * 2 / 3  // longest tick up to which reports from all to all are better
-	rootShare   = 0.5              // of a root's datagram budget, for one customer
-	rootPeak    = 2.0              // asks a root must handle: multiple of those inside the quota
-	rootTicks   = 2                // ticks between reports of a customer's roots to each other
-	freshPart   = 0.8              // fill of a token bucket that a root presumes when it starts
-	deputyPart  = 0.25             // of a hard ceiling, held by the deputy
-	fitLearn    = 0.05             // of an answer in the granted share of a plan's requests
-	leaseTicks  = 3                // ticks until a lease expires: one renewal may be lost
-	thinSpan    = 20 * time.Second // in which a reduced chance to ask the root grows from 0 to 1
-	departedFor = 2 * time.Second  // a gateway that shut down is back by then, or counts as silent
+	maxAllToAllTick       = maxTick * 2 / 3  // longest tick up to which reports from all to all are better
+	rootBudgetShare       = 0.5              // of a root's datagram budget, for one customer
+	rootPeakFactor        = 2.0              // asks a root must handle: multiple of those inside the quota
+	rootReportTicks       = 2                // ticks between reports of a customer's roots to each other
+	restartFillShare      = 0.8              // fill of a token bucket that a root presumes when it starts
+	deputyCeilingShare    = 0.25             // of a hard ceiling, held by the deputy
+	grantSampleWeight     = 0.05             // of an answer in the granted share of a plan's requests
+	leaseTicks            = 3                // ticks until a lease expires: one renewal may be lost
+	askChanceRecoveryTime = 20 * time.Second // in which a reduced chance to ask the root grows from 0 to 1
+	shutdownAbsence       = 2 * time.Second  // a gateway that shut down is back by then, or counts as silent
 
 	// Asks to roots, and what is admitted without an answer.
-	rootAsks      = 3 // to a root, before its deputy is asked
-	minReply      = 30 * time.Millisecond
-	replySpread   = 2.5             // times the mean reply time
-	isolatedAfter = 4               // unanswered, and no message at all: as many as one request makes
-	letSpan       = 4 * time.Second // of the count of requests that roots granted
-	creditSpan    = time.Second / 2 // of that rate of grants, admitted at once without an answer
+	maxRootAsks        = 3 // to a root, before its deputy is asked
+	minReplyTimeout    = 30 * time.Millisecond
+	replyTimeoutFactor = 2.5             // times the mean reply time
+	isolatedAfterAsks  = 4               // unanswered, and no message at all: as many as one request makes
+	grantDecayTime     = 4 * time.Second // of the count of requests that roots granted
+	creditWindow       = time.Second / 2 // of that rate of grants, admitted at once without an answer
 
 	// Subsets of servers in a large fleet.
-	minSet    = 20    // servers: enough to average out slow ones,
-	minSets   = 8.0   // but as many as put each server into this many gateways' subsets,
-	maxSet    = 128.0 // up to this many
-	widerSet  = 8     // subsets in the set that is examined where half the subset can't be used
-	otherZone = 0.7   // of a server in another zone
+	minSubsetSize       = 20    // servers: enough to average out slow ones,
+	minSubsetsPerServer = 8.0   // but as many as put each server into this many gateways' subsets,
+	maxSubsetSize       = 128.0 // up to this many
+	widerSubsetFactor   = 8     // subsets in the set that is examined where half the subset can't be used
+	otherZoneWeight     = 0.7   // of a server in another zone
 )
 
 // New returns a gateway with empty state. The seed feeds its random choices: equal settings, seeds and events
@@ -131,20 +131,20 @@
 		return nil, err
 	}
 	g := newGateway(s, seed)
-	g.budget, g.minAim = retryCap, math.Inf(1)
+	g.retryBudget, g.minAim = maxRetryBudget, math.Inf(1)
 	for _, c := range g.classes {
-		c.mean = c.Aim.Seconds() / firstGuess
-		g.mean, g.minAim = max(g.mean, c.mean), min(g.minAim, c.Aim.Seconds())
+		c.meanLatency = c.Aim.Seconds() / initialLatencyDivisor
+		g.meanLatency, g.minAim = max(g.meanLatency, c.meanLatency), min(g.minAim, c.Aim.Seconds())
 	}
-	mail := max(s.DatagramsPerSecond*reportShare, 1)
-	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / mail * float64(time.Second))
-	g.own, g.admitted = learn, 1
-	if g.tree = g.tick > treeTick && s.CanTell; g.tree {
-		g.own = 0 // the monitors observe more outcomes than this gateway
+	reportBudget := max(s.DatagramsPerSecond*reportBudgetShare, 1)
+	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / reportBudget * float64(time.Second))
+	g.outcomeWeight, g.admittedFraction = latencySampleWeight, 1
+	if g.largeFleet = g.tick > maxAllToAllTick && s.CanTell; g.largeFleet {
+		g.outcomeWeight = 0 // the monitors observe more outcomes than this gateway
 	}
-	g.nextTag, g.reply = g.rng.Uint32(), minReply
-	if !g.tree {
-		g.allPeers()
+	g.nextTag, g.meanReplyTime = g.rng.Uint32(), minReplyTimeout
+	if !g.largeFleet {
+		g.addAllPeers()
 	}
 	g.tick = max(min(max(g.tick, minTick), maxTick), s.Resolution)
 	return g, nil
@@ -154,16 +154,16 @@
 
 // newCustomer starts a customer's counts and assigns the gateways that sum them: all of the customer's
 // gateways in a small fleet, its roots in a large one. The other gateways ask its roots.
-func (g *Gateway) account(key uint64, plan *quota, first, spread int) *customer {
-	spread = max(1, min(spread, g.set.Gateways))
-	c := &customer{key: key, hash: shortOf(key), plan: plan, n: float64(spread), part: 1, first: first,
-		tokens: g.initialTokens(key, plan), leases: map[lease]leased{}, spread: spread, at: g.now,
-		areaAt: g.now, born: g.now}
-	g.seat(c)
+func (g *Gateway) newCustomer(key uint64, plan *quota, first, spread int) *customer {
+	spread = max(1, min(spread, g.settings.Gateways))
+	c := &customer{key: key, hash: shortHash(key), plan: plan, ceilingDivisor: float64(spread),
+		fittingShare: 1, first: first, tokens: g.initialTokens(key, plan), leases: map[leaseKey]activeLease{},
+		spread: spread, tokensAt: g.now, inFlightUpdatedAt: g.now, countedSince: g.now}
+	g.assignRoots(c)
 	// This gateway's part of the ceiling is empty when the gateway starts, so that a restart doesn't grant it
 	// a second time.
-	c.ceiling = min(plan.HardBurst, plan.HardRate*(g.now-g.start).Seconds()) / c.n
-	g.enter(c)
+	c.ceilingTokens = min(plan.HardBurst, plan.HardRate*(g.now-g.startedAt).Seconds()) / c.ceilingDivisor
+	g.indexCustomer(c)
 	return c
 }
 
@@ -172,33 +172,33 @@
 // be granted twice. After a crash no snapshot covers the last admissions, so the bucket holds only what has
 // flowed in since the start.
 func (g *Gateway) initialTokens(key uint64, plan *quota) float64 {
-	age := (g.now - g.start).Seconds()
-	left, kept := g.kept[key]
+	age := (g.now - g.startedAt).Seconds()
+	stored, found := g.restoredTokens[key]
 	switch {
 	case plan.Rate == 0 || age >= plan.Burst/plan.Rate:
-	case kept:
-		return min(plan.Burst, left+plan.Rate*(age+g.keptFor.Seconds()))
-	case g.restored && !g.clean:
+	case found:
+		return min(plan.Burst, stored+plan.Rate*(age+g.restoredAge.Seconds()))
+	case g.restored && !g.restoredClean:
 		return plan.Rate * age
-	case g.tree && !g.clean:
-		return plan.Burst * freshPart
+	case g.largeFleet && !g.restoredClean:
+		return plan.Burst * restartFillShare
 	}
 	return plan.Burst
 }
 
 // assignRoots finds the gateways that sum a customer's counts, by the figures of its plan.
-func (g *Gateway) seat(c *customer) {
+func (g *Gateway) assignRoots(c *customer) {
 	roots, deputy := g.roots(c)
-	if c.ask = nil; slices.Contains(roots, g.set.Me) || !g.tree {
-		g.views(c, roots)
+	if c.rootAndDeputy = nil; slices.Contains(roots, g.settings.Me) || !g.largeFleet {
+		g.updatePeerViews(c, roots)
 	} else if c.plan.Rate > 0 || c.plan.Open > 0 {
-		c.ask = []int{roots[g.set.Me%len(roots)], deputy}
+		c.rootAndDeputy = []int{roots[g.settings.Me%len(roots)], deputy}
 	}
-	if g.tree {
+	if g.largeFleet {
 		// Roots and deputy hold all parts of the ceiling.
-		c.n = float64(len(roots)) / (1 - deputyPart)
-		if len(c.ask) > 0 {
-			c.n = 1 / deputyPart
+		c.ceilingDivisor = float64(len(roots)) / (1 - deputyCeilingShare)
+		if len(c.rootAndDeputy) > 0 {
+			c.ceilingDivisor = 1 / deputyCeilingShare
 		}
 	}
 }
@@ -206,29 +206,30 @@
 // applyPlanChange applies new figures of a customer's plan to its counts. New figures reduce the content of a
 // token bucket but never increase it, except that a customer whose plan had no rate starts with a full
 // bucket.
-func (g *Gateway) carry(c *customer, old Plan) {
-	g.seat(c)
+func (g *Gateway) applyPlanChange(c *customer, old Plan) {
+	g.assignRoots(c)
 	if old.Rate == 0 && c.plan.Rate > 0 {
 		c.tokens = c.plan.Burst
 	}
-	c.tokens, c.ceiling = min(c.tokens, c.plan.Burst), min(c.ceiling, c.plan.HardBurst/c.n)
+	c.tokens, c.ceilingTokens = min(c.tokens, c.plan.Burst),
+		min(c.ceilingTokens, c.plan.HardBurst/c.ceilingDivisor)
 }
 
 // roots returns the gateways that sum a customer's counts: in a large fleet as few as can receive all asks
 // for it, in a small fleet all gateways of the customer. The deputy replaces a root that is silent.
 func (g *Gateway) roots(c *customer) (nums []int, deputy int) {
 	k := c.spread
-	if g.tree {
-		asks := rootPeak * c.plan.Rate
+	if g.largeFleet {
+		asks := rootPeakFactor * c.plan.Rate
 		if c.plan.Open > 0 {
 			asks += c.plan.Rate // the end of each admitted attempt is reported too
 		}
-		asks /= max(1, g.set.LargestUnits/2)
-		k = min(max(1, int(math.Ceil(asks/max(1, g.set.DatagramsPerSecond*rootShare)))), c.spread)
+		asks /= max(1, g.settings.LargestUnits/2)
+		k = min(max(1, int(math.Ceil(asks/max(1, g.settings.DatagramsPerSecond*rootBudgetShare)))), c.spread)
 	}
 	base, step := int(c.key>>33)%c.spread, max(1, c.spread/(k+1))
 	for i := range k + 1 {
-		deputy = (c.first + (base+i*step)%c.spread) % g.set.Gateways
+		deputy = (c.first + (base+i*step)%c.spread) % g.settings.Gateways
 		if i < k {
 			nums = append(nums, deputy)
 		}
@@ -239,94 +240,99 @@
 // advance refills a customer's token buckets up to now and decays its demand rates. A peer that has been
 // silent for long may only be cut off, so its demand-split share of the rate is left to it.
 func (g *Gateway) advance(c *customer) {
-	dt := (g.now - c.at).Seconds()
+	dt := (g.now - c.tokensAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	c.at = g.now
-	unheard := 0.0
-	for _, v := range c.set {
-		if g.silent(v.p) {
-			unheard += g.weight(c, v)
+	c.tokensAt = g.now
+	silentDemand := 0.0
+	for _, v := range c.peerViews {
+		if g.silent(v.peer) {
+			silentDemand += g.peerDemand(c, v)
 		}
 	}
-	share := 1 - unheard/g.demand(c)
-	if len(c.ask) > 0 && !c.sums || g.isolated() {
+	share := 1 - silentDemand/g.totalDemand(c)
+	if len(c.rootAndDeputy) > 0 && !c.actsAsRoot || g.isolated() {
 		share = 1 / float64(c.spread) // only the root knows what the others admit
 	}
 	c.tokens = min(c.plan.Burst, c.tokens+c.plan.Rate*dt*share)
-	c.ceiling = max(c.ceiling, min(c.plan.HardBurst/c.n, c.ceiling+c.plan.HardRate/c.n*dt))
-	k := math.Exp(-dt / demandSpan.Seconds())
-	c.rate *= k
-	for _, v := range c.set {
-		v.rate *= k
+	c.ceilingTokens = max(c.ceilingTokens,
+		min(c.plan.HardBurst/c.ceilingDivisor, c.ceilingTokens+c.plan.HardRate/c.ceilingDivisor*dt))
+	k := math.Exp(-dt / demandDecayTime.Seconds())
+	c.recentUnits *= k
+	for _, v := range c.peerViews {
+		v.recentUnits *= k
 	}
-	if !c.known && c.plan.Rate > 0 && (g.now-g.start).Seconds() > c.plan.Burst/c.plan.Rate {
-		c.known = true
+	if !c.tokensKnown && c.plan.Rate > 0 && (g.now-g.startedAt).Seconds() > c.plan.Burst/c.plan.Rate {
+		c.tokensKnown = true
 	}
 }
 
 // silent reports whether a peer's counts are too old to use.
-func (g *Gateway) silent(p *peer) bool { return !p.heard || p.left || g.now-p.at > staleTicks*g.tick }
+func (g *Gateway) silent(p *peer) bool {
+	return !p.hasReported || p.shutDown || g.now-p.lastReportAt > staleTicks*g.tick
+}
 
 // baselineDemand returns the demand in units a second that is assumed for each gateway, so that the split of
 // a new customer's quota is equal.
-func (g *Gateway) even(c *customer) float64 { return evenRate*c.plan.Rate + evenLeast }
+func (g *Gateway) baselineDemand(c *customer) float64 {
+	return baselineRateShare*c.plan.Rate + baselineDemandFloor
+}
 
 // peerDemand returns a peer's demand in units a second for the demand split. A silent peer counts as much as
 // this gateway at first, then less, but never nothing: it may be cut off and still admit its share, or it may
 // have failed.
-func (g *Gateway) weight(c *customer, v *peerView) float64 {
-	w := v.rate
-	if v.p.left {
+func (g *Gateway) peerDemand(c *customer, v *peerView) float64 {
+	w := v.recentUnits
+	if v.peer.shutDown {
 		return 0 // it has announced its shutdown
 	}
-	if g.silent(v.p) {
-		fade := math.Exp(-(g.now - max(v.p.at, g.start)).Seconds() / forgetAfter.Seconds())
-		w = max(w, c.rate) * (minWeight + (1-minWeight)*fade)
+	if g.silent(v.peer) {
+		decay := math.Exp(-(g.now - max(v.peer.lastReportAt, g.startedAt)).Seconds() / forgetAfter.Seconds())
+		w = max(w, c.recentUnits) * (minSilentWeight + (1-minSilentWeight)*decay)
 	}
-	return w/demandSpan.Seconds() + g.even(c)
+	return w/demandDecayTime.Seconds() + g.baselineDemand(c)
 }
 
 // totalDemand returns the demand of all gateways in units a second, this one's included.
-func (g *Gateway) demand(c *customer) float64 {
-	sum := c.rate/demandSpan.Seconds() + g.even(c)
-	for _, v := range c.set {
-		sum += g.weight(c, v)
+func (g *Gateway) totalDemand(c *customer) float64 {
+	sum := c.recentUnits/demandDecayTime.Seconds() + g.baselineDemand(c)
+	for _, v := range c.peerViews {
+		sum += g.peerDemand(c, v)
 	}
 	return sum
 }
 
 // demandShare returns this gateway's share of the customer's total demand.
-func (g *Gateway) share(c *customer) float64 {
-	return (c.rate/demandSpan.Seconds() + g.even(c)) / g.demand(c)
+func (g *Gateway) demandShare(c *customer) float64 {
+	return (c.recentUnits/demandDecayTime.Seconds() + g.baselineDemand(c)) / g.totalDemand(c)
 }
 
 // allowance returns the units that this gateway may admit now from the customer's token bucket: its
 // demand-split share or, if that is more, what remains after all units that the peers may be asked for before
 // their next reports arrive.
 func (g *Gateway) allowance(c *customer) float64 {
-	blind := (g.tick + blindExtra).Seconds()
-	unseen := 0.0
-	for _, v := range c.set {
-		wait := blind
-		if !v.p.complete {
-			wait += min(g.now-v.at, staleTicks*g.tick).Seconds()
+	reportDelay := (g.tick + reportTravelTime).Seconds()
+	unreportedUnits := 0.0
+	for _, v := range c.peerViews {
+		wait := reportDelay
+		if !v.peer.complete {
+			wait += min(g.now-v.receivedAt, staleTicks*g.tick).Seconds()
 		}
-		unseen += g.weight(c, v) * wait
+		unreportedUnits += g.peerDemand(c, v) * wait
 	}
-	return max(c.tokens*g.share(c), c.tokens-unseen)
+	return max(c.tokens*g.demandShare(c), c.tokens-unreportedUnits)
 }
 
 // peerCounts sums the attempts in flight and the held requests that the peers report. For a silent peer, its
 // demand-split share of the cap counts as in flight.
-func (g *Gateway) others(c *customer) (out, held float64) {
-	for _, v := range c.set {
-		if g.silent(v.p) {
-			out += float64(c.plan.Open) * g.weight(c, v) / g.demand(c)
+func (g *Gateway) peerCounts(c *customer) (out, held float64) {
+	for _, v := range c.peerViews {
+		if g.silent(v.peer) {
+			out += float64(c.plan.Open) * g.peerDemand(c, v) / g.totalDemand(c)
 			continue
 		}
-		out += v.out
+		out += v.inFlight
 		held += v.held
 	}
 	return out, held
@@ -334,148 +340,150 @@
 
 // hasRoom reports whether one more attempt of the customer fits under its cap. A request that has just
 // arrived may only use this gateway's demand-split share of the free room, but at least one place of it.
-func (g *Gateway) room(c *customer, arrival bool) bool {
+func (g *Gateway) hasRoom(c *customer, arrival bool) bool {
 	if c.plan.Open == 0 {
 		return true
 	}
-	out, _ := g.others(c)
-	free, next := float64(c.plan.Open)-out, float64(c.out+1)
+	out, _ := g.peerCounts(c)
+	free, next := float64(c.plan.Open)-out, float64(c.inFlight+1)
 	if arrival {
-		return next <= max(free*g.share(c), min(1, free+arriveSlack))
+		return next <= max(free*g.demandShare(c), min(1, free+arrivalSlack))
 	}
-	return next <= free+freeSlack
+	return next <= free+releaseSlack
 }
 
 // Requests.
 
 func (g *Gateway) onRequest(r *request) {
-	c := r.c
-	c.rate += r.units
+	c := r.customer
+	c.recentUnits += r.units
 	// This close to the deadline no wait is possible.
-	if r.deadline-g.now <= 2*g.set.Resolution || g.rng.Float64() > g.admitted {
+	if r.deadline-g.now <= 2*g.settings.Resolution || g.rng.Float64() > g.admittedFraction {
 		g.refuse(r)
 		return
 	}
-	if len(c.ask) == 0 {
+	if len(c.rootAndDeputy) == 0 {
 		g.admit(r)
 		return
 	}
 	// For a customer far above its quota, only the share of requests that fits is asked for. The root could
 	// not receive all its asks, and would lose those of other customers too. This harms a customer whose
 	// demand falls, for as long as askChanceRecoveryTime.
-	r.asks = 1
-	if c.plan.Rate > 0 && c.told > 0 {
-		r.asks = min(1, c.part+(g.now-c.partAt).Seconds()/thinSpan.Seconds())
+	r.askChance = 1
+	if c.plan.Rate > 0 && c.lastReportTick > 0 {
+		r.askChance = min(1,
+			c.fittingShare+(g.now-c.fittingShareAt).Seconds()/askChanceRecoveryTime.Seconds())
 	}
-	if g.rng.Float64() > r.asks {
+	if g.rng.Float64() > r.askChance {
 		g.refuse(r)
 		return
 	}
-	g.ask(r)
+	g.askRoot(r)
 }
 
 // admit passes a request on, holds it in its customer's queue or refuses it.
 func (g *Gateway) admit(r *request) {
-	c := r.c
-	c.fresh = repeatTicks
+	c := r.customer
+	c.reportTicksLeft = changeReportTicks
 	// A client's retry is often late. It yields to first tries while requests wait for servers or the token
 	// bucket is low. This protects against retry storms; it harms where retries come soon and aims are long.
 	scarce := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst ||
-		!r.remote && g.lackAt > 0 && g.now-g.lackAt < pressedFor
-	if !g.within(r) || r.repeat && scarce {
+		!r.remote && g.noRoomAt > 0 && g.now-g.noRoomAt < noRoomWindow
+	if !g.withinQuota(r) || r.clientRetry && scarce {
 		g.refuse(r)
 		return
 	}
-	if len(c.held) == 0 && g.room(c, true) && g.try(r) {
+	if len(c.held) == 0 && g.hasRoom(c, true) && g.trySend(r) {
 		return
 	}
 	g.hold(r)
-	if r.remote && !r.over {
-		g.answer(r, waits)
+	if r.remote && !r.closed {
+		g.sendAnswer(r, answerHeld)
 	}
 }
 
 // withinQuota reports whether the quota and the hard ceiling have the request's units left, or have already
 // been charged.
-func (g *Gateway) within(r *request) bool {
-	c := r.c
-	return r.counted || r.granted || (c.plan.Rate == 0 || g.allowance(c) >= r.units) &&
-		(c.plan.HardRate == 0 || c.ceiling >= r.units)
+func (g *Gateway) withinQuota(r *request) bool {
+	c := r.customer
+	return r.charged || r.granted || (c.plan.Rate == 0 || g.allowance(c) >= r.units) &&
+		(c.plan.HardRate == 0 || c.ceilingTokens >= r.units)
 }
 
 // hold queues a request for its customer. It refuses a request that the next tick would be too late to
 // answer.
 func (g *Gateway) hold(r *request) {
-	if g.now+g.tick+2*g.set.Resolution >= r.deadline {
+	if g.now+g.tick+2*g.settings.Resolution >= r.deadline {
 		g.refuse(r)
 		return
 	}
-	g.queue(r)
+	g.enqueue(r)
 }
 
 // trySend sends the request to a server if one has room. A request that another gateway asks for is granted
 // instead.
-func (g *Gateway) try(r *request) bool {
+func (g *Gateway) trySend(r *request) bool {
 	if r.remote {
 		g.grant(r)
 		return true
 	}
-	g.draws++
+	g.recentDraws++
 	s := g.pick(r)
 	if s == nil {
-		g.lackAt = g.now
+		g.noRoomAt = g.now
 		return false
 	}
-	c := r.c
-	if !r.counted {
-		r.counted = true
-		c.take(r)
-		g.budget = min(retryCap, g.budget+retryEarn)
+	c := r.customer
+	if !r.charged {
+		r.charged = true
+		c.takeTokens(r)
+		g.retryBudget = min(maxRetryBudget, g.retryBudget+retryBudgetEarned)
 	}
-	c.fresh = repeatTicks
-	g.sent(r, s)
-	if g.taken++; g.warmUpFraction(s) < 1 {
-		s.sends = append(s.sends, g.now)
+	c.reportTicksLeft = changeReportTicks
+	g.recordSend(r, s)
+	if g.recentAccepted++; g.warmUpFraction(s) < 1 {
+		s.recentSends = append(s.recentSends, g.now)
 	}
 	var timeout time.Duration
-	if !g.set.CanCancel && r.cl.Effect == Safe && !r.cl.Stream {
-		timeout = max(r.cl.Aim*3/5, r.deadline-g.now-r.cl.Aim)
+	if !g.settings.CanCancel && r.class.Effect == Safe && !r.class.Stream {
+		timeout = max(r.class.Aim*3/5, r.deadline-g.now-r.class.Aim)
 	}
-	g.do(Send{ID: r.id, Server: s.ID, Timeout: timeout})
+	g.emit(Send{ID: r.id, Server: s.ID, Timeout: timeout})
 	return true
 }
 
 // refuse sends the final answer: Refuse where a retry is harmless, else Fail.
 func (g *Gateway) refuse(r *request) {
 	if r.remote {
-		g.answer(r, refused)
-	} else if r.ran && r.cl.Effect != Safe && !(r.cl.Effect == Keyed && r.cl.Group == GroupAll) {
-		g.do(Fail{ID: r.id})
+		g.sendAnswer(r, answerRefused)
+	} else if r.mayHaveRun && r.class.Effect != Safe &&
+		!(r.class.Effect == Keyed && r.class.Group == GroupAll) {
+		g.emit(Fail{ID: r.id})
 	} else {
-		g.do(Refuse{ID: r.id, RetryAfter: g.advice(r)})
+		g.emit(Refuse{ID: r.id, RetryAfter: g.retryAdvice(r)})
 	}
 	g.close(r)
 }
 
 func (g *Gateway) onOutcome(ev Outcome) {
-	r := g.reqs[ev.ID]
-	if r == nil || r.srv == nil || ev.Attempt != r.attempts-1 {
+	r := g.requests[ev.ID]
+	if r == nil || r.server == nil || ev.Attempt != r.attempts-1 {
 		return
 	}
-	s, c := r.srv, r.c
+	s, c := r.server, r.customer
 	g.advance(c)
-	c.fresh = repeatTicks
-	g.ended(r, ev.Code)
-	g.judge(s, r, ev)
+	c.reportTicksLeft = changeReportTicks
+	g.recordEnd(r, ev.Code)
+	g.recordOutcome(s, r, ev)
 	if ev.Code == OK && ev.Actual > 0 && ev.Actual != r.units {
-		c.settle(ev.Actual - r.units)
+		c.adjustUnits(ev.Actual - r.units)
 	}
 	switch {
-	case r.over || ev.Over || ev.Code == OK:
+	case r.closed || ev.Over || ev.Code == OK:
 		g.close(r)
-	case ev.Code == Moot || g.now >= r.deadline || !g.again(r, ev.Code):
+	case ev.Code == Moot || g.now >= r.deadline || !g.mayRetry(r, ev.Code):
 		g.refuse(r)
-	case !g.room(c, false) || !g.try(r):
+	case !g.hasRoom(c, false) || !g.trySend(r):
 		g.hold(r)
 	}
 	g.release(c)
@@ -483,35 +491,36 @@
 
 // mayRetry decides whether a request may have another attempt; usable decides which servers it may go to. The
 // retry budget keeps retries from amplifying an overload.
-func (g *Gateway) again(r *request, code Code) bool {
-	if g.set.MaxAttempts > 0 && r.attempts >= g.set.MaxAttempts ||
-		r.ran && (r.cl.Effect == Unsafe || r.cl.Effect == Keyed && g.now-r.ranAt >= r.cl.Window) ||
-		g.now+time.Duration(r.cl.mean/2*float64(time.Second)) > r.deadline {
+func (g *Gateway) mayRetry(r *request, code Code) bool {
+	if g.settings.MaxAttempts > 0 && r.attempts >= g.settings.MaxAttempts ||
+		r.mayHaveRun && (r.class.Effect == Unsafe ||
+			r.class.Effect == Keyed && g.now-r.ranAt >= r.class.Window) ||
+		g.now+time.Duration(r.class.meanLatency/2*float64(time.Second)) > r.deadline {
 		return false
 	}
 	if !code.NeverRan() || code == Full {
-		g.budget--
+		g.retryBudget--
 	}
-	return g.budget >= 0
+	return g.retryBudget >= 0
 }
 
 // sendHeld sends up to n of a customer's held requests, oldest first. It returns false when no server had
 // room.
-func (g *Gateway) drain(c *customer, n int) bool {
+func (g *Gateway) sendHeld(c *customer, n int) bool {
 	for ; n > 0 && len(c.held) > 0; n-- {
 		r := c.held[0]
 		g.advance(c)
-		if !g.within(r) {
+		if !g.withinQuota(r) {
 			g.refuse(r)
 			continue
 		}
-		if !g.room(c, false) {
+		if !g.hasRoom(c, false) {
 			return true
 		}
-		if !g.try(r) {
+		if !g.trySend(r) {
 			return false
 		}
-		g.unhold(c, 0)
+		g.dequeue(c, 0)
 	}
 	return true
 }
@@ -520,34 +529,36 @@
 
 // warmUpFraction returns the smallest share of its full capacity that a server can have by now (slow start).
 func (g *Gateway) warmUpFraction(s *server) float64 {
-	if !s.HasStart || g.set.WarmWithin <= 0 || g.set.ColdShare <= 0 {
+	if !s.HasStart || g.settings.WarmWithin <= 0 || g.settings.ColdShare <= 0 {
 		return 1
 	}
-	age := float64(g.now-s.Start) / float64(g.set.WarmWithin)
-	return min(1, g.set.ColdShare+(1-g.set.ColdShare)*max(age, 0))
+	age := float64(g.now-s.Start) / float64(g.settings.WarmWithin)
+	return min(1, g.settings.ColdShare+(1-g.settings.ColdShare)*max(age, 0))
 }
 
 // load returns the attempts in flight at a server: this gateway's own, and the peers' as last reported.
-func (g *Gateway) load(s *server) float64 { return float64(s.out) + s.heard }
+func (g *Gateway) load(s *server) float64 { return float64(s.inFlight) + s.peersInFlight }
 
 // predict returns the latency in seconds expected of a server for a class.
 func (g *Gateway) predict(s *server, cl *class) float64 {
-	return cl.mean * s.slow * (1 + queueWeight*g.load(s)/g.sizeOf(s)) / g.warmUpFraction(s)
+	return cl.meanLatency * s.relativeLatency *
+		(1 + queueWeight*g.load(s)/g.relativeSize(s)) / g.warmUpFraction(s)
 }
 
 // full reports whether a server has all the work it can finish in time: the wait there would exceed a share
 // of the shortest aim. Further requests are held here, where they can still go elsewhere or be refused.
 func (g *Gateway) full(s *server) bool {
-	load := g.load(s) / g.sizeOf(s)
-	return load >= minOut && g.mean*s.slow/g.warmUpFraction(s)*queueWeight*load > waitAim*g.minAim
+	load := g.load(s) / g.relativeSize(s)
+	return load >= minFullLoad &&
+		g.meanLatency*s.relativeLatency/g.warmUpFraction(s)*queueWeight*load > maxWaitShare*g.minAim
 }
 
 // usable reports whether a request may go to a server at all: the server runs and hasn't just turned the plan
 // away, a keyed request that may have run stays inside its group and window, and a cold server's budget has
 // room.
 func (g *Gateway) usable(s *server, r *request) bool {
-	if s.State != Running || g.now < s.fullAt[r.c.plan] ||
-		r.ran && r.cl.Effect == Keyed && (g.now-r.ranAt >= r.cl.Window || !r.sameGroup(s)) {
+	if s.State != Running || g.now < s.fullUntil[r.customer.plan] ||
+		r.mayHaveRun && r.class.Effect == Keyed && (g.now-r.ranAt >= r.class.Window || !r.sameGroup(s)) {
 		return false
 	}
 	return g.warmUpFraction(s) == 1 || g.admitsWarmUp(s)
@@ -557,18 +568,20 @@
 // All gateways together may send the multiple of the server's capacity that the settings allow. The capacity
 // is estimated from the attempts that servers recently accepted from this gateway, the current request
 // included, relative to the capacity of these servers.
-func (g *Gateway) coldPart(s *server) float64 {
-	if g.set.FallMultiple <= 0 {
+func (g *Gateway) warmUpAllowance(s *server) float64 {
+	if g.settings.FallMultiple <= 0 {
 		return math.MaxInt32 // no load brings it down
 	}
-	bears := (g.taken + 1) / max(1, g.capacity) * g.warmUpFraction(s) * g.sizeOf(s)
-	return bears * g.set.FallMultiple * warmUpSlots / (warmUpSlots + 1)
+	capacity := (g.recentAccepted + 1) / max(1, g.capacity) * g.warmUpFraction(s) * g.relativeSize(s)
+	return capacity * g.settings.FallMultiple * warmUpSlots / (warmUpSlots + 1)
 }
 
 // warmUpChance returns the probability that a slot belongs to this gateway, given the fraction of a request
 // that it may send within FallTime. The number of slots in which it has a request to send is limited by the
 // number of times that it recently chose a server.
-func (g *Gateway) warmUpChance(part float64) float64 { return part / min(warmUpSlots, max(1, g.draws)) }
+func (g *Gateway) warmUpChance(part float64) float64 {
+	return part / min(warmUpSlots, max(1, g.recentDraws))
+}
 
 // admitsWarmUp reports whether this gateway may send one more request to a cold server. A minimum of one
 // request for each gateway would admit as many as there are gateways. Therefore FallTime is divided into
@@ -576,73 +589,75 @@
 // often held requests choose a server again. The positions of the gateways are evenly spread, so their slots
 // together admit the sum of their allowances.
 func (g *Gateway) admitsWarmUp(s *server) bool {
-	s.sends = slices.DeleteFunc(s.sends, func(t time.Duration) bool { return g.now-t > g.set.FallTime })
-	part := g.coldPart(s)
+	s.recentSends = slices.DeleteFunc(s.recentSends, func(t time.Duration) bool {
+		return g.now-t > g.settings.FallTime
+	})
+	part := g.warmUpAllowance(s)
 	whole := math.Floor(part)
-	if !g.tree {
+	if !g.largeFleet {
 		whole = max(1, whole) // all gateways receive reports of the load there
 	} else if g.warmUpSlot(s) < g.warmUpChance(part-whole) {
 		whole++
 	}
-	return float64(len(s.sends)) < whole
+	return float64(len(s.recentSends)) < whole
 }
 
 // warmUpSlot returns this gateway's position, from 0 to 1, in the order of the gateways that may send a cold
 // server a request in the current slot.
 func (g *Gateway) warmUpSlot(s *server) float64 {
-	turn := math.Floor(warmUpSlots * float64(max(0, g.now-s.Start)) / float64(max(1, g.set.FallTime)))
-	return fraction(s.place + turn*math.Phi)
+	turn := math.Floor(warmUpSlots * float64(max(0, g.now-s.Start)) / float64(max(1, g.settings.FallTime)))
+	return fractionalPart(s.warmUpRank + turn*math.Phi)
 }
 
-// pick chooses a server, or returns nil when none has room. Servers that are ejected for the class are
+// pick chooses a server, or returns nil when none has room. Servers that are out of use for the class are
 // skipped unless they are too many; a health monitor tries them now and then. A gateway of a small fleet
 // takes the best of a few random servers by predicted latency and zone cost.
 func (g *Gateway) pick(r *request) *server {
-	if s := g.trial(r); s != nil {
+	if s := g.trialServer(r); s != nil {
 		return s
 	}
-	if g.tree {
-		return g.draw(g.candidates(r))
+	if g.largeFleet {
+		return g.drawServer(g.candidates(r))
 	}
-	ok, doubted := g.sortOut(g.fleet, r)
-	if tooMany(doubted, ok) {
-		ok = append(ok, doubted...)
+	ok, outOfUse := g.partitionUsable(g.tracked, r)
+	if tooManyOutOfUse(outOfUse, ok) {
+		ok = append(ok, outOfUse...)
 	}
 	var best *server
-	low := math.Inf(1)
-	for k := 0; k < choices && len(ok) > 0; {
+	lowest := math.Inf(1)
+	for k := 0; k < serverChoices && len(ok) > 0; {
 		i := g.rng.IntN(len(ok))
 		s := ok[i]
 		ok = slices.Delete(ok, i, i+1)
 		if g.full(s) {
 			continue
 		}
-		p := g.predict(s, r.cl) * (1 - jitter/2 + jitter*g.rng.Float64())
+		p := g.predict(s, r.class) * (1 - predictionJitter/2 + predictionJitter*g.rng.Float64())
 		k++
-		if s.Zone != g.set.Zone {
-			p += r.cl.mean * g.set.CrossZoneCost * zonePrice
+		if s.Zone != g.settings.Zone {
+			p += r.class.meanLatency * g.settings.CrossZoneCost * zoneCostWeight
 		}
-		if p < low {
-			best, low = s, p
+		if p < lowest {
+			best, lowest = s, p
 		}
 	}
 	return best
 }
 
-// trialServer returns a server that is ejected for the request's class and due for a trial. Only its active
-// health monitor tries it.
-func (g *Gateway) trial(r *request) *server {
-	if r.attempts > 0 || r.cl.Effect == Unsafe {
+// trialServer returns a server that is out of use for the request's class and due for a trial. Only its
+// active health monitor tries it.
+func (g *Gateway) trialServer(r *request) *server {
+	if r.attempts > 0 || r.class.Effect == Unsafe {
 		return nil
 	}
-	for _, s := range g.fleet {
-		if g.outOfUse(s, r.cl) && g.judgeOf(s) == g.set.Me && g.usable(s, r) {
-			v := g.record(s, r.cl)
-			if g.now < v.trial {
+	for _, s := range g.tracked {
+		if g.outOfUse(s, r.class) && g.activeMonitor(s) == g.settings.Me && g.usable(s, r) {
+			v := g.healthOf(s, r.class)
+			if g.now < v.nextTrialAt {
 				continue
 			}
-			v.wait = min(2*v.wait+trialEvery, trialMost)
-			v.trial = g.now + v.wait
+			v.trialInterval = min(2*v.trialInterval+minTrialInterval, maxTrialInterval)
+			v.nextTrialAt = g.now + v.trialInterval
 			return s
 		}
 	}
@@ -650,53 +665,54 @@
 }
 
 // partitionUsable returns the servers that a request may use, and those that are excluded only because they
-// are ejected for its class.
-func (g *Gateway) sortOut(list []*server, r *request) (ok, doubted []*server) {
-	g.look(len(list))
+// are out of use for its class.
+func (g *Gateway) partitionUsable(list []*server, r *request) (ok, outOfUse []*server) {
+	g.countInspected(len(list))
 	for _, s := range list {
-		if s == r.last || !g.usable(s, r) {
+		if s == r.lastServer || !g.usable(s, r) {
 			continue
 		}
-		if g.outOfUse(s, r.cl) {
-			doubted = append(doubted, s)
+		if g.outOfUse(s, r.class) {
+			outOfUse = append(outOfUse, s)
 		} else {
 			ok = append(ok, s)
 		}
 	}
-	return ok, doubted
+	return ok, outOfUse
 }
 
-// tooManyEjected reports whether the share of ejected servers is so large that they are used all the same.
-func tooMany(doubted, ok []*server) bool {
-	return float64(len(doubted)) > mostOut*float64(len(ok)+len(doubted))
+// tooManyOutOfUse reports whether the share of servers out of use is so large that they are used all the
+// same.
+func tooManyOutOfUse(outOfUse, ok []*server) bool {
+	return float64(len(outOfUse)) > maxOutOfUseShare*float64(len(ok)+len(outOfUse))
 }
 
 // candidates returns the servers from which a gateway of a large fleet draws: the usable servers of its
-// subset. Where at least half of the subset is ejected, or no server of it is left, a set several times as
+// subset. Where at least half of the subset is out of use, or no server of it is left, a set several times as
 // large shows whether that holds for the whole fleet, and replaces the subset if no server of it is left. By
 // its subset alone a gateway would send all its traffic to the last few servers, which would fail under it. A
 // retry that must stay in its group goes to a part of that group.
 func (g *Gateway) candidates(r *request) []*server {
-	group := g.groupOf(r)
-	list := g.working
+	group := g.requiredGroup(r)
+	list := g.subset
 	if group != nil {
-		list = g.along(group, min(minSet, group.len()))
+		list = g.groupSample(group, min(minSubsetSize, group.len()))
 	}
-	ok, doubted := g.sortOut(list, r)
-	if len(ok) > len(doubted) {
+	ok, outOfUse := g.partitionUsable(list, r)
+	if len(ok) > len(outOfUse) {
 		return ok
 	}
 	if group != nil {
-		list = g.along(group, min(minSet*widerSet, group.len()))
+		list = g.groupSample(group, min(minSubsetSize*widerSubsetFactor, group.len()))
 	} else {
-		list = g.widerRuns()
+		list = g.widerSubset()
 	}
-	wideOK, wideDoubted := g.sortOut(list, r)
-	switch all := tooMany(wideDoubted, wideOK); {
-	case all && len(ok)+len(doubted) > 0:
-		return append(ok, doubted...)
+	wideOK, wideOutOfUse := g.partitionUsable(list, r)
+	switch all := tooManyOutOfUse(wideOutOfUse, wideOK); {
+	case all && len(ok)+len(outOfUse) > 0:
+		return append(ok, outOfUse...)
 	case all:
-		return append(wideOK, wideDoubted...)
+		return append(wideOK, wideOutOfUse...)
 	case len(ok) > 0:
 		return ok
 	}
@@ -705,9 +721,9 @@
 
 // subsetSize returns how many servers a gateway uses: enough to average out slow ones, and to put each server
 // into the subsets of several gateways, whose traffic differs.
-func (g *Gateway) setSize() float64 {
-	each := minSets * float64(g.live) / float64(g.set.Gateways)
-	return min(max(minSet, each), maxSet)
+func (g *Gateway) subsetSize() float64 {
+	perGateway := minSubsetsPerServer * float64(g.runningServers) / float64(g.settings.Gateways)
+	return min(max(minSubsetSize, perGateway), maxSubsetSize)
 }
 
 // chooseSubset picks the servers that this gateway of a large fleet uses. If every gateway used all servers,
@@ -716,28 +732,28 @@
 // Each gateway starts at another position, so all servers are in equally many subsets, give or take one for
 // each zone, and the loss of a zone never takes a whole subset. One server more or less changes at most two
 // members of a subset, and servers of a lost zone are replaced by more servers of the other zones.
-func (g *Gateway) keepTo() {
-	if !g.tree {
+func (g *Gateway) chooseSubset() {
+	if !g.largeFleet {
 		return
 	}
-	for _, s := range g.working {
-		s.kept = false
+	for _, s := range g.subset {
+		s.inSubset = false
 	}
-	g.working = g.runs(1)
-	for _, s := range g.working {
-		s.kept = true
+	g.subset = g.expandedSubset(1)
+	for _, s := range g.subset {
+		s.inSubset = true
 	}
 }
 
 // expandedSubset returns a set that is the given number of times as large as the subset.
-func (g *Gateway) runs(times float64) (list []*server) {
-	for _, z := range g.list.zones {
+func (g *Gateway) expandedSubset(factor float64) (list []*server) {
+	for _, z := range g.allServers.zones {
 		n := z.running.len()
-		part := g.setSize() * float64(n) / float64(max(1, g.live))
-		first := g.position(z.offset) * float64(n)
-		for next := int(first); next < min(int(first+part*times), int(first)+n); next++ {
-			s := g.meet(z.running.at(next % n))
-			s.place = fraction((float64(next) - first) / part)
+		runLength := g.subsetSize() * float64(n) / float64(max(1, g.runningServers))
+		first := g.ringPosition(z.offset) * float64(n)
+		for next := int(first); next < min(int(first+runLength*factor), int(first)+n); next++ {
+			s := g.track(z.running.at(next % n))
+			s.warmUpRank = fractionalPart((float64(next) - first) / runLength)
 			list = append(list, s)
 		}
 	}
@@ -747,50 +763,52 @@
 
 // widerSubset returns a set several times as large as the subset. Cold servers outside the subset are left
 // out: the gateways that have them in their subsets already send as much as they can handle.
-func (g *Gateway) widerRuns() []*server {
-	cold := func(s *server) bool { return !s.kept && g.warmUpFraction(s) < 1 }
-	return slices.DeleteFunc(g.runs(widerSet), cold)
+func (g *Gateway) widerSubset() []*server {
+	cold := func(s *server) bool { return !s.inSubset && g.warmUpFraction(s) < 1 }
+	return slices.DeleteFunc(g.expandedSubset(widerSubsetFactor), cold)
 }
 
 // drawServer chooses a server at random by its share of the fleet's capacity. Gateways of a large fleet don't
 // know the load at a server; if each took the best of a few, all would send to the same servers.
-func (g *Gateway) draw(ok []*server) *server {
+func (g *Gateway) drawServer(ok []*server) *server {
 	for _, s := range ok {
-		s.weight = g.sizeOf(s) / max(s.slow, 1) / float64(1+s.out)
-		if s.Zone != g.set.Zone {
-			s.weight *= otherZone
+		s.drawWeight = g.relativeSize(s) / max(s.relativeLatency, 1) / float64(1+s.inFlight)
+		if s.Zone != g.settings.Zone {
+			s.drawWeight *= otherZoneWeight
 		}
-		if cold := g.warmUpFraction(s); cold < 1 {
+		if warmUp := g.warmUpFraction(s); warmUp < 1 {
 			// A larger weight in this gateway's slots makes up for the slots in which it sends nothing.
-			s.weight *= cold / min(1, g.warmUpChance(g.coldPart(s)))
+			s.drawWeight *= warmUp / min(1, g.warmUpChance(g.warmUpAllowance(s)))
 		}
 	}
-	return g.byWeight(ok)
+	return g.drawByWeight(ok)
 }
 
-// recordOutcome updates the estimates of latency, error rate and load from an outcome.
-func (g *Gateway) judge(s *server, r *request, ev Outcome) {
+// recordOutcome updates the estimates of latency, failures and load from an outcome.
+func (g *Gateway) recordOutcome(s *server, r *request, ev Outcome) {
 	if ev.Code != Moot && ev.Code != Cancelled {
-		g.sight(s, r.cl, ev.Code, ev.Latency)
+		g.notifyMonitors(s, r.class, ev.Code, ev.Latency)
 	}
 	if ev.Code == OK || ev.Code == TimedOut {
-		g.loadRatio += loadRatioWeight * (min(1, ev.Latency.Seconds()/r.cl.Aim.Seconds()) - g.loadRatio)
+		g.loadRatio += loadRatioWeight * (min(1, ev.Latency.Seconds()/r.class.Aim.Seconds()) - g.loadRatio)
 	}
 	switch ev.Code {
 	case OK:
-		if v := g.record(s, r.cl); v != nil {
-			v.okAt = g.now
+		if v := g.healthOf(s, r.class); v != nil {
+			v.lastSuccessAt = g.now
 		}
-		base := (1 + queueWeight*r.load/g.sizeOf(s)) / g.warmUpFraction(s)
-		lat := ev.Latency.Seconds() / base
-		s.slow += g.own * (min(lat/r.cl.mean, maxPace) - s.slow)
-		g.mean += learnMean * (r.cl.mean - g.mean)
-		r.cl.seen++ // the first outcomes have a larger weight
-		r.cl.mean += max(learnMean, 1/(r.cl.seen+1)) * (min(lat, maxLatency*r.cl.mean) - r.cl.mean)
+		loadFactor := (1 + queueWeight*r.loadAtSend/g.relativeSize(s)) / g.warmUpFraction(s)
+		idleLatency := ev.Latency.Seconds() / loadFactor
+		s.relativeLatency += g.outcomeWeight *
+			(min(idleLatency/r.class.meanLatency, maxRelativeLatency) - s.relativeLatency)
+		g.meanLatency += classSampleWeight * (r.class.meanLatency - g.meanLatency)
+		r.class.outcomes++ // the first outcomes have a larger weight
+		r.class.meanLatency += max(classSampleWeight, 1/(r.class.outcomes+1)) *
+			(min(idleLatency, maxLatencyMeans*r.class.meanLatency) - r.class.meanLatency)
 	case Full:
 		// The server may turn away one plan only, so requests of this plan go elsewhere for a while.
-		s.fullAt[r.c.plan] = g.now + fullFor
-		g.taken = max(0, g.taken-1)
+		s.fullUntil[r.customer.plan] = g.now + fullServerBackoff
+		g.recentAccepted = max(0, g.recentAccepted-1)
 		g.loadRatio += loadRatioWeight * (1 - g.loadRatio)
 	}
 }
@@ -798,31 +816,34 @@
 // adaptAdmission changes the share of the requests that is admitted by the ratio of latencies to their aims
 // (load shedding). It protects against load on all servers that isn't reported to this gateway: silent peers,
 // slow fleets. It harms where aims are close to idle latencies.
-func (g *Gateway) adapt(dt time.Duration) {
-	if g.loadRatio > sheddingAim {
-		g.admitted = max(minAdmitted, g.admitted*math.Exp(-dt.Seconds()/sheddingTime.Seconds()))
+func (g *Gateway) adaptAdmission(dt time.Duration) {
+	if g.loadRatio > sheddingLoadRatio {
+		g.admittedFraction = max(minAdmitted,
+			g.admittedFraction*math.Exp(-dt.Seconds()/sheddingTime.Seconds()))
 	} else {
-		g.admitted = min(1, g.admitted+dt.Seconds()/recoveryTime.Seconds())
+		g.admittedFraction = min(1, g.admittedFraction+dt.Seconds()/recoveryTime.Seconds())
 	}
-	g.loadRatio *= math.Exp(-dt.Seconds() / loadRatioLife.Seconds())
+	g.loadRatio *= math.Exp(-dt.Seconds() / loadRatioDecayTime.Seconds())
 }
 
 // checkOverdue counts attempts that are far older than predicted as failed, and cancels those that can go
 // elsewhere. It protects against servers that accept requests and never answer. It harms when all servers
 // slow down at once, as far as the retry budget permits.
-func (g *Gateway) silence(s *server) {
-	for _, r := range slices.Clone(s.oldest) {
-		g.renew(r)
-		age := (g.now - r.sentAt).Seconds() / max(g.predict(s, r.cl), minLate*r.cl.Aim.Seconds())
-		v := g.record(s, r.cl)
-		if age < overdue || r.over || r.quit || r.stream || v != nil && v.okAt > r.sentAt {
+func (g *Gateway) checkOverdue(s *server) {
+	for _, r := range slices.Clone(s.inFlightRequests) {
+		g.renewLease(r)
+		age := (g.now - r.sentAt).Seconds() /
+			max(g.predict(s, r.class), minOverdueShare*r.class.Aim.Seconds())
+		v := g.healthOf(s, r.class)
+		if age < overdueFactor || r.closed || r.timedOut || r.streaming ||
+			v != nil && v.lastSuccessAt > r.sentAt {
 			continue
 		}
-		r.quit = true
-		g.sight(s, r.cl, TimedOut, g.now-r.sentAt)
-		if g.set.CanCancel && r.cl.Effect == Safe && g.budget >= 1 &&
-			(g.set.MaxAttempts == 0 || r.attempts < g.set.MaxAttempts) {
-			g.do(Cancel{ID: r.id, Attempt: r.attempts - 1})
+		r.timedOut = true
+		g.notifyMonitors(s, r.class, TimedOut, g.now-r.sentAt)
+		if g.settings.CanCancel && r.class.Effect == Safe && g.retryBudget >= 1 &&
+			(g.settings.MaxAttempts == 0 || r.attempts < g.settings.MaxAttempts) {
+			g.emit(Cancel{ID: r.id, Attempt: r.attempts - 1})
 		}
 	}
 }
@@ -831,90 +852,93 @@
 
 func (g *Gateway) onTick() {
 	dt := g.now - g.lastTick
-	g.lastTick, g.ticks = g.now, g.ticks+1
-	g.do(SetTimer{Token: "tick", After: g.tick})
-	if g.ticks%uint32(max(1, time.Second/g.tick)) == 0 {
-		g.watch()
-		g.forget()
-	}
-	fade := math.Exp(-float64(dt) / float64(max(1, g.set.FallTime)))
-	g.taken, g.draws, g.capacity = g.taken*fade, g.draws*fade, g.usableCapacity()
-	g.earn(dt)
-	g.sumLoads()
-	g.adapt(dt)
-	g.look(len(g.fleet))
-	for _, s := range g.fleet {
+	g.lastTick, g.tickCount = g.now, g.tickCount+1
+	g.emit(SetTimer{Token: "tick", After: g.tick})
+	if g.tickCount%uint32(max(1, time.Second/g.tick)) == 0 {
+		g.requestServerList()
+		g.dropUnused()
+	}
+	decay := math.Exp(-float64(dt) / float64(max(1, g.settings.FallTime)))
+	g.recentAccepted, g.recentDraws, g.capacity =
+		g.recentAccepted*decay, g.recentDraws*decay, g.usableCapacity()
+	g.accrueCredit(dt)
+	g.sumPeerLoads()
+	g.adaptAdmission(dt)
+	g.countInspected(len(g.tracked))
+	for _, s := range g.tracked {
 		// A server without attempts yields no new observations, so the old ones decay.
-		s.wear(min(1, dt.Seconds()/slowSpan.Seconds()))
-		g.silence(s)
-		if slices.Contains(s.watchers[:], g.set.Me) {
-			g.tell(s)
+		s.decay(min(1, dt.Seconds()/serverStateDecayTime.Seconds()))
+		g.checkOverdue(s)
+		if slices.Contains(s.monitors[:], g.settings.Me) {
+			g.sendVerdict(s)
 		}
 	}
-	g.measure(dt)
-	for _, c := range slices.Clone(g.waiting) {
+	g.updateMeans(dt)
+	for _, c := range slices.Clone(g.waitingCustomers) {
 		g.advance(c)
-		g.age(c)
+		g.refuseExpired(c)
 		for _, r := range c.held {
-			g.renew(r)
+			g.renewLease(r)
 		}
 		if len(c.held) == 0 {
 			continue
 		}
 		n := 1 << 30
 		if c.plan.Open > 0 {
-			out, held := g.others(c)
+			out, held := g.peerCounts(c)
 			mine := float64(len(c.held))
-			part := (float64(c.plan.Open) - float64(c.out) - out) * mine / (mine + held)
+			part := (float64(c.plan.Open) - float64(c.inFlight) - out) * mine / (mine + held)
 			n = int(math.Floor(max(part, 0) + g.rng.Float64()))
 		}
-		g.drain(c, n)
+		g.sendHeld(c, n)
 	}
-	if g.set.CanTell && (!g.tree || g.ticks%rootTicks == 0) {
-		g.report()
+	if g.settings.CanTell && (!g.largeFleet || g.tickCount%rootReportTicks == 0) {
+		g.sendReports()
 	}
 	// Each end is sent twice: the root would count the attempt until the client's deadline if it missed it.
-	g.endsAgain()
+	g.resendEnds()
 }
 
 // refuseExpired refuses held requests that can no longer meet their aim, while a retry can still help, and in
 // any case before the deadline.
-func (g *Gateway) age(c *customer) {
+func (g *Gateway) refuseExpired(c *customer) {
 	for _, r := range slices.Clone(c.held) {
-		if g.now-r.arrived > time.Duration(holdAim*float64(r.cl.Aim)) || g.now+2*g.tick >= r.deadline {
+		if g.now-r.arrivedAt > time.Duration(maxHoldShare*float64(r.class.Aim)) ||
+			g.now+2*g.tick >= r.deadline {
 			g.refuse(r)
 		}
 	}
 }
 
 // needsReport reports whether peers must receive a report of the customer.
-func (c *customer) news() bool {
-	return len(c.set) > 0 && (c.out > 0 || c.mean > 0 || len(c.held) > 0 || c.fresh > 0)
+func (c *customer) needsReport() bool {
+	return len(c.peerViews) > 0 &&
+		(c.inFlight > 0 || c.meanInFlight > 0 || len(c.held) > 0 || c.reportTicksLeft > 0)
 }
 
-// reportPriority orders the customers of a report, the busiest first: by held requests, by unreported units
+// reportUrgency orders the customers of a report, the busiest first: by held requests, by unreported units
 // relative to the token bucket's size, and by the time since the last report.
-func (g *Gateway) urgent(c *customer) float64 {
-	units := float64(c.passed-c.toldUnits) / (c.plan.Burst + 1)
-	return float64(len(c.held)) + units + untold*float64(g.ticks-c.told)
+func (g *Gateway) reportUrgency(c *customer) float64 {
+	units := float64(c.admittedUnits-c.reportedUnits) / (c.plan.Burst + 1)
+	return float64(len(c.held)) + units + unreportedTickWeight*float64(g.tickCount-c.lastReportTick)
 }
 
 // applyEntry applies a peer's report entry on a customer. Running totals make up for lost reports. A total
 // that jumps implausibly, since the peer has restarted, is a new baseline.
-func (g *Gateway) hear(c *customer, p *peer, e entry) {
-	i := slices.IndexFunc(c.set, func(v *peerView) bool { return v.p == p })
+func (g *Gateway) applyEntry(c *customer, p *peer, e customerEntry) {
+	i := slices.IndexFunc(c.peerViews, func(v *peerView) bool { return v.peer == p })
 	if i < 0 {
 		return
 	}
 	g.advance(c)
-	v := c.set[i]
-	passed, met := v.read(e, p.inc, g.now)
+	v := c.peerViews[i]
+	passed, newTotals := v.update(e, p.incarnation, g.now)
 	c.tokens = min(c.plan.Burst, max(0, c.tokens-passed))
 	// A peer whose totals are new here has used the token bucket, or has reports of those who did. The lower
 	// estimate counts, and the peer gets this gateway's estimate once. This protects against a token bucket
 	// that is full at one gateway only.
-	if (met || !c.known) && e.tokens != unknownTokens {
-		c.known, c.fresh = true, max(c.fresh, 1)
+	if (newTotals || !c.tokensKnown) && e.tokens != unknownTokens {
+		c.tokensKnown, c.reportTicksLeft = true, max(c.reportTicksLeft, 1)
 		c.tokens = min(c.tokens, float64(e.tokens)/250*c.plan.Burst)
 	}
 }
@@ -922,100 +946,100 @@
 // askRoot asks the customer's root to admit a request and waits for the answer. It asks again if ask or
 // answer is lost, and then asks the deputy. If neither answers, the request may pass without an answer, and
 // at once where this gateway receives from no peer: lost roots must not stop customers within their quotas.
-func (g *Gateway) ask(r *request) {
-	c, to := r.c, g.set.Me
-	if len(c.ask) > 0 { // a change of the plan may have made this gateway the root
-		if to = c.ask[0]; r.asked == rootAsks || g.gone(to) {
-			to = c.ask[1]
+func (g *Gateway) askRoot(r *request) {
+	c, to := r.customer, g.settings.Me
+	if len(c.rootAndDeputy) > 0 { // a change of the plan may have made this gateway the root
+		if to = c.rootAndDeputy[0]; r.askCount == maxRootAsks || g.isAbsent(to) {
+			to = c.rootAndDeputy[1]
 		}
 	}
-	t := g.toPeer(to, r)
-	delete(g.asks, r.tag)
-	isolated := r.asked == 0 && to != g.set.Me && g.isolated()
+	t := g.tableFor(to, r)
+	delete(g.asksByTag, r.tag)
+	isolated := r.askCount == 0 && to != g.settings.Me && g.isolated()
 	if isolated && t != nil { // a root that gets it counts it and answers
 		r.tag = g.newTag(t)
-		g.do(Tell{To: to, Data: encode(g.askOf(r, t))})
+		g.emit(Tell{To: to, Data: encode(g.newAsk(r, t))})
 	}
-	late := g.now+2*g.set.Resolution >= r.deadline
-	if isolated || r.asked > rootAsks || t == nil && to != g.set.Me || late {
-		if r.waits || c.plan.HardRate > 0 || !g.within(r) || !g.alone(r) || !g.try(r) {
+	nearDeadline := g.now+2*g.settings.Resolution >= r.deadline
+	if isolated || r.askCount > maxRootAsks || t == nil && to != g.settings.Me || nearDeadline {
+		if r.heldAtRoot || c.plan.HardRate > 0 || !g.withinQuota(r) || !g.admitAlone(r) || !g.trySend(r) {
 			g.refuse(r)
 		}
 		return
 	}
-	if to == g.set.Me {
+	if to == g.settings.Me {
 		g.admit(r)
 		return
 	}
-	if r.asked != 1 || r.root != to || r.by != t { // a repeated ask keeps its tag
-		r.tag, r.by = g.newTag(t), t
+	if r.askCount != 1 || r.root != to || r.table != t { // a repeated ask keeps its tag
+		r.tag, r.table = g.newTag(t), t
 	}
 	r.root, r.askedAt = to, g.now
-	r.asked++
-	wait := max(minReply, time.Duration(replySpread*float64(g.reply)))
-	r.until = min(g.now+wait, r.deadline-2*g.set.Resolution)
-	g.asks[r.tag] = r
-	g.asking = append(g.asking, r)
-	g.do(Tell{To: r.root, Data: encode(g.askOf(r, t))})
-	g.do(SetTimer{Token: "ask", After: r.until - g.now})
+	r.askCount++
+	wait := max(minReplyTimeout, time.Duration(replyTimeoutFactor*float64(g.meanReplyTime)))
+	r.answerDue = min(g.now+wait, r.deadline-2*g.settings.Resolution)
+	g.asksByTag[r.tag] = r
+	g.pendingAsks = append(g.pendingAsks, r)
+	g.emit(Tell{To: r.root, Data: encode(g.newAsk(r, t))})
+	g.emit(SetTimer{Token: "ask", After: r.answerDue - g.now})
 }
 
-// isolated reports whether no peer can be heard, so that asks to a root would be lost.
-func (g *Gateway) isolated() bool { return g.tree && g.unheard >= isolatedAfter }
+// isolated reports whether no message from any peer arrives, so that asks to a root would be lost.
+func (g *Gateway) isolated() bool { return g.largeFleet && g.unansweredAsks >= isolatedAfterAsks }
 
 // admitAlone decides whether a request passes without a root's answer. As many first tries pass as roots
 // recently granted; the less credit is left, the higher the value of a request must be. Servers and quotas
 // thus see the same total as before. It harms where demand changes meanwhile.
-func (g *Gateway) alone(r *request) bool {
-	q := r.c.plan
-	worth := q.fits + (1-q.fits)*(q.BeyondEarns-q.BeyondCosts)
-	pass := !r.repeat && g.credit >= 1 && worth > 1-g.credit/g.maxCredit()
+func (g *Gateway) admitAlone(r *request) bool {
+	q := r.customer.plan
+	value := q.admittedShare + (1-q.admittedShare)*(q.BeyondEarns-q.BeyondCosts)
+	pass := !r.clientRetry && g.isolationCredit >= 1 && value > 1-g.isolationCredit/g.maxCredit()
 	if pass {
-		g.credit--
+		g.isolationCredit--
 	}
 	return pass
 }
 
 // onAsk counts a request of another gateway as if it had arrived here.
-func (g *Gateway) onAsk(from int, m ask, plan *quota, cl *class) {
+func (g *Gateway) onAsk(from int, m askMessage, plan *quota, cl *class) {
 	c := g.customers[m.Customer]
-	fresh := c == nil
-	if fresh {
-		c = g.account(m.Customer, plan, int(m.First), int(m.Spread))
+	created := c == nil
+	if created {
+		c = g.newCustomer(m.Customer, plan, int(m.First), int(m.Spread))
 	}
 	// A deputy uses the fill that the root it replaces last reported.
-	if m.Fill != unknownTokens && (fresh || len(c.ask) > 0) {
-		c.tokens = min(c.tokens, float64(m.Fill)/250*c.plan.Burst)
+	if m.TokenFill != unknownTokens && (created || len(c.rootAndDeputy) > 0) {
+		c.tokens = min(c.tokens, float64(m.TokenFill)/250*c.plan.Burst)
 	}
 	// The ask is a repetition: the first answer was lost.
-	if l, ok := c.leases[lease{from, m.Tag}]; ok {
-		g.answer(l.r, granted)
+	if l, ok := c.leases[leaseKey{from, m.Tag}]; ok {
+		g.sendAnswer(l.request, answerGranted)
 		return
 	}
-	if i := c.heldFor(from, m.Tag); i >= 0 {
-		g.answer(c.held[i], waits)
+	if i := c.heldIndex(from, m.Tag); i >= 0 {
+		g.sendAnswer(c.held[i], answerHeld)
 		return
 	}
 	g.advance(c)
-	c.seen, c.sums = g.now, true
-	c.rate += float64(m.Units) * 250 / float64(max(1, m.Thin))
-	g.admit(g.requestOf(c, from, cl, m))
+	c.lastRequestAt, c.actsAsRoot = g.now, true
+	c.recentUnits += float64(m.Units) * 250 / float64(max(1, m.AskChance))
+	g.admit(g.newRemoteRequest(c, from, cl, m))
 }
 
 // grant counts another gateway's request and tells that gateway to send it.
 func (g *Gateway) grant(r *request) {
-	c := r.c
-	c.take(r)
-	c.leases[lease{r.root, r.tag}] = leased{g.leaseDue(c, r.deadline), r}
-	c.count(g.now, 1)
-	r.counted, r.over = true, true
-	g.answer(r, granted)
+	c := r.customer
+	c.takeTokens(r)
+	c.leases[leaseKey{r.root, r.tag}] = activeLease{g.leaseExpiry(c, r.deadline), r}
+	c.addInFlight(g.now, 1)
+	r.charged, r.closed = true, true
+	g.sendAnswer(r, answerGranted)
 }
 
 // leaseExpiry returns when a granted attempt stops counting unless its lease is renewed. Gateways renew the
 // lease of an attempt under a cap while it is in flight or waits for a server. Otherwise the loss of the
 // message that reports its end would leave its place taken.
-func (g *Gateway) leaseDue(c *customer, deadline time.Duration) time.Duration {
+func (g *Gateway) leaseExpiry(c *customer, deadline time.Duration) time.Duration {
 	if c.plan.Open == 0 {
 		return deadline
 	}
@@ -1024,71 +1048,73 @@
 
 // renewLease renews the lease of a granted request under a cap, in flight or held, at each tick from one tick
 // after the grant.
-func (g *Gateway) renew(r *request) {
-	if !r.granted || r.asked == 0 || r.over || r.c.plan.Open == 0 || g.now-r.askedAt < g.tick {
+func (g *Gateway) renewLease(r *request) {
+	if !r.granted || r.askCount == 0 || r.closed || r.customer.plan.Open == 0 || g.now-r.askedAt < g.tick {
 		return
 	}
-	if t := g.toPeer(r.root, r); t != nil {
-		g.sendEnd(end{r.c, r.root, encode(stillOut(g.askOf(r, t)))})
+	if t := g.tableFor(r.root, r); t != nil {
+		g.sendEnd(attemptEnd{r.customer, r.root, encode(stillInFlight(g.newAsk(r, t)))})
 	}
 }
 
-// onLeaseRenewal extends the lease of another gateway's attempt. If the lease has expired, or was granted
+// onStillInFlight extends the lease of another gateway's attempt. If the lease has expired, or was granted
 // before this gateway started, the attempt is counted again.
-func (g *Gateway) onStill(from int, m ask, plan *quota) {
+func (g *Gateway) onStillInFlight(from int, m askMessage, plan *quota) {
 	c := g.customers[m.Customer]
 	if c == nil {
-		c = g.account(m.Customer, plan, int(m.First), int(m.Spread))
+		c = g.newCustomer(m.Customer, plan, int(m.First), int(m.Spread))
 	}
-	l, known := c.leases[lease{from, m.Tag}]
+	l, known := c.leases[leaseKey{from, m.Tag}]
 	if !known {
-		l = g.grantOf(c, handedGrant{uint16(from), m.Tag, m.Units, m.Left})
-		c.count(g.now, 1)
+		l = g.leaseOf(c, transferredGrant{uint16(from), m.Tag, m.Units, m.RemainingMS})
+		c.addInFlight(g.now, 1)
 	}
-	l.until = g.leaseDue(c, g.now+time.Duration(m.Left)*time.Millisecond)
-	c.leases[lease{from, m.Tag}], c.sums, c.seen = l, true, g.now
+	l.until = g.leaseExpiry(c, g.now+time.Duration(m.RemainingMS)*time.Millisecond)
+	c.leases[leaseKey{from, m.Tag}], c.actsAsRoot, c.lastRequestAt = l, true, g.now
 }
 
 // sendAnswer answers another gateway's ask. The answer also reports the token bucket's fill, the load ratio
 // and the share of asks that fits the quota.
-func (g *Gateway) answer(r *request, v byte) {
-	fill := small(250 * max(0, r.c.tokens) / max(1, r.c.plan.Burst))
+func (g *Gateway) sendAnswer(r *request, decision byte) {
+	fill := toByte(250 * max(0, r.customer.tokens) / max(1, r.customer.plan.Burst))
 	part := 1.0
-	if r.c.tokens < retryReserve*r.c.plan.Burst {
-		part = min(1, r.c.plan.Rate*demandSpan.Seconds()/max(r.c.rate, 1))
+	if r.customer.tokens < retryReserve*r.customer.plan.Burst {
+		part = min(1, r.customer.plan.Rate*demandDecayTime.Seconds()/max(r.customer.recentUnits, 1))
 	}
-	g.do(Tell{To: r.root, Data: encode(answer{r.tag, v, fill, small(100 * g.loadRatio), small(250 * part)})})
+	g.emit(Tell{To: r.root, Data: encode(answerMessage{r.tag, decision, fill, toByte(100 * g.loadRatio),
+		toByte(250 * part)})})
 }
 
-func (g *Gateway) onAnswer(from int, m answer) {
-	r := g.asks[m.Tag]
-	if r == nil || r.root != from || r.over {
+func (g *Gateway) onAnswer(from int, m answerMessage) {
+	r := g.asksByTag[m.Tag]
+	if r == nil || r.root != from || r.closed {
 		return
 	}
-	c := r.c
-	if !r.waits {
-		g.reply += time.Duration(learn * float64(g.now-r.askedAt-g.reply))
+	c := r.customer
+	if !r.heldAtRoot {
+		g.meanReplyTime += time.Duration(latencySampleWeight * float64(g.now-r.askedAt-g.meanReplyTime))
 	}
 	g.advance(c)
-	g.loadRatio += loadRatioWeight * (float64(m.Strain)/100 - g.loadRatio)
-	c.part, c.partAt = float64(m.Part)/250, g.now
-	c.tokens, c.told = float64(m.Fill)/250*c.plan.Burst, g.ticks+1
-	if m.Verdict == waits {
-		r.waits, r.until = true, min(r.arrived+time.Duration(holdAim*float64(r.cl.Aim)), r.deadline-g.tick)
-		g.do(SetTimer{Token: "ask", After: max(g.set.Resolution, r.until-g.now)})
+	g.loadRatio += loadRatioWeight * (float64(m.LoadRatio)/100 - g.loadRatio)
+	c.fittingShare, c.fittingShareAt = float64(m.FittingShare)/250, g.now
+	c.tokens, c.lastReportTick = float64(m.TokenFill)/250*c.plan.Burst, g.tickCount+1
+	if m.Verdict == answerHeld {
+		r.heldAtRoot, r.answerDue = true,
+			min(r.arrivedAt+time.Duration(maxHoldShare*float64(r.class.Aim)), r.deadline-g.tick)
+		g.emit(SetTimer{Token: "ask", After: max(g.settings.Resolution, r.answerDue-g.now)})
 		return
 	}
-	delete(g.asks, m.Tag)
-	if m.Verdict != granted {
-		g.letIn(r, 0)
-		r.asked = 0 // no gateway counts it
+	delete(g.asksByTag, m.Tag)
+	if m.Verdict != answerGranted {
+		g.learnGrant(r, 0)
+		r.askCount = 0 // no gateway counts it
 		g.refuse(r)
 		return
 	}
-	g.letIn(r, 1)
-	if r.granted = true; !g.within(r) {
+	g.learnGrant(r, 1)
+	if r.granted = true; !g.withinQuota(r) {
 		g.refuse(r)
-	} else if !g.try(r) {
+	} else if !g.trySend(r) {
 		g.hold(r)
 	}
 }
@@ -1099,59 +1125,63 @@
 
 // observeOutcome adds an outcome to the monitor's state of a server. A server that turns requests away counts
 // as very slow, so that it gets few more until it answers.
-func (g *Gateway) gather(s *server, class int, code Code, latency time.Duration) {
-	v, mean := &s.by[class], g.classes[g.set.Classes[class].Name].mean
-	seen := min(latency.Seconds()/mean*g.warmUpFraction(s), maxPace)
+func (g *Gateway) observeOutcome(s *server, class int, code Code, latency time.Duration) {
+	v, mean := &s.health[class], g.classes[g.settings.Classes[class].Name].meanLatency
+	relative := min(latency.Seconds()/mean*g.warmUpFraction(s), maxRelativeLatency)
 	switch code {
 	case OK:
-		v.errs *= 1 - sightWeight
-		if v.bad {
-			v.errs, v.wait = v.errs*trialWorth, 0
+		v.failureAverage *= 1 - failureWeight
+		if v.outOfUse {
+			v.failureAverage, v.trialInterval = v.failureAverage*trialSuccessFactor, 0
 		}
 	case Full:
-		seen = maxPace
+		relative = maxRelativeLatency
 	case ConnectFailed:
-		for i := range s.by {
-			s.by[i].errs += 2 * sightWeight * (1 - s.by[i].errs)
+		for i := range s.health {
+			s.health[i].failureAverage += 2 * failureWeight * (1 - s.health[i].failureAverage)
 		}
 	default:
-		for i := range s.by { // other classes may be affected too
-			s.by[i].errs += sightWeight / 2 * (1 - s.by[i].errs)
+		for i := range s.health { // other classes may be affected too
+			s.health[i].failureAverage += failureWeight / 2 * (1 - s.health[i].failureAverage)
 		}
-		v.errs += sightWeight / 2 * (1 - v.errs)
-		seen = max(seen, s.pace)
+		v.failureAverage += failureWeight / 2 * (1 - v.failureAverage)
+		relative = max(relative, s.monitoredLatency)
 	}
-	s.pace += paceLearn * (seen - s.pace)
-	g.tell(s)
+	s.monitoredLatency += monitorSampleWeight * (relative - s.monitoredLatency)
+	g.sendVerdict(s)
 }
 
 // sendVerdict sends all gateways what has changed about a server that this gateway monitors, and repeats a
-// verdict that keeps it ejected. Each verdict goes to every gateway, so all monitors together are limited to
-// a share of the datagram budget.
-func (g *Gateway) tell(s *server) {
-	each := g.set.DatagramsPerSecond * verdictShare / float64(max(1, len(g.fleet), g.list.len()))
-	s.verdicts = min(verdictKeep, s.verdicts+each*(g.now-s.verdictAt).Seconds())
-	s.verdictAt = g.now
-	first := g.judgeOf(s) == g.set.Me
-	if !first || !g.tree {
-		s.pace = s.slow // the second monitor observes only failures to connect
-	}
-	told, bad, until := s.masks(func(v *record) bool {
-		return v.errs > sightLimit || v.bad && (!first || v.errs > sightLimit/2)
+// verdict that keeps it out of use. Each verdict goes to every gateway, so all monitors together are limited
+// to a share of the datagram budget.
+func (g *Gateway) sendVerdict(s *server) {
+	budgetRate := g.settings.DatagramsPerSecond * verdictBudgetShare /
+		float64(max(1, len(g.tracked), g.allServers.len()))
+	s.verdictBudget = min(maxVerdictBudget, s.verdictBudget+budgetRate*(g.now-s.verdictBudgetAt).Seconds())
+	s.verdictBudgetAt = g.now
+	active := g.activeMonitor(s) == g.settings.Me
+	if !active || !g.largeFleet {
+		s.monitoredLatency = s.relativeLatency // the second monitor observes only failures to connect
+	}
+	announced, outOfUse, until := s.outOfUseMasks(func(v *classHealth) bool {
+		return v.failureAverage > maxFailureAverage ||
+			v.outOfUse && (!active || v.failureAverage > maxFailureAverage/2)
 	})
-	change := g.tree && max(s.pace/s.slow, s.slow/s.pace) > paceStep
-	again := first && bad != 0 && until-g.now < verdictLife/4
-	if s.verdicts < 1 || bad == told && !change && !again {
+	changed := g.largeFleet &&
+		max(s.monitoredLatency/s.relativeLatency, s.relativeLatency/s.monitoredLatency) > latencyChangeFactor
+	resend := active && outOfUse != 0 && until-g.now < verdictLifetime/4
+	if s.verdictBudget < 1 || outOfUse == announced && !changed && !resend {
 		return
 	}
-	m := verdict{Server: uint32(s.ID), Bad: bad, Pace: paceByte(s.pace)}
-	g.onVerdict(m, bad)
-	if g.tree {
-		s.verdicts--
-		g.do(Tell{To: -1, Data: encode(g.marked(m))})
+	m := verdictMessage{Server: uint32(s.ID), OutOfUse: outOfUse,
+		RelativeLatency: encodeRelativeLatency(s.monitoredLatency)}
+	g.onVerdict(m, outOfUse)
+	if g.largeFleet {
+		s.verdictBudget--
+		g.emit(Tell{To: -1, Data: encode(g.withMark(m))})
 	}
 }
 
 // encodeRelativeLatency encodes a relative latency for a message, in steps of 1/16 of its log2.
-func paceByte(pace float64) byte { return small(16 * (4 + math.Log2(max(pace, 0.1)))) }
-func paceOf(b byte) float64      { return math.Exp2(float64(b)/16 - 4) }
+func encodeRelativeLatency(pace float64) byte { return toByte(16 * (4 + math.Log2(max(pace, 0.1)))) }
+func decodeRelativeLatency(b byte) float64    { return math.Exp2(float64(b)/16 - 4) }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -320,13 +320,13 @@
 }
 
 // hear gives a gateway a peer's report.
-func (w *world) hear(from int, inc, seq uint32, complete bool, entries ...entry) {
-	m := report{inc: inc, seq: seq, complete: complete, customers: entries}
+func (w *world) hear(from int, inc, seq uint32, complete bool, entries ...customerEntry) {
+	m := report{incarnation: inc, seq: seq, complete: complete, customers: entries}
 	w.do(PeerMessage{From: from, Data: m.encode()})
 }
 
 func hashOf(name string) uint32 {
-	return shortOf(keyOf(name))
+	return shortHash(customerKey(name))
 }
 
 func TestHoldsBeyondTheCapInOrder(t *testing.T) {
@@ -353,7 +353,7 @@
 	w := newWorld(t, base(), fleet(8))
 	s := w.send("safe", "open")
 	w.end(s, 0, OK)
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, tokens: unknownTokens})
+	w.hear(1, 1, 1, true, customerEntry{hash: hashOf("c"), inFlight: 6, tokens: unknownTokens})
 	if _, acts := w.ask("safe", "open", "c", 1); len(acts) != 0 {
 		t.Fatalf("the peer has 2 out under a cap of 2, yet %v", acts)
 	}
@@ -391,26 +391,26 @@
 		most int
 	}{
 		{"told", func(w *world) {
-			w.hear(1, 1, 2, true, entry{hash: hashOf("c"), passed: 8, tokens: unknownTokens})
+			w.hear(1, 1, 2, true, customerEntry{hash: hashOf("c"), admittedUnits: 8, tokens: unknownTokens})
 		}, 2},
 		{"repeated", func(w *world) {
 			for range 3 {
-				w.hear(1, 1, 2, true, entry{hash: hashOf("c"), passed: 4, tokens: unknownTokens})
+				w.hear(1, 1, 2, true, customerEntry{hash: hashOf("c"), admittedUnits: 4, tokens: unknownTokens})
 			}
 		}, 6},
 		{"lost, then told", func(w *world) {
-			w.hear(1, 1, 9, true, entry{hash: hashOf("c"), passed: 8, tokens: unknownTokens})
-			w.hear(1, 1, 3, true, entry{hash: hashOf("c"), passed: 4, tokens: unknownTokens})
+			w.hear(1, 1, 9, true, customerEntry{hash: hashOf("c"), admittedUnits: 8, tokens: unknownTokens})
+			w.hear(1, 1, 3, true, customerEntry{hash: hashOf("c"), admittedUnits: 4, tokens: unknownTokens})
 		}, 2},
 		{"restarted", func(w *world) {
-			w.hear(1, 2, 1, true, entry{hash: hashOf("c"), passed: 8, tokens: unknownTokens})
+			w.hear(1, 2, 1, true, customerEntry{hash: hashOf("c"), admittedUnits: 8, tokens: unknownTokens})
 		}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, base(), fleet(8))
 			w.spend(1, "rate")
 			w.pass(600 * ms)
-			w.hear(1, 1, 1, true, entry{hash: hashOf("c"), tokens: unknownTokens})
+			w.hear(1, 1, 1, true, customerEntry{hash: hashOf("c"), tokens: unknownTokens})
 			c.tell(w)
 			if n := w.spend(30, "rate"); n > c.most || n == 0 && c.most > 3 {
 				t.Fatalf("%d units passed, at most %d are left", n, c.most)
@@ -422,7 +422,7 @@
 func TestRestartAdoptsPeersStore(t *testing.T) {
 	w := newWorld(t, base(), fleet(8))
 	w.spend(1, "rate")
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), passed: 100, tokens: 25})
+	w.hear(1, 1, 1, true, customerEntry{hash: hashOf("c"), admittedUnits: 100, tokens: 25})
 	if n := w.spend(20, "rate"); n > 1 {
 		t.Fatalf("%d units passed though a peer knows of one", n)
 	}
@@ -431,7 +431,7 @@
 func TestSilentPeerNeitherFreesNorBlocks(t *testing.T) {
 	w := newWorld(t, base(), fleet(8))
 	w.spend(1, "open")
-	w.hear(1, 1, 1, true, entry{hash: hashOf("c"), out: 6, held: 3, tokens: unknownTokens})
+	w.hear(1, 1, 1, true, customerEntry{hash: hashOf("c"), inFlight: 6, held: 3, tokens: unknownTokens})
 	w.pass(3 * time.Second)
 	if n := w.spend(1, "open"); n != 1 {
 		t.Fatal("a silent peer's old count blocks the customer")
@@ -564,7 +564,7 @@
 		}
 	}
 	w.end(s, 0, OK)
-	if acts := w.end(s, 0, OK); len(acts) != 0 || w.g.fleet[0].out+w.g.fleet[1].out+w.g.fleet[2].out != 0 {
+	if acts := w.end(s, 0, OK); len(acts) != 0 || w.g.tracked[0].inFlight+w.g.tracked[1].inFlight+w.g.tracked[2].inFlight != 0 {
 		t.Errorf("a second outcome led to %v", acts)
 	}
 }
@@ -638,8 +638,8 @@
 }
 
 func FuzzPeerMessage(f *testing.F) {
-	f.Add((&report{inc: 1, seq: 2, complete: true, servers: []serverOut{{1, 2}},
-		customers: []entry{{hash: 3}, {hash: 5}}}).encode())
+	f.Add((&report{incarnation: 1, seq: 2, complete: true, servers: []serverInFlight{{1, 2}},
+		customers: []customerEntry{{hash: 3}, {hash: 5}}}).encode())
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		w := newWorld(t, base(), fleet(2))
@@ -803,14 +803,14 @@
 		w.end(of[Send](acts)[0], 0, OK)
 		w.now += 20 * ms
 	}
-	c := w.g.customers[keyOf("7")]
+	c := w.g.customers[customerKey("7")]
 	c.tokens = -500 // settled: not full for long
 	w.pass(forgetAfter + 3*time.Second)
 	w.spend(1, "rate")
 	if n := len(w.g.customers); n != 2 || w.g.customers[c.key] != c {
 		t.Fatalf("%d customers known, want 2", n)
 	}
-	if n := len(w.g.customers) + len(w.g.ring) + len(w.g.byHash) + len(w.g.peers[1].views); n != 8 {
+	if n := len(w.g.customers) + len(w.g.customerList) + len(w.g.customersByHash) + len(w.g.peers[1].views); n != 8 {
 		t.Fatalf("%d places still name customers, want 8", n)
 	}
 }
@@ -820,11 +820,11 @@
 func TestTotalThatBeginsAnewGrantsNothing(t *testing.T) {
 	w := newWorld(t, base(), fleet(2))
 	w.spend(1, "rate")
-	c := w.g.customers[keyOf("c")]
+	c := w.g.customers[customerKey("c")]
 	seq := uint32(0)
 	say := func(passed byte, anew bool) float64 {
 		seq++
-		m := report{inc: 9, seq: seq, complete: true, customers: []entry{{hash: c.hash, passed: passed, anew: anew, tokens: unknownTokens}}}
+		m := report{incarnation: 9, seq: seq, complete: true, customers: []customerEntry{{hash: c.hash, admittedUnits: passed, restarted: anew, tokens: unknownTokens}}}
 		w.g.advance(c)
 		before := c.tokens
 		w.do(PeerMessage{From: 1, Data: m.encode()})
@@ -836,7 +836,7 @@
 	if d := say(5, true); d != 2 {
 		t.Errorf("%v units taken off when the total goes from 3 to 5", d)
 	}
-	w.pass(anewFor + time.Second)
+	w.pass(totalRestartWindow + time.Second)
 	if d := say(1, true); d != 1 {
 		t.Errorf("%v units taken off when a total begins anew with 1", d)
 	}
@@ -847,8 +847,8 @@
 	w := newWorld(t, base(), fleet(2))
 	w.pass(5 * time.Second)
 	w.spend(1, "rate")
-	c := w.g.customers[keyOf("c")]
-	m := report{inc: 9, seq: 1, complete: true, customers: []entry{{hash: c.hash, passed: 144, tokens: 50}}}
+	c := w.g.customers[customerKey("c")]
+	m := report{incarnation: 9, seq: 1, complete: true, customers: []customerEntry{{hash: c.hash, admittedUnits: 144, tokens: 50}}}
 	w.do(PeerMessage{From: 1, Data: m.encode()})
 	if c.tokens > 2 {
 		t.Errorf("%v units in the store that a peer holds to have 2", c.tokens)
@@ -865,8 +865,8 @@
 			{ID: ServerID(i + 3), Zone: "a", Weight: 1}, {ID: ServerID(i + 2), State: Removed}}})
 	}
 	w.pass(forgetAfter + 2*time.Second)
-	if len(w.g.fleet) != 2 || len(w.g.servers) != 2 || w.g.live != 2 || w.g.size != 1 {
-		t.Errorf("%d and %d servers kept, %d live, of mean size %v; want 2 of 1", len(w.g.fleet), len(w.g.servers), w.g.live, w.g.size)
+	if len(w.g.tracked) != 2 || len(w.g.trackedByID) != 2 || w.g.runningServers != 2 || w.g.meanWeight != 1 {
+		t.Errorf("%d and %d servers kept, %d live, of mean size %v; want 2 of 1", len(w.g.tracked), len(w.g.trackedByID), w.g.runningServers, w.g.meanWeight)
 	}
 }
 
@@ -909,12 +909,12 @@
 	}
 	w.pass(time.Second)
 	w.do(Members{Kind: Changes, Servers: one(Running, 0)})
-	if _, acts := w.ask("safe", "free", "c", 1); len(of[Send](acts)) != 1 || w.g.warmUpFraction(w.g.servers[1]) != 1 {
-		t.Errorf("%v, capacity %v once it is back", acts, w.g.warmUpFraction(w.g.servers[1]))
+	if _, acts := w.ask("safe", "free", "c", 1); len(of[Send](acts)) != 1 || w.g.warmUpFraction(w.g.trackedByID[1]) != 1 {
+		t.Errorf("%v, capacity %v once it is back", acts, w.g.warmUpFraction(w.g.trackedByID[1]))
 	}
 	w.do(Members{Kind: Changes, Servers: one(Draining, 0)})
 	w.do(Members{Kind: Changes, Servers: one(Running, w.now)})
-	if cold := w.g.warmUpFraction(w.g.servers[1]); cold != s.ColdShare {
+	if cold := w.g.warmUpFraction(w.g.trackedByID[1]); cold != s.ColdShare {
 		t.Errorf("capacity %v for a new process under an old id", cold)
 	}
 }
--- a/policy/ranked.go
+++ b/policy/ranked.go
@@ -31,34 +31,34 @@
 
 // insert adds a server. The server must not be in the set.
 func (t *ranked) insert(id ServerID) {
-	t.root = t.inserted(t.root, t.take(id))
+	t.root = t.insertUnder(t.root, t.newEntry(id))
 }
 
 // remove removes a server. The server must be in the set.
 func (t *ranked) remove(id ServerID) {
-	t.root = t.removed(t.root, id)
+	t.root = t.removeUnder(t.root, id)
 }
 
 // at returns the server at a rank, from 0 to len-1.
 func (t *ranked) at(rank int) ServerID {
-	at, left := t.root, uint32(rank)
+	at, remaining := t.root, uint32(rank)
 	for {
 		t.visits++
 		e := &t.entries[at]
 		smaller := t.entries[e.left].size
 		switch {
-		case left < smaller:
+		case remaining < smaller:
 			at = e.left
-		case left == smaller:
+		case remaining == smaller:
 			return e.id
 		default:
-			at, left = e.right, left-smaller-1
+			at, remaining = e.right, remaining-smaller-1
 		}
 	}
 }
 
 // newEntry allocates an entry for a server, an unused one if there is any.
-func (t *ranked) take(id ServerID) uint32 {
+func (t *ranked) newEntry(id ServerID) uint32 {
 	entry := rankedEntry{id: id, size: 1}
 	if at := t.unused; at != 0 {
 		t.unused = t.entries[at].left
@@ -70,7 +70,7 @@
 }
 
 // insertUnder inserts an entry into a subtree and returns the subtree's new root.
-func (t *ranked) inserted(root, added uint32) uint32 {
+func (t *ranked) insertUnder(root, added uint32) uint32 {
 	if root == 0 {
 		return added
 	}
@@ -82,9 +82,9 @@
 		return added
 	}
 	if a.id < e.id {
-		e.left = t.inserted(e.left, added)
+		e.left = t.insertUnder(e.left, added)
 	} else {
-		e.right = t.inserted(e.right, added)
+		e.right = t.insertUnder(e.right, added)
 	}
 	t.resize(root)
 	return root
@@ -108,7 +108,7 @@
 }
 
 // removeUnder removes a server from a subtree and returns the subtree's new root.
-func (t *ranked) removed(root uint32, id ServerID) uint32 {
+func (t *ranked) removeUnder(root uint32, id ServerID) uint32 {
 	if root == 0 {
 		return 0
 	}
@@ -121,9 +121,9 @@
 		t.unused = root
 		return rest
 	case id < e.id:
-		e.left = t.removed(e.left, id)
+		e.left = t.removeUnder(e.left, id)
 	default:
-		e.right = t.removed(e.right, id)
+		e.right = t.removeUnder(e.right, id)
 	}
 	t.resize(root)
 	return root
--- a/policy/report.go
+++ b/policy/report.go
@@ -9,63 +9,63 @@
 )
 
 // customerKey identifies a customer in messages, shortHash in reports.
-func keyOf(name string) uint64 {
+func customerKey(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-func shortOf(key uint64) uint32 { return uint32(key >> 40) }
+func shortHash(key uint64) uint32 { return uint32(key >> 40) }
 
 // report is what a gateway sends to a peer at ticks. On the wire: version, incarnation,
 // sequence number, flags, number of servers, servers, customers.
 type report struct {
-	inc       uint32 // a random number for each process of the sender
-	seq       uint32
-	complete  bool // customers not named have no attempts in flight and none held
-	servers   []serverOut
-	customers []entry
+	incarnation uint32 // a random number for each process of the sender
+	seq         uint32
+	complete    bool // customers not named have no attempts in flight and none held
+	servers     []serverInFlight
+	customers   []customerEntry
 }
 
 // serverInFlight is the sender's attempts in flight at a server, up to maxServerInFlight.
 // The hash has serverBits bits.
-type serverOut struct {
-	hash uint16
-	out  byte
+type serverInFlight struct {
+	hash     uint16
+	inFlight byte
 }
 
 // customerEntry is a report's part on one customer.
-type entry struct {
-	hash   uint32 // 24 bits
-	out    byte   // inFlightScale times the root of the mean over the tick, up to 15
-	held   byte   // up to maxHeld
-	passed byte   // running total, its lowest bits
-	rate   byte   // requested units a second: rateScale * log2(1 + rate), up to maxRate
-	anew   bool   // the total began at 0 a short time ago: the highest bit of the rate
-	tokens byte   // estimate of the token bucket, 250: full
+type customerEntry struct {
+	hash          uint32 // 24 bits
+	inFlight      byte   // inFlightScale times the root of the mean over the tick, up to 15
+	held          byte   // up to maxHeld
+	admittedUnits byte   // running total, its lowest bits
+	rate          byte   // requested units a second: rateScale * log2(1 + rate), up to maxRate
+	restarted     bool   // the total began at 0 a short time ago: the highest bit of the rate
+	tokens        byte   // estimate of the token bucket, 250: full
 }
 
 // Sizes are in bytes.
 const (
-	reportVersion = 6
-	flagComplete  = 1
-	flagAnew      = 0x80
-	maxRate       = 0x7f
-	maxHeld       = 15
-	maxOut        = 31
-	serverBits    = 11
-	outScale      = 4
-	maxServers    = 36  // in one report
-	unknownTokens = 255 // no estimate
-	maxMessage    = 256
-	headerSize    = 11
-	serverSize    = 2
-	entrySize     = 8
-	rateScale     = 8
+	reportVersion     = 6
+	flagComplete      = 1
+	flagRestarted     = 0x80
+	maxRate           = 0x7f
+	maxHeld           = 15
+	maxServerInFlight = 31
+	serverBits        = 11
+	inFlightScale     = 4
+	maxServers        = 36  // in one report
+	unknownTokens     = 255 // no estimate
+	maxMessage        = 256
+	headerSize        = 11
+	serverSize        = 2
+	entrySize         = 8
+	rateScale         = 8
 )
 
 // hasSpace reports whether one more customer fits.
-func (m *report) fits() bool {
+func (m *report) hasSpace() bool {
 	n := headerSize + serverSize*len(m.servers) + entrySize*(len(m.customers)+1)
 	return n <= maxMessage
 }
@@ -73,7 +73,7 @@
 func (m *report) encode() []byte {
 	b := make([]byte, 0, maxMessage)
 	b = append(b, reportVersion)
-	b = binary.BigEndian.AppendUint32(b, m.inc)
+	b = binary.BigEndian.AppendUint32(b, m.incarnation)
 	b = binary.BigEndian.AppendUint32(b, m.seq)
 	flags := byte(0)
 	if m.complete {
@@ -81,14 +81,14 @@
 	}
 	b = append(b, flags, byte(len(m.servers)))
 	for _, s := range m.servers {
-		b = binary.BigEndian.AppendUint16(b, s.hash<<(16-serverBits)|uint16(s.out))
+		b = binary.BigEndian.AppendUint16(b, s.hash<<(16-serverBits)|uint16(s.inFlight))
 	}
 	for _, e := range m.customers {
-		b = append(b, byte(e.hash>>16), byte(e.hash>>8), byte(e.hash), e.out<<4|e.held)
-		b = append(b, e.passed, 0) // in older versions the second byte lent parts of ceilings
+		b = append(b, byte(e.hash>>16), byte(e.hash>>8), byte(e.hash), e.inFlight<<4|e.held)
+		b = append(b, e.admittedUnits, 0) // in older versions the second byte lent parts of ceilings
 		rate := e.rate
-		if e.anew {
-			rate |= flagAnew
+		if e.restarted {
+			rate |= flagRestarted
 		}
 		b = append(b, rate, e.tokens)
 	}
@@ -97,32 +97,33 @@
 
 // newReport makes the report for one peer: the servers where this gateway has attempts in
 // flight, then the customers whose requests enter at both gateways, most urgent first.
-func (g *Gateway) message(p *peer, list []*customer) *report {
-	m := &report{inc: g.inc, seq: g.seq, complete: true}
-	for _, s := range g.fleet {
-		if s.out > 0 && len(m.servers) < maxServers && !g.tree {
-			m.servers = append(m.servers, serverOut{s.hash, byte(min(s.out, maxOut))})
+func (g *Gateway) newReport(p *peer, list []*customer) *report {
+	m := &report{incarnation: g.incarnation, seq: g.seq, complete: true}
+	for _, s := range g.tracked {
+		if s.inFlight > 0 && len(m.servers) < maxServers && !g.largeFleet {
+			m.servers = append(m.servers, serverInFlight{s.hash, byte(min(s.inFlight, maxServerInFlight))})
 		}
 	}
 	for _, c := range list {
-		i := slices.IndexFunc(c.set, func(v *peerView) bool { return v.p == p })
+		i := slices.IndexFunc(c.peerViews, func(v *peerView) bool { return v.peer == p })
 		if i < 0 {
 			continue
 		}
-		if !m.fits() {
+		if !m.hasSpace() {
 			m.complete = false
 			break
 		}
 		g.advance(c)
-		e := entry{hash: c.hash, held: byte(min(len(c.held), maxHeld)),
-			out:    byte(min(math.Round(outScale*math.Sqrt(c.mean)), 15)),
-			passed: byte(c.passed), tokens: unknownTokens, anew: g.now-c.born < anewFor,
-			rate: min(maxRate, small(rateScale*math.Log2(1+c.rate/demandSpan.Seconds())))}
-		if c.known && c.plan.Burst > 0 {
-			e.tokens = small(250 * max(c.tokens, 0) / c.plan.Burst)
+		e := customerEntry{hash: c.hash, held: byte(min(len(c.held), maxHeld)),
+			inFlight:      byte(min(math.Round(inFlightScale*math.Sqrt(c.meanInFlight)), 15)),
+			admittedUnits: byte(c.admittedUnits), tokens: unknownTokens,
+			restarted: g.now-c.countedSince < totalRestartWindow,
+			rate:      min(maxRate, toByte(rateScale*math.Log2(1+c.recentUnits/demandDecayTime.Seconds())))}
+		if c.tokensKnown && c.plan.Burst > 0 {
+			e.tokens = toByte(250 * max(c.tokens, 0) / c.plan.Burst)
 		}
 		m.customers = append(m.customers, e)
-		c.told = g.ticks
+		c.lastReportTick = g.tickCount
 	}
 	return m
 }
@@ -132,7 +133,7 @@
 	if len(b) < headerSize || len(b) > maxMessage || b[0] != reportVersion {
 		return m, false
 	}
-	m.inc, m.seq = binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:])
+	m.incarnation, m.seq = binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:])
 	m.complete = b[9]&flagComplete != 0
 	n := int(b[10])
 	b = b[headerSize:]
@@ -141,15 +142,16 @@
 	}
 	for range n {
 		v := binary.BigEndian.Uint16(b)
-		m.servers = append(m.servers, serverOut{v >> (16 - serverBits), byte(v & maxOut)})
+		m.servers = append(m.servers, serverInFlight{v >> (16 - serverBits), byte(v & maxServerInFlight)})
 		b = b[serverSize:]
 	}
 	for len(b) > 0 {
 		if len(b) < entrySize {
 			return m, false
 		}
-		e := entry{hash: uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]), out: b[3] >> 4, held: b[3] & maxHeld,
-			passed: b[4], rate: b[6] & maxRate, anew: b[6]&flagAnew != 0, tokens: b[7]}
+		e := customerEntry{hash: uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]), inFlight: b[3] >> 4,
+			held: b[3] & maxHeld, admittedUnits: b[4], rate: b[6] & maxRate,
+			restarted: b[6]&flagRestarted != 0, tokens: b[7]}
 		b = b[entrySize:]
 		m.customers = append(m.customers, e)
 	}
@@ -157,46 +159,49 @@
 }
 
 // update stores an entry and returns the units admitted since the last one. It also reports
-// whether the sender's total was not known or has restarted; the units count from there then.
-func (v *peerView) read(e entry, inc uint32, now time.Duration) (passed float64, met bool) {
-	quiet := now-v.at > anewFor
-	if met = !v.heard || v.inc != inc || e.anew && quiet; met {
-		v.passed = 0
-		if !v.heard && !e.anew {
-			v.passed = e.passed
+// whether the sender's total was not known or has restarted, and the units count from there.
+func (v *peerView) update(e customerEntry, incarnation uint32, now time.Duration) (admitted float64,
+	newBase bool) {
+	quiet := now-v.receivedAt > totalRestartWindow
+	if newBase = !v.received || v.incarnation != incarnation || e.restarted && quiet; newBase {
+		v.admittedUnits = 0
+		if !v.received && !e.restarted {
+			v.admittedUnits = e.admittedUnits
 		}
 	}
-	passed = float64(int8(e.passed - v.passed)) // negative when actual units were below the estimate
+	admitted = float64(int8(e.admittedUnits - v.admittedUnits)) // negative after units were returned
 	if quiet {
-		passed = max(0, passed)
+		admitted = max(0, admitted)
 	}
-	v.heard, v.inc, v.passed = true, inc, e.passed
-	v.at, v.rate = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandSpan.Seconds()
-	v.out, v.held = math.Pow(float64(e.out)/outScale, 2), float64(e.held)
-	return passed, met
+	v.received, v.incarnation, v.admittedUnits = true, incarnation, e.admittedUnits
+	v.receivedAt, v.recentUnits = now, (math.Exp2(float64(e.rate)/rateScale)-1)*demandDecayTime.Seconds()
+	v.inFlight, v.held = math.Pow(float64(e.inFlight)/inFlightScale, 2), float64(e.held)
+	return admitted, newBase
 }
 
 func (g *Gateway) onReport(p *peer, m report) {
 	if p == nil {
 		return
 	}
-	if p.heard && p.inc == m.inc && int32(m.seq-p.seq) <= 0 {
+	if p.hasReported && p.incarnation == m.incarnation && int32(m.seq-p.seq) <= 0 {
 		return // old or repeated: the later report includes its content
 	}
-	if p.left = p.left && p.inc == m.inc; m.complete || p.inc != m.inc {
+	if p.shutDown = p.shutDown && p.incarnation == m.incarnation; m.complete ||
+		p.incarnation != m.incarnation {
 		for _, v := range p.views {
-			v.out, v.held = 0, 0
+			v.inFlight, v.held = 0, 0
 		}
 	}
-	p.heard, p.inc, p.seq, p.at, p.complete = true, m.inc, m.seq, g.now, m.complete
-	p.outs = map[uint16]float64{}
+	p.hasReported, p.incarnation, p.seq, p.lastReportAt, p.complete = true, m.incarnation, m.seq, g.now,
+		m.complete
+	p.inFlightByServer = map[uint16]float64{}
 	for _, o := range m.servers {
-		p.outs[o.hash] = float64(o.out)
+		p.inFlightByServer[o.hash] = float64(o.inFlight)
 	}
-	g.sumLoads()
+	g.sumPeerLoads()
 	for _, e := range m.customers {
-		if c := g.byHash[e.hash]; c != nil {
-			g.hear(c, p, e)
+		if c := g.customersByHash[e.hash]; c != nil {
+			g.applyEntry(c, p, e)
 		}
 	}
 }
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -10,61 +10,63 @@
 // serverList is the list of all servers of the fleet, an entry of some tens of bytes each, with
 // the sums and orders that decisions use. A change of one entry costs O(log n).
 type serverList struct {
-	lines   map[ServerID]line
-	byZone  map[string]*zone
-	zones   []*zone         // by name
-	cells   map[int]*ranked // the running servers of each cell
-	running int
-	weight  float64 // sum over all entries
-	round   uint32  // number of full lists so far
+	entryByID map[ServerID]listEntry
+	byZone    map[string]*zone
+	zones     []*zone         // by name
+	cells     map[int]*ranked // the running servers of each cell
+	running   int
+	weight    float64 // sum over all entries
+	fullLists uint32  // number of full lists so far
 }
 
 // zone is a zone with servers in the list.
 type zone struct {
 	name    string
-	lines   int
+	servers int
 	running *ranked
 	offset  float64 // from 0 to 1, by the name
 }
 
 // listEntry is one server in the list.
-type line struct {
+type listEntry struct {
 	zone     *zone
 	start    time.Duration
 	weight   float64
 	cell     int
-	round    uint32 // number of the last full list that named the server
+	fullList uint32 // number of the last full list that named the server
 	state    uint8
 	hasStart bool
 }
 
-func (n line) server(id ServerID) Server {
-	return Server{ID: id, Zone: n.zone.name, Cell: n.cell, State: State(n.state), HasStart: n.hasStart, Start: n.start, Weight: n.weight}
+func (e listEntry) server(id ServerID) Server {
+	return Server{ID: id, Zone: e.zone.name, Cell: e.cell, State: State(e.state), HasStart: e.hasStart,
+		Start: e.start, Weight: e.weight}
 }
 
 func newServerList() *serverList {
-	return &serverList{lines: map[ServerID]line{}, byZone: map[string]*zone{}, cells: map[int]*ranked{}}
+	return &serverList{entryByID: map[ServerID]listEntry{}, byZone: map[string]*zone{},
+		cells: map[int]*ranked{}}
 }
 
-func (l *serverList) len() int { return len(l.lines) }
+func (l *serverList) len() int { return len(l.entryByID) }
 
 // meanWeight is the mean over all entries.
-func (l *serverList) meanWeight() float64 { return l.weight / float64(max(1, len(l.lines))) }
+func (l *serverList) meanWeight() float64 { return l.weight / float64(max(1, len(l.entryByID))) }
 
 // find returns a server's entry.
 func (l *serverList) find(id ServerID) (Server, bool) {
-	n, listed := l.lines[id]
+	e, listed := l.entryByID[id]
 	if !listed {
 		return Server{}, false
 	}
-	return n.server(id), true
+	return e.server(id), true
 }
 
 // put adds, changes or removes an entry.
 func (l *serverList) put(s Server) {
-	if n, listed := l.lines[s.ID]; listed && n.server(s.ID) == s {
-		n.round = l.round
-		l.lines[s.ID] = n
+	if e, listed := l.entryByID[s.ID]; listed && e.server(s.ID) == s {
+		e.fullList = l.fullLists
+		l.entryByID[s.ID] = e
 		return
 	}
 	l.remove(s.ID)
@@ -72,9 +74,9 @@
 		return
 	}
 	z := l.zone(s.Zone)
-	z.lines++
-	l.lines[s.ID] = line{zone: z, start: s.Start, weight: s.Weight, cell: s.Cell, round: l.round,
-		state: uint8(s.State), hasStart: s.HasStart}
+	z.servers++
+	l.entryByID[s.ID] = listEntry{zone: z, start: s.Start, weight: s.Weight, cell: s.Cell,
+		fullList: l.fullLists, state: uint8(s.State), hasStart: s.HasStart}
 	l.weight += s.Weight
 	if s.State != Running {
 		return
@@ -91,24 +93,24 @@
 
 // remove removes an entry, if there is one.
 func (l *serverList) remove(id ServerID) {
-	n, listed := l.lines[id]
+	e, listed := l.entryByID[id]
 	if !listed {
 		return
 	}
-	delete(l.lines, id)
-	if l.weight -= n.weight; len(l.lines) == 0 {
+	delete(l.entryByID, id)
+	if l.weight -= e.weight; len(l.entryByID) == 0 {
 		l.weight = 0 // drops rounding errors
 	}
-	if State(n.state) == Running {
+	if State(e.state) == Running {
 		l.running--
-		n.zone.running.remove(id)
-		if l.cells[n.cell].remove(id); l.cells[n.cell].len() == 0 {
-			delete(l.cells, n.cell)
+		e.zone.running.remove(id)
+		if l.cells[e.cell].remove(id); l.cells[e.cell].len() == 0 {
+			delete(l.cells, e.cell)
 		}
 	}
-	if n.zone.lines--; n.zone.lines == 0 {
-		delete(l.byZone, n.zone.name)
-		l.zones = slices.DeleteFunc(l.zones, func(z *zone) bool { return z == n.zone })
+	if e.zone.servers--; e.zone.servers == 0 {
+		delete(l.byZone, e.zone.name)
+		l.zones = slices.DeleteFunc(l.zones, func(z *zone) bool { return z == e.zone })
 	}
 }
 
@@ -117,21 +119,23 @@
 	if z := l.byZone[name]; z != nil {
 		return z
 	}
-	z := &zone{name: name, running: newRanked(), offset: float64(uint32(keyOf(name))) / (1 << 32)}
+	z := &zone{name: name, running: newRanked(), offset: float64(uint32(customerKey(name))) / (1 << 32)}
 	l.byZone[name] = z
-	i, _ := slices.BinarySearchFunc(l.zones, name, func(z *zone, name string) int { return cmp.Compare(z.name, name) })
+	i, _ := slices.BinarySearchFunc(l.zones, name, func(z *zone, name string) int {
+		return cmp.Compare(z.name, name)
+	})
 	l.zones = slices.Insert(l.zones, i, z)
 	return z
 }
 
 // beginFullList begins a full list: servers that are not put until endFullList are removed.
-func (l *serverList) beginWhole() { l.round++ }
+func (l *serverList) beginFullList() { l.fullLists++ }
 
 // endFullList removes the entries that the full list did not name.
-func (l *serverList) endWhole() {
+func (l *serverList) endFullList() {
 	var gone []ServerID
-	for id, n := range l.lines {
-		if n.round != l.round {
+	for id, e := range l.entryByID {
+		if e.fullList != l.fullLists {
 			gone = append(gone, id)
 		}
 	}
@@ -142,22 +146,22 @@
 }
 
 // updateTracked updates the state of a tracked server from the list.
-func (g *Gateway) follow(m Server) {
-	s := g.servers[m.ID]
+func (g *Gateway) updateTracked(entry Server) {
+	s := g.trackedByID[entry.ID]
 	if s == nil {
-		if !g.tree {
-			g.meet(m.ID) // a gateway of a small fleet tracks all servers
+		if !g.largeFleet {
+			g.track(entry.ID) // a gateway of a small fleet tracks all servers
 		}
 		return
 	}
-	if m.HasStart && m.Start != s.Start {
-		s.slow, s.pace = 1, 1
-		clear(s.by)
+	if entry.HasStart && entry.Start != s.Start {
+		s.relativeLatency, s.monitoredLatency = 1, 1
+		clear(s.health)
 	}
-	gone := s.goneAt
-	s.Server, s.goneAt = m, 0
-	if m.State == Removed {
-		s.goneAt = gone
+	gone := s.removedAt
+	s.Server, s.removedAt = entry, 0
+	if entry.State == Removed {
+		s.removedAt = gone
 		s.markRemoved(g.now)
 	}
 }
@@ -166,36 +170,39 @@
 func serverHash(id ServerID) uint32 { return uint32(id) * 0x9e3779b1 }
 
 // track returns the state of a server, made from its entry at first use; nil: not in the list.
-func (g *Gateway) meet(id ServerID) *server {
-	if s := g.servers[id]; s != nil {
+func (g *Gateway) track(id ServerID) *server {
+	if s := g.trackedByID[id]; s != nil {
 		return s
 	}
-	m, listed := g.list.find(id)
+	entry, listed := g.allServers.find(id)
 	if !listed {
 		return nil
 	}
-	s := &server{Server: m, hash: uint16(serverHash(id) >> (32 - serverBits)), slow: 1, pace: 1,
-		verdicts: verdictKeep, verdictAt: g.now, by: make([]record, len(g.set.Classes)),
-		fullAt: map[*quota]time.Duration{}, watchers: g.watchers(id)}
-	s.place = g.position(float64(serverHash(id)) / (1 << 32))
-	g.servers[id] = s
-	i, _ := slices.BinarySearchFunc(g.fleet, id, func(s *server, id ServerID) int { return cmp.Compare(s.ID, id) })
-	g.fleet = slices.Insert(g.fleet, i, s)
+	s := &server{Server: entry, hash: uint16(serverHash(id) >> (32 - serverBits)), relativeLatency: 1,
+		monitoredLatency: 1, verdictBudget: maxVerdictBudget, verdictBudgetAt: g.now,
+		health: make([]classHealth, len(g.settings.Classes)), fullUntil: map[*quota]time.Duration{},
+		monitors: g.monitors(id)}
+	s.warmUpRank = g.ringPosition(float64(serverHash(id)) / (1 << 32))
+	g.trackedByID[id] = s
+	i, _ := slices.BinarySearchFunc(g.tracked, id, func(s *server, id ServerID) int {
+		return cmp.Compare(s.ID, id)
+	})
+	g.tracked = slices.Insert(g.tracked, i, s)
 	return s
 }
 
 // requiredGroup is the group of servers that a request must stay in; nil: any server.
-func (g *Gateway) groupOf(r *request) *ranked {
-	if !r.ran || r.cl.Effect != Keyed {
+func (g *Gateway) requiredGroup(r *request) *ranked {
+	if !r.mayHaveRun || r.class.Effect != Keyed {
 		return nil
 	}
-	switch r.cl.Group {
+	switch r.class.Group {
 	case GroupZone:
-		if z := g.list.byZone[r.ranZone]; z != nil {
+		if z := g.allServers.byZone[r.ranZone]; z != nil {
 			return z.running
 		}
 	case GroupCell:
-		if cell := g.list.cells[r.ranCell]; cell != nil {
+		if cell := g.allServers.cells[r.ranCell]; cell != nil {
 			return cell
 		}
 	default:
@@ -205,27 +212,27 @@
 }
 
 // groupSample returns the states of n servers of a group, from this gateway's position on.
-func (g *Gateway) along(group *ranked, n int) []*server {
+func (g *Gateway) groupSample(group *ranked, n int) []*server {
 	list := make([]*server, n)
-	first := int(g.position(0) * float64(group.len()))
+	first := int(g.ringPosition(0) * float64(group.len()))
 	for i := range list {
-		list[i] = g.meet(group.at((first + i) % group.len()))
+		list[i] = g.track(group.at((first + i) % group.len()))
 	}
 	return list
 }
 
 // countInspected counts inspected servers, for tests.
-func (g *Gateway) look(n int) {
-	if g.onLook != nil {
-		g.onLook(n)
+func (g *Gateway) countInspected(n int) {
+	if g.onInspect != nil {
+		g.onInspect(n)
 	}
 }
 
 // ringPosition is this gateway's position on a ring of length 1, moved by offset. The positions
 // of all gateways are spread evenly, whatever their number.
-func (g *Gateway) position(offset float64) float64 {
-	return fraction(float64(g.set.Me)*math.Phi + offset)
+func (g *Gateway) ringPosition(offset float64) float64 {
+	return fractionalPart(float64(g.settings.Me)*math.Phi + offset)
 }
 
 // fractionalPart is the distance of v from the next whole number below.
-func fraction(v float64) float64 { return v - math.Floor(v) }
+func fractionalPart(v float64) float64 { return v - math.Floor(v) }
--- a/policy/serverlist_test.go
+++ b/policy/serverlist_test.go
@@ -120,8 +120,8 @@
 		}
 	}
 	for _, z := range l.zones {
-		if z.lines != listed[z.name] {
-			t.Fatalf("zone %s: %d lines, want %d", z.name, z.lines, listed[z.name])
+		if z.servers != listed[z.name] {
+			t.Fatalf("zone %s: %d lines, want %d", z.name, z.servers, listed[z.name])
 		}
 		same(z.running, zones[z.name])
 	}
@@ -164,9 +164,9 @@
 				}
 			}
 			w.do(ev)
-			recount(t, w.g.list, model)
-			if w.g.live != w.g.list.running || w.g.size != w.g.list.meanWeight() {
-				t.Fatalf("the gateway goes by %d running of weight %v", w.g.live, w.g.size)
+			recount(t, w.g.allServers, model)
+			if w.g.runningServers != w.g.allServers.running || w.g.meanWeight != w.g.allServers.meanWeight() {
+				t.Fatalf("the gateway goes by %d running of weight %v", w.g.runningServers, w.g.meanWeight)
 			}
 			checkWorkingSet(t, w.g)
 			if rng.IntN(4) == 0 {
@@ -184,16 +184,16 @@
 // walkedRuns works a set so many times as large as a gateway's out from all running servers.
 func walkedRuns(g *Gateway, times float64) (want []ServerID) {
 	zones := map[string][]ServerID{}
-	for id := range g.list.lines {
-		if s, _ := g.list.find(id); s.State == Running {
+	for id := range g.allServers.entryByID {
+		if s, _ := g.allServers.find(id); s.State == Running {
 			zones[s.Zone] = append(zones[s.Zone], id)
 		}
 	}
 	for name, ids := range zones {
 		slices.Sort(ids)
 		n := float64(len(ids))
-		first := g.position(g.list.byZone[name].offset) * n
-		part := g.setSize() * n / float64(g.live) * times
+		first := g.ringPosition(g.allServers.byZone[name].offset) * n
+		part := g.subsetSize() * n / float64(g.runningServers) * times
 		for i := int(first); i < min(int(first+part), int(first)+len(ids)); i++ {
 			want = append(want, ids[i%len(ids)])
 		}
@@ -207,12 +207,12 @@
 func checkWiderRuns(t *testing.T, g *Gateway) {
 	t.Helper()
 	var got []ServerID
-	for _, s := range g.widerRuns() {
+	for _, s := range g.widerSubset() {
 		got = append(got, s.ID)
 	}
-	want := slices.DeleteFunc(walkedRuns(g, widerSet), func(id ServerID) bool {
-		s := g.servers[id]
-		return g.warmUpFraction(s) < 1 && !slices.Contains(g.working, s)
+	want := slices.DeleteFunc(walkedRuns(g, widerSubsetFactor), func(id ServerID) bool {
+		s := g.trackedByID[id]
+		return g.warmUpFraction(s) < 1 && !slices.Contains(g.subset, s)
 	})
 	if !slices.Equal(got, want) {
 		t.Fatalf("wider set %v, want %v", got, want)
@@ -225,17 +225,17 @@
 	t.Helper()
 	want := walkedRuns(g, 1)
 	var got []ServerID
-	for _, s := range g.working {
+	for _, s := range g.subset {
 		got = append(got, s.ID)
-		if g.servers[s.ID] != s || s.State != Running {
+		if g.trackedByID[s.ID] != s || s.State != Running {
 			t.Fatalf("server %d of the set is not known, or in state %v", s.ID, s.State)
 		}
 	}
 	if !slices.Equal(got, want) {
 		t.Fatalf("set %v, want %v", got, want)
 	}
-	if len(g.fleet) != len(g.servers) || !slices.IsSortedFunc(g.fleet, func(a, b *server) int { return int(a.ID) - int(b.ID) }) {
-		t.Fatalf("%d servers in order, %d by ID", len(g.fleet), len(g.servers))
+	if len(g.tracked) != len(g.trackedByID) || !slices.IsSortedFunc(g.tracked, func(a, b *server) int { return int(a.ID) - int(b.ID) }) {
+		t.Fatalf("%d servers in order, %d by ID", len(g.tracked), len(g.trackedByID))
 	}
 }
 
@@ -255,7 +255,7 @@
 	if each > 200 {
 		t.Errorf("%.0f bytes a server, 200 at most", each)
 	}
-	if n := len(w.g.fleet); n > maxSet {
+	if n := len(w.g.tracked); n > maxSubsetSize {
 		t.Errorf("state of %d servers", n)
 	}
 	runtime.KeepAlive(list)
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -34,17 +34,17 @@
 )
 
 // tablesMessage tells a peer, whose table is not known here, which one this gateway uses.
-type tables struct{ Mark uint16 }
+type tablesMessage struct{ Mark uint16 }
 
 // markedObservation and markedVerdict name the table that numbers their classes.
-type markedSight struct {
-	Mark  uint16
-	Sight sight
+type markedObservation struct {
+	Mark        uint16
+	Observation observation
 }
 
 type markedVerdict struct {
 	Mark    uint16
-	Verdict verdict
+	Verdict verdictMessage
 }
 
 func newTable(s *Settings) *table {
@@ -68,19 +68,19 @@
 func (g *Gateway) newTag(t *table) uint32 {
 	g.nextTag++
 	body := uint32(t.mark)<<countBits&(1<<(32-checkBits)-1) | g.nextTag&(1<<countBits-1)
-	return body | checkOf(body)<<(32-checkBits)
+	return body | tagCheck(body)<<(32-checkBits)
 }
 
-func checkOf(body uint32) uint32 { return (body + 1) * 0x9e3779b1 >> (32 - checkBits) }
+func tagCheck(body uint32) uint32 { return (body + 1) * 0x9e3779b1 >> (32 - checkBits) }
 
 // tagMark returns the mark's lowest bits from a tag, if it holds a mark.
 func tagMark(tag uint32) (mark uint16, ok bool) {
 	body := tag & (1<<(32-checkBits) - 1)
-	return uint16(body >> countBits), checkOf(body) == tag>>(32-checkBits)
+	return uint16(body >> countBits), tagCheck(body) == tag>>(32-checkBits)
 }
 
 // tableByMark finds a table by its mark's lowest bits; nil: not known.
-func (g *Gateway) known(mark uint16) *table {
+func (g *Gateway) tableByMark(mark uint16) *table {
 	for _, t := range g.tables {
 		if (t.mark^mark)&markMask == 0 {
 			return t
@@ -92,20 +92,20 @@
 // tableFor returns the table for asking a gateway: the newest, unless that gateway uses
 // another one or a name is missing from the newest. It is nil where the gateway would
 // understand none.
-func (g *Gateway) toPeer(num int, r *request) *table {
+func (g *Gateway) tableFor(num int, r *request) *table {
 	t := g.tables[0]
-	if !g.mixed {
+	if !g.mixedTables {
 		return t
 	}
 	list := g.tables
-	if mark, heard := g.speaks[num]; heard {
-		list = list[max(0, slices.Index(list, g.known(mark))):] // it knows no newer one
-		if g.known(mark) == nil {
+	if mark, known := g.peerTableMarks[num]; known {
+		list = list[max(0, slices.Index(list, g.tableByMark(mark))):] // it knows no newer one
+		if g.tableByMark(mark) == nil {
 			return nil
 		}
 	}
 	for _, t := range list {
-		if slices.Contains(t.plans, r.c.plan.Name) && slices.Contains(t.classes, r.cl.Name) {
+		if slices.Contains(t.plans, r.customer.plan.Name) && slices.Contains(t.classes, r.class.Name) {
 			return t
 		}
 	}
@@ -114,92 +114,93 @@
 
 // resolveAsk returns the plan and class that a gateway asks for. Both are nil if they can't be
 // determined; a gateway whose table is not known is sent the mark of the newest table here.
-func (g *Gateway) meant(from int, m *ask) (*quota, *class) {
-	if g.leaving {
+func (g *Gateway) resolveAsk(from int, m *askMessage) (*quota, *class) {
+	if g.shuttingDown {
 		return nil, nil // another gateway sums these counts by now
 	}
 	mark, marked := tagMark(m.Tag)
 	t := g.tables[0]
 	if marked {
-		if t = g.known(mark); t == nil {
-			g.hint(from)
+		if t = g.tableByMark(mark); t == nil {
+			g.sendTableMark(from)
 			return nil, nil
 		}
-		if g.mixed {
-			g.speaks[from] = mark
+		if g.mixedTables {
+			g.peerTableMarks[from] = mark
 		}
 	}
-	if int(m.Plan) >= len(t.plans) || int(m.Class) >= len(t.classes) || !marked && (!g.agreed(m.Plan, func(t *table) []string {
-		return t.plans
-	}) || !g.agreed(m.Class, func(t *table) []string { return t.classes })) {
+	if int(m.Plan) >= len(t.plans) || int(m.Class) >= len(t.classes) ||
+		!marked && (!g.sameInAllTables(m.Plan, func(t *table) []string { return t.plans }) ||
+			!g.sameInAllTables(m.Class, func(t *table) []string { return t.classes })) {
 		return nil, nil
 	}
 	plan, cl := g.plans[t.plans[m.Plan]], g.classes[t.classes[m.Class]]
 	if plan == nil {
-		plan = g.lapsedPlans[t.plans[m.Plan]]
+		plan = g.removedPlans[t.plans[m.Plan]]
 	}
 	if cl == nil {
-		cl = g.lapsedClasses[t.classes[m.Class]]
+		cl = g.removedClasses[t.classes[m.Class]]
 	}
 	if plan == nil {
 		return nil, nil
 	}
-	if c := g.customers[m.Customer]; c != nil && g.mixed {
-		g.replan(c, plan)
+	if c := g.customers[m.Customer]; c != nil && g.mixedTables {
+		g.changePlan(c, plan)
 	}
 	return plan, cl
 }
 
 // sendTableMark sends the mark of the newest table, at most once a tick, to a gateway that
 // uses a table not known here.
-func (g *Gateway) hint(to int) {
-	if !slices.Contains(g.hinted, to) {
-		g.hinted = append(g.hinted, to)
-		g.do(Tell{To: to, Data: encode(tables{g.tables[0].mark})})
+func (g *Gateway) sendTableMark(to int) {
+	if !slices.Contains(g.hintedPeers, to) {
+		g.hintedPeers = append(g.hintedPeers, to)
+		g.emit(Tell{To: to, Data: encode(tablesMessage{g.tables[0].mark})})
 	}
 }
 
 // noteMixedTables records that more than one table is in use. This is never reset, since
 // nothing shows that the last gateway has changed its table.
-func (g *Gateway) mix() {
-	if !g.mixed {
-		g.mixed, g.speaks = true, map[int]uint16{}
+func (g *Gateway) noteMixedTables() {
+	if !g.mixedTables {
+		g.mixedTables, g.peerTableMarks = true, map[int]uint16{}
 	}
 }
 
 // onTablesMessage records the table that a gateway uses. If that is new, the gateway is sent
 // the mark of the table here, so that it stops reading its numbers by the wrong table.
-func (g *Gateway) onTables(from int, m tables) {
-	if m.Mark == g.tables[0].mark && !g.mixed {
+func (g *Gateway) onTablesMessage(from int, m tablesMessage) {
+	if m.Mark == g.tables[0].mark && !g.mixedTables {
 		return
 	}
-	g.mix()
-	if was, heard := g.speaks[from]; !heard || was != m.Mark&markMask {
-		g.speaks[from] = m.Mark & markMask
-		g.hint(from)
+	g.noteMixedTables()
+	if was, known := g.peerTableMarks[from]; !known || was != m.Mark&markMask {
+		g.peerTableMarks[from] = m.Mark & markMask
+		g.sendTableMark(from)
 	}
 }
 
 // sameInAllTables reports whether a number without a mark means the same in all tables.
-func (g *Gateway) agreed(no byte, names func(*table) []string) bool {
+func (g *Gateway) sameInAllTables(index byte, names func(*table) []string) bool {
 	first := names(g.tables[0])
 	for _, t := range g.tables[1:] {
-		if list := names(t); int(no) >= len(first) || int(no) >= len(list) || list[no] != first[no] {
+		if list := names(t); int(index) >= len(first) || int(index) >= len(list) ||
+			list[index] != first[index] {
 			return false
 		}
 	}
-	return int(no) < len(first)
+	return int(index) < len(first)
 }
 
 // withMark returns a message as it is sent: with a mark once tables are mixed.
-func (g *Gateway) marked(m any) any {
-	if !g.mixed {
+func (g *Gateway) withMark(m any) any {
+	if !g.mixedTables {
 		return m
 	}
 	switch m := m.(type) {
-	case sight:
-		return markedSight{g.tables[0].mark, m}
-	case verdict:
+	case observation:
+		return markedObservation{g.tables[0].mark, m}
+	case verdictMessage:
 		return markedVerdict{g.tables[0].mark, m}
 	}
 	return m
@@ -207,27 +208,27 @@
 
 // localClass returns the index here of a class that a message numbers by a marked table, or
 // by none; -1: not known.
-func (g *Gateway) place(no byte, marked bool, mark uint16) int {
+func (g *Gateway) localClass(index byte, marked bool, mark uint16) int {
 	if !marked {
-		if g.agreed(no, func(t *table) []string { return t.classes }) {
-			return int(no)
+		if g.sameInAllTables(index, func(t *table) []string { return t.classes }) {
+			return int(index)
 		}
 		return -1
 	}
-	t := g.known(mark)
-	if t == nil || int(no) >= len(t.classes) {
+	t := g.tableByMark(mark)
+	if t == nil || int(index) >= len(t.classes) {
 		return -1
 	}
-	if cl := g.classes[t.classes[no]]; cl != nil {
-		return cl.no
+	if cl := g.classes[t.classes[index]]; cl != nil {
+		return cl.index
 	}
 	return -1
 }
 
 // localClassMask translates a mask of classes to the indexes here.
-func (g *Gateway) placeMask(mask byte, marked bool, mark uint16) (here byte) {
+func (g *Gateway) localClassMask(mask byte, marked bool, mark uint16) (here byte) {
 	for i := range 8 {
-		if at := g.place(byte(i), marked, mark); mask>>i&1 == 1 && at >= 0 {
+		if at := g.localClass(byte(i), marked, mark); mask>>i&1 == 1 && at >= 0 {
 			here |= 1 << at
 		}
 	}
@@ -239,96 +240,97 @@
 // names another.
 func (g *Gateway) reconfigure(s Settings) {
 	if err := s.check(); err != nil {
-		g.do(Log{Text: "new settings rejected: " + err.Error()})
+		g.emit(Log{Text: "new settings rejected: " + err.Error()})
 		return
 	}
-	for _, c := range g.ring {
+	for _, c := range g.customerList {
 		g.advance(c) // the old settings apply up to now
 	}
-	was := make(map[*quota]Plan, len(g.plans))
+	oldPlans := make(map[*quota]Plan, len(g.plans))
 	for _, q := range g.plans {
-		was[q] = q.Plan
-	}
-	g.set = s
-	goneClasses, gonePlans := g.newClasses(s.Classes), g.newPlans(s.Plans)
-	if t := newTable(&s); !slices.Equal(t.classes, g.tables[0].classes) || !slices.Equal(t.plans, g.tables[0].plans) {
-		g.tables, g.lapsedClasses, g.lapsedPlans = []*table{t, g.tables[0]}, goneClasses, gonePlans
-		g.mix()
-	}
-	for _, c := range g.ring {
-		if old, known := was[c.plan]; known {
-			g.carry(c, old)
+		oldPlans[q] = q.Plan
+	}
+	g.settings = s
+	removedClasses, removedPlans := g.replaceClasses(s.Classes), g.replacePlans(s.Plans)
+	if t := newTable(&s); !slices.Equal(t.classes, g.tables[0].classes) ||
+		!slices.Equal(t.plans, g.tables[0].plans) {
+		g.tables, g.removedClasses, g.removedPlans = []*table{t, g.tables[0]}, removedClasses, removedPlans
+		g.noteMixedTables()
+	}
+	for _, c := range g.customerList {
+		if old, known := oldPlans[c.plan]; known {
+			g.applyPlanChange(c, old)
 		}
 	}
 }
 
 // changePlan moves a customer whose plan was removed to the plan that it names now.
-func (g *Gateway) replan(c *customer, plan *quota) {
+func (g *Gateway) changePlan(c *customer, plan *quota) {
 	if plan != nil && g.plans[c.plan.Name] != c.plan {
 		g.advance(c)
 		old := c.plan.Plan
 		c.plan = plan
-		g.carry(c, old)
+		g.applyPlanChange(c, old)
 	}
 }
 
 // replaceClasses makes the classes of new settings. A class whose settings changed becomes
 // a new one, so that pending requests keep the old settings. It returns the removed classes.
-func (g *Gateway) newClasses(list []Class) (old map[string]*class) {
+func (g *Gateway) replaceClasses(list []Class) (old map[string]*class) {
 	old = g.classes
 	g.classes, g.minAim = map[string]*class{}, math.Inf(1)
-	from := make([]int, len(list)) // index before
+	oldIndexes := make([]int, len(list)) // index before
 	for i, c := range list {
-		from[i] = -1
+		oldIndexes[i] = -1
 		cl := old[c.Name]
 		if cl == nil {
-			cl = &class{Class: c, mean: c.Aim.Seconds() / firstGuess}
-		} else if from[i] = cl.no; cl.Class != c {
-			cl = &class{Class: c, mean: cl.mean, seen: cl.seen}
+			cl = &class{Class: c, meanLatency: c.Aim.Seconds() / initialLatencyDivisor}
+		} else if oldIndexes[i] = cl.index; cl.Class != c {
+			cl = &class{Class: c, meanLatency: cl.meanLatency, outcomes: cl.outcomes}
 		}
 		g.classes[c.Name] = cl
 		g.minAim = min(g.minAim, c.Aim.Seconds())
 	}
 	for _, cl := range old {
-		cl.no = -1
+		cl.index = -1
 	}
 	for i, c := range list {
-		g.classes[c.Name].no = i
+		g.classes[c.Name].index = i
 		if cl := old[c.Name]; cl != nil {
-			cl.no = i
+			cl.index = i
 			delete(old, c.Name)
 		}
 	}
-	for _, srv := range g.fleet {
-		by := make([]record, len(list))
-		for i, at := range from {
+	for _, srv := range g.tracked {
+		by := make([]classHealth, len(list))
+		for i, at := range oldIndexes {
 			if at >= 0 {
-				by[i] = srv.by[at]
+				by[i] = srv.health[at]
 			}
 		}
-		srv.by = by
+		srv.health = by
 	}
 	return old
 }
 
 // replacePlans changes the settings of the plans in place, so that they apply to attempts
 // in flight and held requests too. It returns the removed plans.
-func (g *Gateway) newPlans(list []Plan) (old map[string]*quota) {
+func (g *Gateway) replacePlans(list []Plan) (old map[string]*quota) {
 	old = g.plans
 	g.plans = map[string]*quota{}
 	for i, p := range list {
 		q := old[p.Name]
 		if q == nil {
-			q = &quota{fits: 1}
+			q = &quota{admittedShare: 1}
 		}
-		q.Plan, q.no = p, byte(i)
+		q.Plan, q.index = p, byte(i)
 		g.plans[p.Name] = q
 		delete(old, p.Name)
 	}
-	for _, s := range g.fleet {
-		for q := range s.fullAt {
+	for _, s := range g.tracked {
+		for q := range s.fullUntil {
 			if g.plans[q.Name] != q {
-				delete(s.fullAt, q)
+				delete(s.fullUntil, q)
 			}
 		}
 	}
@@ -336,9 +338,9 @@
 }
 
 // onObservation adds an outcome that another gateway observed at a server monitored here.
-func (g *Gateway) onSight(m sight, class int) {
-	s := g.meet(ServerID(m.Server))
-	if s != nil && slices.Contains(s.watchers[:], g.set.Me) && class >= 0 {
-		g.gather(s, class, Code(m.Code), time.Duration(m.Latency)*time.Millisecond)
+func (g *Gateway) onObservation(m observation, class int) {
+	s := g.track(ServerID(m.Server))
+	if s != nil && slices.Contains(s.monitors[:], g.settings.Me) && class >= 0 {
+		g.observeOutcome(s, class, Code(m.Code), time.Duration(m.Latency)*time.Millisecond)
 	}
 }
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -30,7 +30,7 @@
 	seen := map[uint32]bool{}
 	for range 1 << countBits {
 		tag := g.newTag(g.tables[0])
-		if mark, ok := tagMark(tag); !ok || g.known(mark) != g.tables[0] || seen[tag] {
+		if mark, ok := tagMark(tag); !ok || g.tableByMark(mark) != g.tables[0] || seen[tag] {
 			t.Fatalf("tag %x: %x, %v", tag, mark, ok)
 		}
 		seen[tag] = true
@@ -80,7 +80,7 @@
 				asked++
 				k := rng.IntN(40)
 				customer, plan := fmt.Sprint("k", k), plans[k%len(plans)]
-				names[keyOf(customer)] = plan
+				names[customerKey(customer)] = plan
 				w.request(rng.IntN(50), RequestID(asked), customer, plan, classes[rng.IntN(len(classes))], 50)
 				for i, g := range w.gs {
 					for key, c := range g.customers {
@@ -116,7 +116,7 @@
 		}
 		for _, l := range w.inFlight {
 			switch m := decode(l.data).(type) {
-			case tables, markedSight, markedVerdict:
+			case tablesMessage, markedObservation, markedVerdict:
 				t.Fatalf("%T sent", m)
 			}
 		}
@@ -132,20 +132,20 @@
 	s.Classes = append(s.Classes[:1:1], append([]Class{{Name: "new", Aim: 1, Deadline: 1}}, s.Classes[2:]...)...) // "cell" is gone
 	w.do(Reconfigure{s})
 	for no, want := range map[byte]int{0: 0, 1: -1, 2: 2, 4: 4, 5: -1, 255: -1} {
-		if at := w.g.place(no, true, old.mark); at != want {
+		if at := w.g.localClass(no, true, old.mark); at != want {
 			t.Errorf("class %d of the old table: %d, want %d", no, at, want)
 		}
-		if at := w.g.place(no, false, 0); at != want {
+		if at := w.g.localClass(no, false, 0); at != want {
 			t.Errorf("class %d without a mark: %d, want %d", no, at, want)
 		}
 	}
-	if at := w.g.place(1, true, w.g.tables[0].mark); at != 1 {
+	if at := w.g.localClass(1, true, w.g.tables[0].mark); at != 1 {
 		t.Errorf("class 1 of the new table: %d", at)
 	}
-	if at := w.g.place(0, true, old.mark+1); at != -1 {
+	if at := w.g.localClass(0, true, old.mark+1); at != -1 {
 		t.Errorf("class 0 of an unknown table: %d", at)
 	}
-	if mask := w.g.placeMask(0b10111, true, old.mark); mask != 0b10101 {
+	if mask := w.g.localClassMask(0b10111, true, old.mark); mask != 0b10101 {
 		t.Errorf("mask %b", mask)
 	}
 }
@@ -162,7 +162,7 @@
 	if n := w.spend(4, "rate"); n != 4 {
 		t.Fatalf("%d passed", n)
 	}
-	store := func() float64 { return w.g.customers[keyOf("c")].tokens }
+	store := func() float64 { return w.g.customers[customerKey("c")].tokens }
 	before := store()
 	for range 1000 {
 		s := one()
@@ -253,7 +253,7 @@
 			t.Errorf("%s: %v", plan, acts)
 		}
 	}
-	if c := w.g.customers[keyOf("c")]; c.plan.Name != "rate" {
+	if c := w.g.customers[customerKey("c")]; c.plan.Name != "rate" {
 		t.Errorf("plan %s", c.plan.Name)
 	}
 }
@@ -261,20 +261,20 @@
 // What is known of a server stays with its class by name.
 func TestReconfigureKeepsRecords(t *testing.T) {
 	w := newWorld(t, base(), fleet(8))
-	for i := range w.g.fleet[0].by {
-		w.g.fleet[0].by[i].errs = float64(i + 1)
+	for i := range w.g.tracked[0].health {
+		w.g.tracked[0].health[i].failureAverage = float64(i + 1)
 	}
-	mean := w.g.classes["once"].mean * 3
-	w.g.classes["once"].mean = mean
+	mean := w.g.classes["once"].meanLatency * 3
+	w.g.classes["once"].meanLatency = mean
 	s := newer(base())
 	w.do(Reconfigure{s})
 	for i, c := range s.Classes {
 		want := float64(slices.IndexFunc(base().Classes, func(b Class) bool { return b.Name == c.Name }) + 1)
-		if got := w.g.fleet[0].by[i].errs; got != want || w.g.classes[c.Name].no != i {
+		if got := w.g.tracked[0].health[i].failureAverage; got != want || w.g.classes[c.Name].index != i {
 			t.Errorf("class %s: %v, want %v", c.Name, got, want)
 		}
 	}
-	if w.g.classes["once"].mean != mean {
+	if w.g.classes["once"].meanLatency != mean {
 		t.Error("a class's learned latency is gone")
 	}
 }
@@ -286,10 +286,10 @@
 	size := func() string {
 		g := w.g
 		n := 0
-		for _, s := range g.fleet {
-			n += len(s.fullAt)
+		for _, s := range g.tracked {
+			n += len(s.fullUntil)
 		}
-		return fmt.Sprint(len(g.classes), len(g.plans), len(g.tables), len(g.lapsedClasses), len(g.lapsedPlans), n, len(g.speaks))
+		return fmt.Sprint(len(g.classes), len(g.plans), len(g.tables), len(g.removedClasses), len(g.removedPlans), n, len(g.peerTableMarks))
 	}
 	a, b := base(), newer(base())
 	w.do(Reconfigure{b})
@@ -297,7 +297,7 @@
 	want := size()
 	for range 500 {
 		w.do(Reconfigure{b})
-		w.g.fleet[0].fullAt[w.g.plans["front"]] = w.now
+		w.g.tracked[0].fullUntil[w.g.plans["front"]] = w.now
 		w.do(Reconfigure{a})
 	}
 	if got := size(); got != want {
@@ -310,22 +310,22 @@
 	w := newWorld(t, base(), fleet(2))
 	bad := base()
 	bad.Plans = nil
-	if acts := w.do(Reconfigure{bad}); len(of[Log](acts)) != 1 || !reflect.DeepEqual(w.g.set, base()) {
+	if acts := w.do(Reconfigure{bad}); len(of[Log](acts)) != 1 || !reflect.DeepEqual(w.g.settings, base()) {
 		t.Errorf("%v", acts)
 	}
 }
 
 // Whatever a peer sends, marked or not, with two tables about.
 func FuzzPeerMessages(f *testing.F) {
-	f.Add(encode(ask{Customer: 7, Spread: 2, Plan: 1, Units: 4, Left: 2000, Tag: 9, Thin: 250, Fill: 3}))
-	f.Add(encode(tables{1}))
-	f.Add(encode(markedVerdict{1, verdict{Server: 1, Bad: 255, Pace: 255}}))
-	f.Add(encode(markedSight{1, sight{Server: 1, Class: 255, Code: 255}}))
+	f.Add(encode(askMessage{Customer: 7, Spread: 2, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, TokenFill: 3}))
+	f.Add(encode(tablesMessage{1}))
+	f.Add(encode(markedVerdict{1, verdictMessage{Server: 1, OutOfUse: 255, RelativeLatency: 255}}))
+	f.Add(encode(markedObservation{1, observation{Server: 1, Class: 255, Code: 255}}))
 	s := base()
-	f.Add((&handed{Mark: newTable(&s).mark, Plan: 1, Spread: 9, Store: 3, Grants: []handedGrant{{1, 2, 3, 4}}}).encode())
-	f.Add(encode(took{1, 2}))
-	f.Add(encode(departure{1}))
-	f.Add((&report{inc: 1, customers: []entry{{hash: 1}}}).encode())
+	f.Add((&customerTransfer{Mark: newTable(&s).mark, Plan: 1, Spread: 9, Tokens: 3, Grants: []transferredGrant{{1, 2, 3, 4}}}).encode())
+	f.Add(encode(transferAck{1, 2}))
+	f.Add(encode(shutdownMessage{1}))
+	f.Add((&report{incarnation: 1, customers: []customerEntry{{hash: 1}}}).encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := base()
 		s.Gateways = 100
@@ -358,14 +358,14 @@
 		if _, marked := tagMark(tag); marked {
 			t.Fatalf("tag %d passes for marked", tag)
 		}
-		return of[Tell](w.do(PeerMessage{From: 9, Data: encode(ask{Customer: uint64(tag) << 40, Spread: 50, Plan: plan, Units: 1,
-			Left: 2000, Tag: tag, Thin: 250, Fill: unknownTokens})}))
+		return of[Tell](w.do(PeerMessage{From: 9, Data: encode(askMessage{Customer: uint64(tag) << 40, Spread: 50, Plan: plan, Units: 1,
+			RemainingMS: 2000, Tag: tag, AskChance: 250, TokenFill: unknownTokens})}))
 	}
 	granted := func(acts []Tell) bool {
 		if len(acts) != 1 || acts[0].To != 9 {
 			return false
 		}
-		_, ok := decode(acts[0].Data).(answer)
+		_, ok := decode(acts[0].Data).(answerMessage)
 		return ok
 	}
 	if !granted(asks(1, 5)) {
@@ -381,7 +381,7 @@
 			t.Errorf("plan %d of an unknown table: %v", plan, acts)
 		}
 	}
-	if n := len(encode(ask{})); n != 27 {
+	if n := len(encode(askMessage{})); n != 27 {
 		t.Errorf("an ask of %d bytes", n)
 	}
 }
@@ -393,8 +393,8 @@
 	s.Gateways = 100
 	w := newWorld(t, s, fleet(4))
 	asks := func(plan byte, units uint16) *customer {
-		w.do(PeerMessage{From: 9, Data: encode(ask{Customer: 7, Spread: 50, Plan: plan, Units: units, Left: 2000,
-			Tag: w.g.newTag(w.g.tables[0]), Thin: 250, Fill: unknownTokens})})
+		w.do(PeerMessage{From: 9, Data: encode(askMessage{Customer: 7, Spread: 50, Plan: plan, Units: units, RemainingMS: 2000,
+			Tag: w.g.newTag(w.g.tables[0]), AskChance: 250, TokenFill: unknownTokens})})
 		return w.g.customers[7]
 	}
 	if c := asks(1, 4); c == nil || c.plan.Name != "rate" {
