--- a/policy/workingset_test.go
+++ b/policy/workingset_test.go
@@ -15,8 +15,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.list, g.live, g.size = l, l.running, l.meanWeight()
-	g.keepTo()
+	g.allServers, g.runningServers, g.meanWeight = l, l.running, l.meanWeight()
+	g.chooseSubset()
 	return g
 }
 
@@ -42,11 +42,11 @@
 		for me := range size.gateways {
 			g := sharing(t, l, me, size.gateways)
 			zones := map[string]bool{}
-			for _, s := range g.working {
+			for _, s := range g.subset {
 				sets[s.ID]++
 				zones[s.Zone] = true
 			}
-			least, most = min(least, len(g.working)), max(most, len(g.working))
+			least, most = min(least, len(g.subset)), max(most, len(g.subset))
 			if len(zones) < min(size.zones, 2) {
 				t.Fatalf("%+v: set of gateway %d in %d zones", size, me, len(zones))
 			}
@@ -55,7 +55,7 @@
 		for _, n := range sets {
 			fewest, maxSets = min(fewest, n), max(maxSets, n)
 		}
-		want := sharing(t, l, 0, size.gateways).setSize() * float64(size.gateways) / float64(size.servers)
+		want := sharing(t, l, 0, size.gateways).subsetSize() * float64(size.gateways) / float64(size.servers)
 		t.Logf("%+v: sets of %d to %d servers, each server in %d to %d sets, evenly in %.1f", size, least, most, fewest, maxSets, want)
 		if len(sets) != size.servers || float64(fewest) < want-3 || float64(maxSets) > want+3 {
 			t.Errorf("%+v: %d servers in %d to %d sets, evenly they would be in %.1f", size, len(sets), fewest, maxSets, want)
@@ -66,7 +66,7 @@
 // members are the IDs of a gateway's set.
 func members(g *Gateway) map[ServerID]bool {
 	ids := map[ServerID]bool{}
-	for _, s := range g.working {
+	for _, s := range g.subset {
 		ids[s.ID] = true
 	}
 	return ids
@@ -123,11 +123,11 @@
 		g.Handle(2*time.Second, lost, nil)
 		after := members(g)
 		for id := range before {
-			if s, listed := g.list.find(id); listed && s.Zone != "zone 1" && !after[id] {
+			if s, listed := g.allServers.find(id); listed && s.Zone != "zone 1" && !after[id] {
 				t.Errorf("%+v: server %d of %s has left the set with zone 1", size, id, s.Zone)
 			}
 		}
-		if moved := newcomers(before, after); float64(moved) > g.setSize()/float64(size.zones)+float64(size.zones) {
+		if moved := newcomers(before, after); float64(moved) > g.subsetSize()/float64(size.zones)+float64(size.zones) {
 			t.Errorf("%+v: %d newcomers for a zone lost", size, moved)
 		}
 	}
@@ -135,8 +135,8 @@
 
 // looked counts the servers that a gateway looks at while something is done.
 func looked(g *Gateway, do func()) (n int) {
-	g.onLook = func(servers int) { n += servers }
-	defer func() { g.onLook = nil }()
+	g.onInspect = func(servers int) { n += servers }
+	defer func() { g.onInspect = nil }()
 	do()
 	return n
 }
@@ -161,16 +161,16 @@
 		w := newWorld(t, set, servers)
 		request := looked(w.g, func() { w.ask("safe", "free", "c", 1) })
 		tick := looked(w.g, func() { w.pass(w.g.tick) })
-		before := w.g.list.entries()
+		before := w.g.allServers.entries()
 		changed := servers[n/2]
 		changed.State = Draining
 		w.do(Members{Kind: Changes, Servers: []Server{changed}})
-		entries := w.g.list.entries() - before
+		entries := w.g.allServers.entries() - before
 		t.Logf("%d servers: %d for a request, %d for a tick, %d entries for a change", n, request, tick, entries)
-		if request == 0 || request > maxSet || tick > 2*maxSet {
+		if request == 0 || request > maxSubsetSize || tick > 2*maxSubsetSize {
 			t.Errorf("%d servers: %d looked at for a request, %d for a tick", n, request, tick)
 		}
-		if most := maxSet * 5 * math.Log2(float64(n)); float64(entries) > most {
+		if most := maxSubsetSize * 5 * math.Log2(float64(n)); float64(entries) > most {
 			t.Errorf("%d servers: %d entries looked at for a change, %.0f at most", n, entries, most)
 		}
 	}
@@ -178,14 +178,14 @@
 
 // condemned has a verdict against each server of the set, as it is then.
 func condemned(w *world) {
-	for _, s := range w.g.working {
+	for _, s := range w.g.subset {
 		condemn(w, s.ID)
 	}
 }
 
 // condemn has a verdict against a server.
 func condemn(w *world, id ServerID) {
-	w.do(PeerMessage{From: 1, Data: encode(verdict{Server: uint32(id), Bad: 0xff, Pace: paceByte(1)})})
+	w.do(PeerMessage{From: 1, Data: encode(verdictMessage{Server: uint32(id), OutOfUse: 0xff, RelativeLatency: encodeRelativeLatency(1)})})
 }
 
 // While so many servers are out of use that they are used all the same, a gateway uses all of its
@@ -220,7 +220,7 @@
 		most, usedOutOfUse := 0, 0
 		for id, n := range sent {
 			most = max(most, n)
-			if w.g.outOfUse(w.g.servers[id], w.g.classes["safe"]) {
+			if w.g.outOfUse(w.g.trackedByID[id], w.g.classes["safe"]) {
 				usedOutOfUse++
 			}
 		}
@@ -239,15 +239,15 @@
 	}{
 		{"out of use", condemned},
 		{"turning a plan away", func(w *world) {
-			for _, s := range w.g.working {
-				s.fullAt[w.g.plans["free"]] = w.now + time.Hour
+			for _, s := range w.g.subset {
+				s.fullUntil[w.g.plans["free"]] = w.now + time.Hour
 			}
 		}},
 		{"cold, with nothing left of the budget", func(w *world) {
-			for _, s := range w.g.working {
+			for _, s := range w.g.subset {
 				s.HasStart, s.Start = true, w.now
 				for range 100 {
-					s.sends = append(s.sends, w.now)
+					s.recentSends = append(s.recentSends, w.now)
 				}
 			}
 		}},
@@ -261,16 +261,16 @@
 		if n := looked(w.g, func() {
 			_, acts := w.ask("safe", "free", "c", 1)
 			sends = of[Send](acts)
-		}); n > maxSet*(widerSet+1) {
+		}); n > maxSubsetSize*(widerSubsetFactor+1) {
 			t.Errorf("%s: %d looked at", c.name, n)
 		}
 		if len(sends) != 1 || inner[sends[0].Server] || newcomers(inner, members(w.g)) != 0 {
 			t.Errorf("%s: %v sent, %d others in the set", c.name, sends, newcomers(inner, members(w.g)))
 		}
 		w.now += 30 * time.Second // verdicts have lapsed
-		for _, s := range w.g.working {
-			clear(s.fullAt)
-			s.HasStart, s.sends = false, nil
+		for _, s := range w.g.subset {
+			clear(s.fullUntil)
+			s.HasStart, s.recentSends = false, nil
 		}
 		for range 20 {
 			w.pass(500 * ms)
@@ -282,8 +282,8 @@
 		if newcomers(inner, members(w.g)) != 0 {
 			t.Errorf("%s: %d of %d others in the set", c.name, newcomers(inner, members(w.g)), len(inner))
 		}
-		if len(w.g.fleet) > 2*maxSet {
-			t.Errorf("%s: state of %d servers is kept", c.name, len(w.g.fleet))
+		if len(w.g.tracked) > 2*maxSubsetSize {
+			t.Errorf("%s: state of %d servers is kept", c.name, len(w.g.tracked))
 		}
 	}
 }
@@ -295,7 +295,7 @@
 	set.Gateways = plannedGateways
 	servers := spreadOut(plannedServers, plannedZones)
 	w := newWorld(t, set, servers)
-	for _, s := range w.g.widerRuns() {
+	for _, s := range w.g.widerSubset() {
 		condemn(w, s.ID)
 	}
 	n := looked(w.g, func() {
@@ -303,7 +303,7 @@
 			t.Errorf("%v with all of the set and more out of use", acts)
 		}
 	})
-	if n > maxSet*(widerSet+1) {
+	if n > maxSubsetSize*(widerSubsetFactor+1) {
 		t.Errorf("%d looked at", n)
 	}
 	before := members(w.g)
@@ -346,7 +346,7 @@
 		if a.Zone != b.Zone || class == "cell" && a.Cell != b.Cell {
 			t.Errorf("%s: sent to %+v after %+v", class, b, a)
 		}
-		if n > maxSet {
+		if n > maxSubsetSize {
 			t.Errorf("%s: %d looked at", class, n)
 		}
 		// With the whole group out of use, and no server of it left, nothing goes elsewhere.
@@ -376,21 +376,21 @@
 			outside = id
 		}
 	}
-	w.do(PeerMessage{From: 1, Data: encode(verdict{Server: uint32(outside), Bad: 1, Pace: paceByte(4)})})
-	if s := w.g.servers[outside]; s == nil || !s.by[0].bad {
+	w.do(PeerMessage{From: 1, Data: encode(verdictMessage{Server: uint32(outside), OutOfUse: 1, RelativeLatency: encodeRelativeLatency(4)})})
+	if s := w.g.trackedByID[outside]; s == nil || !s.health[0].outOfUse {
 		t.Fatalf("%+v of a server under a verdict", s)
 	}
-	w.pass(verdictLife - time.Second)
-	if w.g.servers[outside] == nil {
+	w.pass(verdictLifetime - time.Second)
+	if w.g.trackedByID[outside] == nil {
 		t.Error("state dropped under a verdict")
 	}
 	w.pass(2 * time.Minute)
-	if s := w.g.servers[outside]; s != nil {
+	if s := w.g.trackedByID[outside]; s != nil {
 		t.Errorf("%+v kept for nothing", s)
 	}
-	w.do(PeerMessage{From: 1, Data: encode(verdict{Server: plannedServers + 1, Bad: 1, Pace: paceByte(4)})})
-	if len(w.g.servers) > maxSet {
-		t.Errorf("state of %d servers, one of none in the list", len(w.g.servers))
+	w.do(PeerMessage{From: 1, Data: encode(verdictMessage{Server: plannedServers + 1, OutOfUse: 1, RelativeLatency: encodeRelativeLatency(4)})})
+	if len(w.g.trackedByID) > maxSubsetSize {
+		t.Errorf("state of %d servers, one of none in the list", len(w.g.trackedByID))
 	}
 }
 
@@ -400,7 +400,7 @@
 		g := sharing(t, listOf(nil), 0, gateways)
 		watched := make([]int, gateways)
 		for _, s := range spreadOut(plannedServers, 1) {
-			w := g.watchers(s.ID)
+			w := g.monitors(s.ID)
 			watched[w[0]]++
 			if w[0] == w[1] {
 				t.Fatalf("server %d has one watcher twice", s.ID)
