--- a/policy/policy.go
+++ b/policy/policy.go
@@ -326,16 +326,16 @@
 
 // peerCounts sums the attempts in flight and the held requests that the peers report. For a silent peer, its
 // demand-split share of the cap counts as in flight.
-func (g *Gateway) peerCounts(c *customer) (out, held float64) {
+func (g *Gateway) peerCounts(c *customer) (inFlight, held float64) {
 	for _, v := range c.peerViews {
 		if g.silent(v.peer) {
-			out += float64(c.plan.Open) * g.peerDemand(c, v) / g.totalDemand(c)
+			inFlight += float64(c.plan.Open) * g.peerDemand(c, v) / g.totalDemand(c)
 			continue
 		}
-		out += v.inFlight
+		inFlight += v.inFlight
 		held += v.held
 	}
-	return out, held
+	return inFlight, held
 }
 
 // hasRoom reports whether one more attempt of the customer fits under its cap. A request that has just
@@ -344,8 +344,8 @@
 	if c.plan.Open == 0 {
 		return true
 	}
-	out, _ := g.peerCounts(c)
-	free, next := float64(c.plan.Open)-out, float64(c.inFlight+1)
+	inFlight, _ := g.peerCounts(c)
+	free, next := float64(c.plan.Open)-inFlight, float64(c.inFlight+1)
 	if arrival {
 		return next <= max(free*g.demandShare(c), min(1, free+arrivalSlack))
 	}
@@ -885,9 +885,9 @@
 		}
 		n := 1 << 30
 		if c.plan.Open > 0 {
-			out, held := g.peerCounts(c)
+			inFlight, held := g.peerCounts(c)
 			mine := float64(len(c.held))
-			part := (float64(c.plan.Open) - float64(c.inFlight) - out) * mine / (mine + held)
+			part := (float64(c.plan.Open) - float64(c.inFlight) - inFlight) * mine / (mine + held)
 			n = int(math.Floor(max(part, 0) + g.rng.Float64()))
 		}
 		g.sendHeld(c, n)
