--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,18 +1,17 @@
-// Package admin is the operators' listener of an edge node: HTTP on a loopback
-// address that the configuration names.
+// Package admin serves an edge node's HTTP API for operators, on the loopback address
+// from the configuration.
 //
-//	GET  /status    what is in force, what is kept before it, what was refused and why
-//	GET  /duty/NAME 200 where this edge node holds the duty now, 409 where not
-//	POST /check     tells all faults of the file in the body, and changes nothing
-//	POST /apply     puts the configuration file in force as it is now
-//	POST /rollback  returns to the generation before; the file stays as it is
-//	POST /stay      calls a planned stop off
+//	GET  /status    status: the generations of the configuration, the last rejected file, ...
+//	GET  /duty/NAME 200 if this edge node holds the duty now, 409 if not
+//	POST /check     returns all faults of the configuration file in the body; changes nothing
+//	POST /apply     puts the current configuration file in force
+//	POST /rollback  returns to the previous generation; the file stays unchanged
+//	POST /stay      cancels a shutdown
 //
-// It promises to answer none but programs on the same machine: it listens on a
-// loopback address only, and refuses what a browser was led to send. It holds at
-// most mostConns connections, reads a bounded body and waits for no client longer
-// than its time-outs, so that it takes nothing from the clients' side but them. An
-// address that can't be had keeps the edge node from nothing else.
+// The API serves only programs on the same machine: it listens on a loopback address and
+// rejects requests from pages in a browser. It accepts at most mostConns connections,
+// bounded bodies and bounded waits for clients, so it takes few resources from the
+// customers' side. The edge node also works while the address is unavailable.
 package admin
 
 import (
@@ -33,16 +32,17 @@
 )
 
 const (
-	mostConns   = 4 // of the descriptors that clients and servers leave
-	mostHead    = 8 << 10
-	headTimeout = 2 * time.Second
-	bodyTimeout = 10 * time.Second
-	// A change waits for a half-written file and for its turn.
-	answerTimeout = 30 * time.Second
-	retryEvery    = time.Second // an address that another has is asked for
+	mostConns = 4       // these use file descriptors that clients and servers leave free
+	mostHead  = 8 << 10 // bytes
+
+	headTimeout   = 2 * time.Second
+	bodyTimeout   = 10 * time.Second
+	answerTimeout = 30 * time.Second // a command may wait for a half-written file and other commands
+
+	retryEvery = time.Second // between attempts to listen on an address in use
 )
 
-// Operated is what is behind the listener.
+// Operated is the edge node behind the API.
 type Operated interface {
 	Status() node.Status
 	Check(raw []byte) error
@@ -51,7 +51,7 @@
 	Stay(ctx context.Context) error
 }
 
-// Listen opens the listener.
+// Listen opens the listener, which must be on a loopback address.
 func Listen(addr netip.AddrPort) (net.Listener, error) {
 	if !addr.Addr().IsLoopback() {
 		return nil, fmt.Errorf("admin: %v is not a loopback address", addr)
@@ -63,13 +63,13 @@
 	return &few{Listener: ln, places: make(chan struct{}, mostConns)}, nil
 }
 
-// Open answers operators at addr until ctx ends. It has begun where the address can be
-// had. One that is another's, or not there, is no reason not to serve clients: it is
-// asked for again until it can be had.
+// Open serves the API at addr in the background until ctx is done. If the address is
+// unavailable, Open retries until it can listen there, since the edge node must serve
+// its clients regardless.
 func Open(ctx context.Context, addr netip.AddrPort, o Operated) {
 	ln, err := Listen(addr)
 	if err != nil {
-		slog.Error("operators' address can't be had; asked for again until it can", "err", err)
+		slog.Error("operators' address is unavailable; retrying", "err", err)
 	}
 	go func() {
 		for ; err != nil; ln, err = Listen(addr) {
@@ -80,12 +80,12 @@
 			}
 		}
 		if err := Serve(ctx, ln, o); err != nil {
-			slog.Error("operators' address closed", "err", err)
+			slog.Error("operators' listener failed", "err", err)
 		}
 	}()
 }
 
-// Serve answers operators until ctx ends.
+// Serve serves the API until ctx is done.
 func Serve(ctx context.Context, ln net.Listener, o Operated) error {
 	s := &http.Server{Handler: handler(o), ReadHeaderTimeout: headTimeout, ReadTimeout: bodyTimeout,
 		WriteTimeout: answerTimeout, IdleTimeout: headTimeout, MaxHeaderBytes: mostHead,
@@ -156,8 +156,9 @@
 	})
 }
 
-// local refuses what does not come from a program on this machine: a page in a
-// browser here may send requests too, under a name that it led to this address.
+// local returns an error for a request that doesn't come from a program on this machine.
+// A web page in a local browser can also send requests, for example under a host name
+// that resolves to this address (DNS rebinding).
 func local(r *http.Request) error {
 	if from, err := netip.ParseAddrPort(r.RemoteAddr); err != nil || !from.Addr().Unmap().IsLoopback() {
 		return errors.New("only for programs on this machine")
@@ -175,23 +176,23 @@
 	return nil
 }
 
-// status is what operators read.
+// status is the body of /status.
 type status struct {
 	Name       string      `json:"name"`
 	Ready      bool        `json:"ready"`
-	Phase      string      `json:"phase"` // of a planned stop
+	Phase      string      `json:"phase"` // of a shutdown
 	Generation generation  `json:"generation"`
 	Before     *generation `json:"before"`
 	Refused    *refusal    `json:"refused"`
-	Snapshots  *snapshots  `json:"snapshots"` // null: none are kept
+	Snapshots  *snapshots  `json:"snapshots"` // null: snapshots are disabled
 	Duties     []duty      `json:"duties,omitempty"`
 	Loop       loopLag     `json:"loop"`
 	Left       leavers     `json:"clients_left"`
 	Stray      unsolicited `json:"unsolicited_bytes"`
 }
 
-// unsolicited counts connections to servers that were closed since bytes came that nobody had
-// asked for, by where these were noticed; and answers that could not be checked for it.
+// unsolicited counts connections to servers that were closed because of bytes without a
+// request, by where these were detected, and responses that could not be checked for them.
 type unsolicited struct {
 	Idle      int64 `json:"idle"`
 	Write     int64 `json:"before_write"`
@@ -199,8 +200,9 @@
 	Unchecked int64 `json:"unchecked_answers"`
 }
 
-// leavers counts requests whose client left before their first attempt, by where that was
-// noticed. None of them was sent on, but for the hidden: these may have had no client.
+// leavers counts requests whose client disconnected before their first attempt, by where
+// that was detected. They were not sent to a server, except for Hidden: requests that
+// were sent although the client may have disconnected.
 type leavers struct {
 	Held    int64 `json:"held"`
 	Dialing int64 `json:"dialing"`
@@ -208,21 +210,21 @@
 	Hidden  int64 `json:"sent_on_unseen"`
 }
 
-// loopLag is how late the event loop is, in milliseconds. One that stands still is
-// later and later.
+// loopLag is the delay of the event loop in milliseconds. It grows while the loop is
+// blocked.
 type loopLag struct {
 	Now   float64 `json:"lag_ms"`
-	Worst float64 `json:"worst_lag_ms"` // of the last half to whole minute
-	Looks int64   `json:"looks"`        // since the start: it gets on as long as they grow
+	Worst float64 `json:"worst_lag_ms"` // over the last 30 to 60 seconds
+	Looks int64   `json:"looks"`        // heartbeats since the start; they stop while the loop is blocked
 }
 
-// duty is one that one edge node holds at a time.
+// duty is the state of a lease at this edge node.
 type duty struct {
 	Name   string `json:"name"`
 	Voter  bool   `json:"voter"`
-	Held   bool   `json:"held"`                   // here, as the answer is written
-	Token  uint64 `json:"token,string,omitempty"` // the fencing token, where it is held here
-	Holder *int   `json:"holder"`                 // the edge node's number; null: none is known here
+	Held   bool   `json:"held"`                   // by this edge node, when the answer is written
+	Token  uint64 `json:"token,string,omitempty"` // the fencing token, if held
+	Holder *int   `json:"holder"`                 // number of the edge node; null: unknown here
 }
 
 func dutyOf(s node.DutyStatus) duty {
@@ -295,10 +297,10 @@
 	w.WriteHeader(code)
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	_ = enc.Encode(v) // the client has gone
+	_ = enc.Encode(v) // fails only if the client has disconnected
 }
 
-// few accepts a few connections at a time; the next one waits.
+// few limits the number of open connections. Accept waits for a free place.
 type few struct {
 	net.Listener
 	places chan struct{}
@@ -314,6 +316,7 @@
 	return &placed{Conn: c, free: func() { <-f.places }}, nil
 }
 
+// placed is a connection that frees its place when it is closed.
 type placed struct {
 	net.Conn
 	once sync.Once
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -16,7 +16,7 @@
 	"valvering.example/valvering/internal/testkit"
 )
 
-// operated is an edge node whose answers the test sets.
+// operated is a fake edge node with preset results.
 type operated struct {
 	status node.Status
 	err    error
@@ -148,7 +148,7 @@
 	}
 }
 
-// Nothing but a program on this machine may do or see anything.
+// Requests that don't come from a program on this machine are rejected.
 func TestOthersAreRefused(t *testing.T) {
 	o, url := newDoor(t)
 	for why, change := range map[string]func(*http.Request){
@@ -165,7 +165,7 @@
 	}
 	r := &http.Request{RemoteAddr: "10.1.2.3:4", Host: "127.0.0.1"}
 	if local(r) == nil {
-		t.Error("a far address passed")
+		t.Error("a remote address was accepted")
 	}
 	for _, host := range []string{"localhost:1", "127.0.0.1", "[::1]:80", "127.8.0.3:1"} {
 		if err := local(&http.Request{RemoteAddr: "127.0.0.1:4", Host: host}); err != nil {
@@ -180,7 +180,7 @@
 	}
 }
 
-// An address that another program has is taken once it is free.
+// If the address is in use at first, Open listens on it once it is free.
 func TestAddressTakenAtFirst(t *testing.T) {
 	addr := testkit.FreeAddr(t)
 	other, err := net.Listen("tcp", addr)
@@ -192,7 +192,7 @@
 	o := &operated{status: node.Status{Current: &config.Generation{}}}
 	Open(ctx, netip.MustParseAddrPort(addr), o)
 	other.Close()
-	testkit.Eventually(t, "the door", func() bool {
+	testkit.Eventually(t, "the operators' listener", func() bool {
 		resp, err := http.Get("http://" + addr + "/status")
 		if err != nil {
 			return false
@@ -202,7 +202,7 @@
 	})
 }
 
-// Silent connections take few descriptors, and are let go for others.
+// Idle connections use few descriptors and are closed after a time-out, so others get through.
 func TestSilentConnections(t *testing.T) {
 	_, url := newDoor(t)
 	for range 3 * mostConns {
--- a/internal/bounded/bounded.go
+++ b/internal/bounded/bounded.go
@@ -1,4 +1,5 @@
-// Package bounded gives work that may hang, such as reading from a disk, a bounded time.
+// Package bounded limits the time spent waiting for work that may hang, such as reading
+// from a disk.
 package bounded
 
 import (
@@ -6,11 +7,11 @@
 	"time"
 )
 
-// ErrLate is work that has not ended in its time.
-var ErrLate = errors.New("not done in time")
+// ErrLate is returned if the work didn't finish in time.
+var ErrLate = errors.New("timed out")
 
-// Do returns what the work does, or ErrLate once its time is up. Work that is late goes on
-// in a goroutine of its own, which nobody waits for any more.
+// Do returns the result of work, or ErrLate after d. Work that exceeds its time continues
+// in its own goroutine, and its result is discarded.
 func Do[T any](d time.Duration, work func() (T, error)) (T, error) {
 	type result struct {
 		value T
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,7 +30,7 @@
 
 func parse(text string) (*File, error) { return Source{none}.Parse([]byte(text)) }
 
-// Each fault names its field, and all of them are found at once.
+// Each fault names its field, and Parse reports all faults at once.
 func TestFaults(t *testing.T) {
 	if f, err := parse(testFile); err != nil || len(f.Warnings) > 0 || f.Sockets != 1024 || len(f.Settings.Plans) != 2 {
 		t.Fatal(f, err)
@@ -89,8 +89,8 @@
 		}
 	}
 	twice := strings.Replace(testFile, `["127.0.0.1:5"]`, `["127.0.0.1:5","127.0.0.1:5"]`, 1)
-	if _, err := parse(twice); err == nil || !strings.Contains(err.Error(), "peers[1]: 127.0.0.1:5 is there twice") {
-		t.Errorf("%v, want peers[1]", err)
+	if _, err := parse(twice); err == nil || !strings.Contains(err.Error(), "peers[1]: 127.0.0.1:5 is a duplicate") {
+		t.Errorf("%v, want a fault of peers[1]", err)
 	}
 	all := strings.NewReplacer(`"listen":"127.0.0.1:0"`, `"listen":"here"`, `"sockets":1024`, `"sockets":3`,
 		`"aim_ms":400.0`, `"aim_ms":-1`, `"rate":0.5`, `"rate":"x"`, `"repeatable"`, `"often"`).Replace(testFile)
@@ -105,14 +105,14 @@
 	}
 }
 
-// foreign are names that the platform may give to what it adds: this program's own as
-// they stood there once, others' that differ from read ones in case, and such as would pass
-// for a path.
+// foreign lists names that the platform may use for its own fields: former names of this
+// program's fields, names that differ from known ones in case, and names that look like a
+// path.
 var foreign = []string{"admin", "state_dir", "duties", "VALVERING", "Valvering", "Name", "LISTEN", "Discovery", "Settings", "Peers",
 	"Sockets", "MEMORY_MB", "Me", "Balancers", "UID", "Endpoint", "State", "BOOT_MS", "Rev", "All", "Targets", "", ".", "a.b", "me=7",
 	"me", "caps.max_attempts", "classes.0.aim_ms", "classes.count", "plans.0.rate", "0", "count", "x y", "\u00e9", "__proto__"}
 
-// anything is a value of any kind.
+// anything returns a random JSON value.
 func anything(rng *rand.Rand, deep int) any {
 	switch rng.IntN(9 - deep) {
 	case 0:
@@ -136,12 +136,12 @@
 	return map[string]any{foreign[rng.IntN(len(foreign))]: anything(rng, deep+1), "listen": anything(rng, deep+1)}
 }
 
-// add puts something under names that nobody reads there into a value's objects. At
-// the top and elsewhere "me" and numbers are read by nobody; in the settings they are.
+// add adds random fields with unused names to all objects in a value. The name "me" is
+// unused everywhere but in the settings.
 func add(rng *rand.Rand, v any, at string) {
 	switch v := v.(type) {
 	case map[string]any:
-		for _, k := range slices.Sorted(maps.Keys(v)) { // a seed is to give the same file again
+		for _, k := range slices.Sorted(maps.Keys(v)) { // sorted, so that a seed always gives the same file
 			add(rng, v[k], at+"/"+k)
 		}
 		for range rng.IntN(3) {
@@ -157,9 +157,9 @@
 	}
 }
 
-// The file and the environment are the platform's: whatever it adds to them, under any
-// name and of any value, changes nothing that this program does. A file has refused starts
-// of whole fleets with a field "admin" of the platform's own.
+// Fields and variables that the platform adds, with any name and value, must not affect
+// this program. A field "admin" that the platform added once prevented starts of whole
+// fleets.
 func TestPlatformMayAddAnything(t *testing.T) {
 	text := strings.Replace(testFile, `"limits"`, `"known":{"rev":3,"all":true,"targets":[
 		{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","pod_group":2,"state":"SERVING","capacity_hint":1.5,"boot_ms":7},
@@ -175,7 +175,7 @@
 			t.Fatal(err)
 		}
 		own := v["valvering"]
-		delete(v, "valvering") // what stands in there is this program's
+		delete(v, "valvering") // the platform adds nothing to this program's object
 		add(rng, v, "")
 		v["valvering"] = own
 		raw, err := json.Marshal(v)
@@ -186,7 +186,7 @@
 			if !strings.HasPrefix(key, "GW_") || slices.Contains([]string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY"}, key) {
 				return ""
 			}
-			return fmt.Sprint(anything(rng, 0)) // the platform has variables of any other name
+			return fmt.Sprint(anything(rng, 0)) // the platform may set any other variable
 		}}.Parse(raw)
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, raw)
@@ -200,8 +200,8 @@
 	}
 }
 
-// This program's fields stand in its own object and its own variables; where they stood
-// before, they are the platform's, and one warning tells where to put them.
+// This program's fields are read from its own object and variables only. In their former
+// places they are ignored, and a single warning names the new place.
 func TestOwnFields(t *testing.T) {
 	former := `"admin":"127.0.0.1:8","state_dir":"/var/former","duties":["former"],`
 	own := `"valvering":{"admin":"127.0.0.1:7","state_dir":"/var/s","duties":["nightly"],"later":1},`
@@ -223,11 +223,12 @@
 	}
 	var faults Faults
 	if _, err = with(map[string]string{StateDirEnv: "run"}, own); !errors.As(err, &faults) || len(faults) != 1 || faults[0].Field != StateDirEnv {
-		t.Errorf("environment that can't be used: %v", err)
+		t.Errorf("invalid environment: %v", err)
 	}
 }
 
-// A list that can't be used is no reason not to start: discovery brings another.
+// An invalid list of known servers must not prevent a start, since discovery provides
+// the current list.
 func TestKnownListIsNoSetting(t *testing.T) {
 	for known, want := range map[string]int{`null`: 0, `{"rev":3,"targets":[]}`: 0, `7`: 1,
 		`{"targets":[{"uid":"s-1","state":"DELETED"},{"uid":"s-1","state":"DELETED"}]}`: 1,
@@ -239,7 +240,7 @@
 	}
 }
 
-// A file that nobody writes, as on a disk that hangs, is given up.
+// Reading a file that blocks, as on a disk that hangs, ends with a fault.
 func TestFileThatHangs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -250,14 +251,14 @@
 	if !errors.As(err, &faults) || faults[0].Field != "file" || errors.Is(err, ErrUnreadable) {
 		t.Errorf("%v", err)
 	}
-	w, err := os.OpenFile(path, os.O_RDWR, 0) // lets go of the one that still waits
+	w, err := os.OpenFile(path, os.O_RDWR, 0) // unblocks the goroutine that still reads
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Close()
 }
 
-// bench is a history with its file and its time.
+// bench is a History with its file and clock.
 type bench struct {
 	*History
 	t    *testing.T
@@ -284,7 +285,7 @@
 	}
 }
 
-// offer writes a file and takes it if it may be taken.
+// offer writes a changed file, offers it and accepts it if it is valid.
 func (b *bench) offer(from, to string) error {
 	b.t.Helper()
 	b.write(strings.Replace(testFile, from, to, 1))
@@ -296,7 +297,7 @@
 	return err
 }
 
-// A refused file between two good ones changes nothing, and is kept to be seen.
+// A rejected file between two valid ones changes nothing, and Refused returns it.
 func TestRefusedBetweenGood(t *testing.T) {
 	b := newBench(t)
 	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:2"`); err != nil {
@@ -312,7 +313,7 @@
 	}
 }
 
-// A file that changes what is fixed is refused whole, and the field is named.
+// A file that changes a fixed field is rejected as a whole, and the fault names the field.
 func TestFixedFields(t *testing.T) {
 	b := newBench(t)
 	for _, c := range []struct{ field, from, to string }{
@@ -336,7 +337,7 @@
 			t.Errorf("%s: %v", c.field, err)
 		}
 	}
-	// Facts of the start are passed over, and what the platform adds is borne.
+	// Fields that only matter at the start and unknown fields may change.
 	if err := b.offer(`"seed":"8c1f30d27a5be964"`, `"seed":"1","known":{"rev":9,"targets":[]},"more":1`); err != nil {
 		t.Error(err)
 	}
@@ -345,8 +346,8 @@
 	}
 }
 
-// One step leads back, a second one nowhere; the file that was left is not
-// taken again by a signal, but by hand or once it has changed.
+// A second rollback in a row is rejected. The file that was rolled back from is put in
+// force again by an operator's command or once it has changed, but not by a signal.
 func TestRollBack(t *testing.T) {
 	b := newBench(t)
 	if _, err := b.Back(b.now); !errors.Is(err, ErrNoneBefore) {
@@ -364,13 +365,13 @@
 		t.Errorf("%+v", b.Current())
 	}
 	if _, err := b.Back(b.now); !errors.Is(err, ErrNoneBefore) {
-		t.Errorf("%v at the second step back", err)
+		t.Errorf("%v at the second rollback", err)
 	}
 	if _, err := b.Offer(b.now, false); !errors.Is(err, ErrPassedOver) {
-		t.Errorf("%v for the file that was left", err)
+		t.Errorf("%v for the file that was rolled back from", err)
 	}
 	if g, err = b.Offer(b.now, true); err != nil || g.File.Discovery != "127.0.0.1:2" {
-		t.Errorf("%v by hand", err)
+		t.Errorf("%v for the same file by an operator's command", err)
 	}
 	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); err != nil || b.Left() != "" {
 		t.Errorf("%v for another file", err)
@@ -380,7 +381,7 @@
 	}
 }
 
-// What applying fails at is not in force.
+// A proposed generation is not in force until it is accepted.
 func TestProposedIsNotInForce(t *testing.T) {
 	b := newBench(t)
 	b.write(strings.Replace(testFile, `"127.0.0.1:1"`, `"127.0.0.1:2"`, 1))
@@ -389,8 +390,8 @@
 	}
 }
 
-// A file is untrusted: whatever it holds gives a file, faults or a plain error,
-// and what passes once passes again.
+// A file is untrusted: any input gives a File, Faults or ErrUnreadable. A valid file has no
+// changed fields when compared with itself.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(testFile))
 	f.Add([]byte(`{"settings":{"classes":[{"name":1e999}],"plans":{"count":1e18}}}`))
@@ -402,13 +403,13 @@
 			t.Fatalf("%T %v", err, err)
 		}
 		if err == nil && (c == nil || fixed(c, c) != nil || fmt.Sprint(c.Settings.Classes) == "[]") {
-			t.Fatalf("passed as %+v", c)
+			t.Fatalf("accepted as %+v", c)
 		}
 	})
 }
 
-// A process goes on from what was in force before it ended; what was kept is as
-// untrusted as the file.
+// A restarted process continues from the stored generations, which are as untrusted as
+// the file.
 func TestResume(t *testing.T) {
 	alter := func(port string) string { return strings.Replace(testFile, `"127.0.0.1:1"`, `"127.0.0.1:`+port+`"`, 1) }
 	kept := func(n uint64, text string) Kept {
@@ -422,9 +423,9 @@
 		file            string
 		current, before Kept
 		left            string
-		number          uint64 // 0: no start
-		port            string
-		back            uint64 // 0: none to return to
+		number          uint64 // in force; 0: the start fails
+		port            string // of discovery
+		back            uint64 // previous generation; 0: none
 		refused         bool
 		notes           int
 	}{
@@ -433,11 +434,11 @@
 		{"a faulty file", faulty, kept(5, alter("5")), kept(4, alter("4")), "", 5, "5", 4, true, 1},
 		{"half a file", alter("6")[:50], kept(5, alter("5")), Kept{}, "", 5, "5", 0, true, 1},
 		{"rolled back from", alter("6"), kept(7, alter("5")), Kept{}, DigestOf([]byte(alter("6"))), 7, "5", 0, false, 1},
-		{"kept one broken", alter("6"), broken, kept(4, alter("4")), "", 6, "6", 0, false, 1},
-		{"kept one faulty", alter("6"), kept(5, faulty), Kept{}, "", 6, "6", 0, false, 1},
-		{"before broken", alter("5"), kept(5, alter("5")), broken, "", 5, "5", 0, false, 1},
-		{"nothing to go by", faulty, broken, Kept{}, "", 0, "", 0, false, 0},
-		{"nothing kept", faulty, Kept{}, Kept{}, "", 0, "", 0, false, 0},
+		{"stored one damaged", alter("6"), broken, kept(4, alter("4")), "", 6, "6", 0, false, 1},
+		{"stored one faulty", alter("6"), kept(5, faulty), Kept{}, "", 6, "6", 0, false, 1},
+		{"previous one damaged", alter("5"), kept(5, alter("5")), broken, "", 5, "5", 0, false, 1},
+		{"nothing valid", faulty, broken, Kept{}, "", 0, "", 0, false, 0},
+		{"nothing stored", faulty, Kept{}, Kept{}, "", 0, "", 0, false, 0},
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(c.file), 0o600); err != nil {
@@ -463,12 +464,13 @@
 	}
 }
 
-// A generation from before a restart may differ in what is fixed now: there is no
-// way back to it.
+// A rollback is rejected if the previous generation is from before a restart and differs
+// in a fixed field.
 func TestRollBackOverRestart(t *testing.T) {
 	b := newBench(t)
 	other := strings.Replace(testFile, `["127.0.0.1:5"]`, `["127.0.0.1:6"]`, 1)
-	h, _, err := Resume(Source{func(key string) string { return map[string]string{"GW_CONFIG": b.path}[key] }}.Load(), Kept{1, DigestOf([]byte(other)), b.now, []byte(other)}, Kept{}, "", b.now)
+	h, _, err := Resume(Source{func(key string) string { return map[string]string{"GW_CONFIG": b.path}[key] }}.Load(),
+		Kept{1, DigestOf([]byte(other)), b.now, []byte(other)}, Kept{}, "", b.now)
 	if err == nil {
 		_, err = h.Back(b.now)
 	}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -1,12 +1,12 @@
-// Package config reads an edge node's configuration file and keeps its
+// Package config parses an edge node's configuration file and stores its
 // generations.
 //
-// A file is checked whole: Parse gives either what it says or every fault in it,
-// each naming its field, and never a part. What passed is a Generation, which is
-// immutable. History says which one is in force and what comes next: a file that
-// has a fault, or changes a field that is fixed until a restart, is refused whole
-// and the generation in force stays. At most two generations are kept, and a file
-// of at most MostBytes is read. Nothing here opens a socket or starts a goroutine.
+// Parse validates a whole file: it returns either the complete configuration or
+// all faults, each of which names its field. A valid file becomes a Generation,
+// which is immutable. History holds the generation in force and the previous one.
+// It rejects a file that has a fault or changes a field that is fixed until a
+// restart, and the generation in force stays. A file may have at most MostBytes.
+// The package opens no sockets.
 package config
 
 import (
@@ -30,8 +30,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// File is what a configuration file and the environment tell an edge node. It
-// is not changed once it is parsed.
+// File is the configuration of an edge node, from its file and the environment.
+// It is immutable once parsed.
 type File struct {
 	Name       string
 	Listen     string
@@ -41,35 +41,38 @@
 	Sockets    int
 	PeerListen string
 	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort // zero: none
-	Known      *roster.List   // the list as last held; nil: none
+	PeersAll   netip.AddrPort // one datagram to it reaches all edge nodes; zero: none
+	Known      *roster.List   // servers known before discovery answers; nil: none
 	Admin      netip.AddrPort // operators' address; zero: none
-	StateDir   string         // where snapshots are kept; empty: nowhere
-	Duties     []string       // that one edge node holds at a time; none: no leases are asked for
+	StateDir   string         // directory of the snapshots; empty: no snapshots
+	Duties     []string       // leases to request, each held by one edge node at a time
 	Settings   policy.Settings
 
-	DialTimeout time.Duration // an app server that has not accepted by then is out of reach
-	ConnIdle    time.Duration // app servers close idle connections after this
-	DrainGrace  time.Duration // sends to a draining server may go on so long
+	DialTimeout time.Duration // limit for connecting to a server
+	ConnIdle    time.Duration // servers close connections that are idle for longer
+	DrainGrace  time.Duration // how long a draining server may still get requests
 
-	Warnings []string // of what was passed over
+	Warnings []string // ignored parts of the file
 }
 
 const (
+	// Values of fields that the file leaves out.
 	defaultDial    = 250 * time.Millisecond
 	defaultIdle    = 15 * time.Second
 	defaultSockets = 1024
-	leastSockets   = 64
-	mostSockets    = 1 << 20
-	mostMemoryMB   = 1 << 24
-	mostGateways   = 1 << 15 // their numbers fit into 16 bits of a message
+
+	// Ranges.
+	leastSockets = 64
+	mostSockets  = 1 << 20
+	mostMemoryMB = 1 << 24
+	mostGateways = 1 << 15 // messages number edge nodes in 16 bits
 )
 
-// MostBytes is the size of the largest file that is read: a list of 10,000
-// servers takes 2 MB.
+// MostBytes is the size limit of a configuration file. A list of 10,000 servers
+// takes 2 MB.
 const MostBytes = 16 << 20
 
-// Fault is what is wrong with one field.
+// Fault describes what is wrong with one field.
 type Fault struct {
 	Field string `json:"field"`
 	What  string `json:"what"`
@@ -77,7 +80,7 @@
 
 func (f Fault) String() string { return f.Field + ": " + f.What }
 
-// Faults are all that is wrong with a file.
+// Faults is the error that lists all faults of a file.
 type Faults []Fault
 
 func (f Faults) Error() string {
@@ -88,17 +91,17 @@
 	return strings.Join(lines, "; ")
 }
 
-// ErrUnreadable is a file that is not there or not whole: it may be half
-// written, and is worth reading again.
+// ErrUnreadable is returned for a file that is missing or isn't a complete JSON
+// object. Another process may still be writing it, so callers should retry.
 var ErrUnreadable = errors.New("not readable as a whole JSON object")
 
-// Source is where an edge node's configuration comes from.
+// Source locates the configuration through environment variables.
 type Source struct{ Getenv func(string) string }
 
-// Path is the file's.
+// Path returns the path of the configuration file.
 func (s Source) Path() string { return s.Getenv("GW_CONFIG") }
 
-// Read returns the file's bytes as they are now.
+// Read returns the current content of the file.
 func (s Source) Read() ([]byte, error) {
 	if s.Path() == "" {
 		return nil, Faults{{"GW_CONFIG", "is not set"}}
@@ -106,17 +109,17 @@
 	return ReadFile(s.Path())
 }
 
-// readWait is how long a file may take to be read: a disk may hang, and a pipe stay
-// silent.
+// readWait limits the time for reading a file: a disk may hang, and the file may be
+// a pipe without a writer.
 const readWait = 10 * time.Second
 
-// ReadFile reads a configuration file of bounded size, in bounded time.
+// ReadFile reads a configuration file within limits of size and time.
 func ReadFile(path string) ([]byte, error) { return readWithin(path, readWait) }
 
 func readWithin(path string, wait time.Duration) ([]byte, error) {
 	data, err := bounded.Do(wait, func() ([]byte, error) { return readAll(path) })
 	if errors.Is(err, bounded.ErrLate) {
-		return nil, Faults{{"file", fmt.Sprintf("not read within %v", wait)}}
+		return nil, Faults{{"file", fmt.Sprintf("reading did not finish within %v", wait)}}
 	}
 	return data, err
 }
@@ -132,13 +135,13 @@
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	if len(data) > MostBytes {
-		return nil, Faults{{"file", fmt.Sprintf("over %d bytes", MostBytes)}}
+		return nil, Faults{{"file", fmt.Sprintf("larger than %d bytes", MostBytes)}}
 	}
 	return data, nil
 }
 
-// reload is the environment as it counts for a file that is newer than the
-// process: where discovery is was told at the start.
+// reload returns the source for files that are read after the start. Such a file
+// may change discovery's address, so the environment no longer overrides it.
 func (s Source) reload() Source {
 	return Source{func(key string) string {
 		if key == "GW_DISCOVERY" {
@@ -148,10 +151,10 @@
 	}}
 }
 
-// rawFields are those of an object, not yet decoded.
+// rawFields holds the undecoded fields of a JSON object.
 type rawFields map[string]json.RawMessage
 
-// parser gathers what is wrong with a file.
+// parser decodes a JSON object and collects its faults.
 type parser struct {
 	top    rawFields
 	faults Faults
@@ -167,7 +170,7 @@
 	}
 }
 
-// field decodes one field of the file; one that is absent or null changes nothing.
+// field decodes one field. An absent or null field leaves the target unchanged.
 func (p *parser) field(name string, to any) bool {
 	raw := p.top[name]
 	if len(raw) == 0 {
@@ -177,7 +180,7 @@
 		var kind *json.UnmarshalTypeError
 		if errors.As(err, &kind) {
 			name = strings.TrimSuffix(name+"."+kind.Field, ".")
-			p.fault(name, "a %s can't stand here", kind.Value)
+			p.fault(name, "unexpected JSON %s", kind.Value)
 		} else {
 			p.fault(name, "%v", err)
 		}
@@ -186,28 +189,28 @@
 	return true
 }
 
-// within is a parser for the object that a field holds. By their very names: the
-// standard decoder takes others that differ in case for a struct's.
+// within returns a parser for the object in a field. It decodes into a map because
+// the standard decoder matches the names of struct fields regardless of case.
 func (p *parser) within(name string) *parser {
 	in := &parser{}
 	p.field(name, &in.top)
 	return in
 }
 
-// take takes over what a parser for a field's object found.
+// take adds the faults of a nested parser under the name of its field.
 func (p *parser) take(in *parser, name string) {
 	for _, f := range in.faults {
 		p.fault(name+"."+f.Field, "%s", f.What)
 	}
 }
 
-// Parse checks a file whole. The platform's variables (GW_) and this program's own
-// (VALVERING_), where set, go before what it holds. The error is ErrUnreadable for what
-// is no JSON object, or else Faults.
+// Parse parses and validates a file. Environment variables of the platform (GW_) and
+// of this program (VALVERING_) override its fields. The error is ErrUnreadable if the
+// data isn't a JSON object, and Faults otherwise.
 func (s Source) Parse(data []byte) (*File, error) {
 	p := &parser{}
 	if err := json.Unmarshal(data, &p.top); err != nil || p.top == nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnreadable, cmp.Or(err, errors.New("it is null")))
+		return nil, fmt.Errorf("%w: %w", ErrUnreadable, cmp.Or(err, errors.New("the value is null")))
 	}
 	c := p.file(s.Getenv)
 	if len(p.faults) > 0 {
@@ -248,7 +251,8 @@
 	if sockets == 0 {
 		sockets = defaultSockets
 	}
-	p.need(sockets >= leastSockets && sockets <= mostSockets, "limits.sockets", "%g is not from %d to %d", sockets, leastSockets, mostSockets)
+	p.need(sockets >= leastSockets && sockets <= mostSockets, "limits.sockets", "%g is not from %d to %d",
+		sockets, leastSockets, mostSockets)
 	if len(p.faults) == 0 {
 		c.MemoryMB, c.Sockets = int(memory), int(sockets)
 	}
@@ -266,8 +270,8 @@
 	return c
 }
 
-// known takes the list as last held. It is no setting: one that can't be used
-// is passed over, and discovery brings another.
+// known decodes the list of known servers. An invalid list is only a warning, since
+// discovery provides the current one.
 func (p *parser) known(c *File) {
 	raw, have := p.top["known"]
 	if !have {
@@ -276,18 +280,19 @@
 	var l *roster.List
 	switch err := json.Unmarshal(raw, &l); {
 	case err != nil:
-		c.Warnings = append(c.Warnings, "known list passed over: "+err.Error())
+		c.Warnings = append(c.Warnings, "known list ignored: "+err.Error())
 		return
-	case l != nil && l.Twice != nil: // it contradicts itself
-		c.Warnings = append(c.Warnings, "known list passed over: "+l.Twice.Error())
+	case l != nil && l.Twice != nil: // which of the two lines is right is unknown
+		c.Warnings = append(c.Warnings, "known list ignored: "+l.Twice.Error())
 		return
 	case l != nil && l.Bad > 0:
-		c.Warnings = append(c.Warnings, fmt.Sprintf("known list: %d lines passed over, the first: %v", l.Bad, l.BadWhy))
+		c.Warnings = append(c.Warnings, fmt.Sprintf("known list: %d lines ignored, first fault: %v",
+			l.Bad, l.BadWhy))
 	}
 	c.Known = l
 }
 
-// settings reads the platform's settings; unknown ones are borne.
+// settings decodes the platform's settings and ignores unknown ones.
 func (p *parser) settings(c *File) bool {
 	raw, have := p.top["settings"]
 	if !have {
@@ -321,7 +326,7 @@
 	return len(p.faults) == before
 }
 
-// joined takes over errors that name their keys.
+// joined adds the errors in err, each of which begins with its key, as faults.
 func (p *parser) joined(err error) {
 	if err == nil {
 		return
@@ -336,15 +341,19 @@
 	}
 }
 
-// tables refuses what no edge node could go by.
+// tables checks the ranges of the settings.
 func (p *parser) tables(s *policy.Settings) {
 	p.need(s.Resolution > 0, "settings.tick_ms", "not above 0")
-	p.need(s.Gateways >= 1 && s.Gateways <= mostGateways, "settings.balancers", "%d is not from 1 to %d", s.Gateways, mostGateways)
-	p.need(s.Me >= 0 && s.Me < max(1, s.Gateways), "settings.me", "%d is not from 0 to below balancers", s.Me)
+	p.need(s.Gateways >= 1 && s.Gateways <= mostGateways, "settings.balancers", "%d is not from 1 to %d",
+		s.Gateways, mostGateways)
+	p.need(s.Me >= 0 && s.Me < max(1, s.Gateways), "settings.me", "%d is negative or not below balancers",
+		s.Me)
 	p.need(s.DatagramsPerSecond >= 0, "settings.family_info.mail_per_s", "negative")
-	p.need(s.LargestUnits >= 0 && s.LargestUnits <= math.MaxUint16, "settings.family_info.largest", "%g is out of range", s.LargestUnits)
+	p.need(s.LargestUnits >= 0 && s.LargestUnits <= math.MaxUint16, "settings.family_info.largest",
+		"%g is out of range", s.LargestUnits)
 	p.need(s.MaxAttempts >= 0, "settings.caps.max_attempts", "negative")
-	p.need(s.ColdShare >= 0 && s.ColdShare <= 1, "settings.rules.cold_share", "%g is not from 0 to 1", s.ColdShare)
+	p.need(s.ColdShare >= 0 && s.ColdShare <= 1, "settings.rules.cold_share", "%g is not from 0 to 1",
+		s.ColdShare)
 	p.need(s.FallMultiple >= 0, "settings.rules.fall_multiple", "negative")
 	p.need(len(s.Classes) > 0, "settings.classes", "none")
 	p.need(len(s.Plans) > 0, "settings.plans", "none")
@@ -352,7 +361,7 @@
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("settings.classes.%d.", i)
 		p.need(c.Name != "", at+"name", "empty")
-		p.need(!names[c.Name], at+"name", "%q is there twice", c.Name)
+		p.need(!names[c.Name], at+"name", "%q is a duplicate", c.Name)
 		names[c.Name] = true
 		p.need(c.Aim > 0, at+"aim_ms", "not above 0")
 		p.need(c.Deadline > 0, at+"hard_limit_ms", "not above 0")
@@ -361,7 +370,7 @@
 	for i, q := range s.Plans {
 		at := fmt.Sprintf("settings.plans.%d.", i)
 		p.need(q.Name != "", at+"name", "empty")
-		p.need(!names[q.Name], at+"name", "%q is there twice", q.Name)
+		p.need(!names[q.Name], at+"name", "%q is a duplicate", q.Name)
 		names[q.Name] = true
 		p.need(q.Open >= 0, at+"parallel", "negative")
 		for _, f := range []struct {
@@ -375,7 +384,7 @@
 	}
 }
 
-// peers checks the addresses of the other edge nodes.
+// peers parses the addresses at which edge nodes receive messages from each other.
 func (p *parser) peers(c *File, list []string, all string) {
 	if !c.Settings.CanTell {
 		return
@@ -386,11 +395,12 @@
 		if err != nil {
 			p.fault(fmt.Sprintf("peers[%d]", i), "%v", err)
 		}
-		p.need(err != nil || !first[a], fmt.Sprintf("peers[%d]", i), "%s is there twice", text)
+		p.need(err != nil || !first[a], fmt.Sprintf("peers[%d]", i), "%s is a duplicate", text)
 		first[a] = true
 		c.Peers = append(c.Peers, a)
 	}
-	p.need(len(list) == c.Settings.Gateways, "peers", "%d addresses for %d edge nodes", len(list), c.Settings.Gateways)
+	p.need(len(list) == c.Settings.Gateways, "peers", "%d addresses for %d edge nodes",
+		len(list), c.Settings.Gateways)
 	if all != "" {
 		a, err := netip.ParseAddrPort(all)
 		if err != nil {
@@ -403,7 +413,8 @@
 	}
 }
 
-// seedOf turns the seed's text into a number: it is hexadecimal as a rule.
+// seedOf converts the text of the seed to a number. The platform writes the seed in
+// hexadecimal; other text is hashed.
 func seedOf(s string) uint64 {
 	if v, err := strconv.ParseUint(s, 16, 64); err == nil {
 		return v
--- a/internal/config/history.go
+++ b/internal/config/history.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// Generation is a file that passed the check. It is not changed.
+// Generation is a valid configuration file with its number. It is immutable.
 type Generation struct {
-	Number uint64 // grows by one with each that comes into force
+	Number uint64 // incremented with each generation that comes into force
 	Digest string // of the file's bytes
 	Time   time.Time
 	Raw    []byte
 	File   *File
 }
 
-// Refusal is a file that was not taken, and why.
+// Refusal records a rejected file and the reason.
 type Refusal struct {
-	Digest string // empty: it could not be read
+	Digest string // empty: the file could not be read
 	Time   time.Time
 	Err    error
 }
 
-// Kept is a generation as it is kept outside the process.
+// Kept is a generation as it is stored in a snapshot.
 type Kept struct {
-	Number uint64 // 0: there is none
+	Number uint64 // 0: no generation
 	Digest string
 	Time   time.Time
 	Raw    []byte
 }
 
-// Kept is the generation without what can be read from its bytes.
+// Kept returns the generation without the parsed file.
 func (g *Generation) Kept() Kept {
 	if g == nil {
 		return Kept{}
@@ -41,15 +41,15 @@
 	return Kept{g.Number, g.Digest, g.Time, g.Raw}
 }
 
-// DigestOf names a file by what it holds.
+// DigestOf returns the first 8 bytes of the SHA-256 of a file, in hexadecimal.
 func DigestOf(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:8])
 }
 
-// History is the generation in force and the one before. It is not safe for
-// concurrent use. Offer and Back only propose: what they return is in force
-// once it is accepted, so that nothing is half applied if applying it fails.
+// History holds the generation in force and the previous one. It is not safe for
+// concurrent use. Offer and Back only propose a generation; Accept puts it in force
+// once the caller has applied it, so that a failure changes nothing here.
 type History struct {
 	src     Source
 	current *Generation
@@ -58,21 +58,21 @@
 	refused *Refusal
 }
 
-// ErrPassedOver is a file that brings nothing new.
-var ErrPassedOver = errors.New("nothing new")
+// ErrPassedOver is returned for a file that Offer ignores.
+var ErrPassedOver = errors.New("configuration unchanged")
 
-// ErrNoneBefore is what rolling back finds when there is nothing to return to.
+// ErrNoneBefore is returned by Back if no previous generation is stored.
 var ErrNoneBefore = errors.New("no generation is kept before the one in force")
 
-// Loaded is a file as it was read once, for all that a start makes of it.
+// Loaded is the result of reading and parsing the file once, at a start.
 type Loaded struct {
-	File *File // nil: it can't be used, and Err says why
+	File *File // nil if Err is set
 	Err  error
 	raw  []byte
 	src  Source
 }
 
-// Load reads and checks the file.
+// Load reads and parses the file.
 func (s Source) Load() Loaded {
 	l := Loaded{src: s}
 	if l.raw, l.Err = s.Read(); l.Err == nil {
@@ -81,7 +81,7 @@
 	return l
 }
 
-// Start begins with the file that was loaded.
+// Start returns a history with the loaded file as generation 1.
 func Start(l Loaded, now time.Time) (*History, error) {
 	if l.Err != nil {
 		return nil, l.Err
@@ -89,11 +89,10 @@
 	return &History{src: l.src.reload(), current: &Generation{1, DigestOf(l.raw), now, l.raw, l.File}}, nil
 }
 
-// Resume begins with the file too, and goes on from what was in force before the
-// process ended. The generation that was in force comes back where the file can't
-// be used, since a crash must not turn a refused change into an outage, and where
-// it is the one that an operator had rolled back from. Notes tell what was made of
-// it.
+// Resume returns a history that continues from the generations in force before a
+// restart. If the loaded file is invalid, the stored generation stays in force: a
+// crash must not turn a rejected change into an outage. It also stays if an operator
+// had rolled back from the loaded file. The notes are for the log.
 func Resume(l Loaded, current, before Kept, left string, now time.Time) (h *History, notes []string, err error) {
 	src, f, raw, err := l.src, l.File, l.raw, l.Err
 	digest := DigestOf(raw)
@@ -105,32 +104,36 @@
 	case err != nil:
 		h.refused = &Refusal{Time: now, Err: err}
 		h.current, h.left = was, left
-		notes = append(notes, fmt.Sprintf("the file can't be used (%v): generation %d comes back", err, was.Number))
+		notes = append(notes, fmt.Sprintf("the file is invalid (%v): generation %d stays in force",
+			err, was.Number))
 	case wasErr != nil:
 		h.current = &Generation{current.Number + 1, digest, now, raw, f}
-		notes = append(notes, fmt.Sprintf("the generation before the start can't be used: %v", wasErr))
+		notes = append(notes, fmt.Sprintf("the stored generation is invalid: %v", wasErr))
 		return h, notes, nil
 	case digest == current.Digest:
 		h.current, h.left = &Generation{current.Number, digest, current.Time, raw, f}, left
 	case digest == left:
 		h.current, h.left = was, left
-		notes = append(notes, fmt.Sprintf("the file was rolled back from: generation %d comes back", was.Number))
+		notes = append(notes, fmt.Sprintf("the file was rolled back from: generation %d stays in force",
+			was.Number))
 	default:
 		h.current, h.before = &Generation{current.Number + 1, digest, now, raw, f}, was
 		return h, notes, nil
 	}
 	if before.Number > 0 {
 		if h.before, err = src.revive(before); err != nil {
-			notes = append(notes, fmt.Sprintf("generation %d can't be returned to: %v", before.Number, err))
+			notes = append(notes, fmt.Sprintf("generation %d is not available for a rollback: %v",
+				before.Number, err))
 		}
 	}
 	return h, notes, nil
 }
 
-// revive checks a generation that was kept: it may be of another program.
+// revive parses a stored generation again: another version of this program may have
+// written it.
 func (s Source) revive(k Kept) (*Generation, error) {
 	if k.Number == 0 || DigestOf(k.Raw) != k.Digest {
-		return nil, errors.New("it is not whole")
+		return nil, errors.New("missing or damaged")
 	}
 	f, err := s.Parse(k.Raw)
 	if err != nil {
@@ -139,22 +142,23 @@
 	return &Generation{k.Number, k.Digest, k.Time, k.Raw, f}, nil
 }
 
-// Path is the file's.
+// Path returns the path of the configuration file.
 func (h *History) Path() string { return h.src.Path() }
 
-// Current is the generation in force, Before the one kept behind it, or nil.
+// Current returns the generation in force.
 func (h *History) Current() *Generation { return h.current }
 
-// Before is the generation that Back would return to, or nil.
+// Before returns the generation that Back would propose, or nil.
 func (h *History) Before() *Generation { return h.before }
 
-// Left is the digest of the file that was rolled back from; empty: none.
+// Left returns the digest of the file that was rolled back from, or "".
 func (h *History) Left() string { return h.left }
 
-// Refused is the file that was refused last, or nil.
+// Refused returns the last rejected file, or nil.
 func (h *History) Refused() *Refusal { return h.refused }
 
-// Check tells all that is wrong with a file, also against the one in force.
+// Check parses a file and checks that it changes no fixed field of the generation in
+// force.
 func (h *History) Check(raw []byte) (*File, error) {
 	f, err := h.src.Parse(raw)
 	if err != nil {
@@ -166,10 +170,10 @@
 	return f, nil
 }
 
-// Offer reads the file and proposes the generation that it makes. It is
-// ErrPassedOver when the file is the one in force, or, unless forced, the one
-// that was rolled back from. A refusal is kept for operators to see; one that
-// is ErrUnreadable may be half written.
+// Offer reads the file and proposes it as the next generation. The error is
+// ErrPassedOver if the file is the one in force or, unless forced, the one that was
+// rolled back from. Refused returns a rejected file. After ErrUnreadable the caller
+// should retry, since another process may still be writing the file.
 func (h *History) Offer(now time.Time, forced bool) (*Generation, error) {
 	raw, err := h.src.Read()
 	if err != nil {
@@ -180,9 +184,10 @@
 	switch {
 	case digest == h.current.Digest:
 		h.refused = nil
-		return nil, fmt.Errorf("%w: generation %d holds this file already", ErrPassedOver, h.current.Number)
+		return nil, fmt.Errorf("%w: generation %d is this file already", ErrPassedOver, h.current.Number)
 	case digest == h.left && !forced:
-		return nil, fmt.Errorf("%w: this file was rolled back from; apply it by hand to return to it", ErrPassedOver)
+		return nil, fmt.Errorf("%w: this file was rolled back from; the apply command puts it in force",
+			ErrPassedOver)
 	}
 	f, err := h.Check(raw)
 	if err != nil {
@@ -192,13 +197,13 @@
 	return h.next(digest, now, raw, f), nil
 }
 
-// Back proposes a return to the generation before.
+// Back proposes a rollback to the previous generation.
 func (h *History) Back(now time.Time) (*Generation, error) {
 	if h.before == nil {
 		return nil, ErrNoneBefore
 	}
 	if faults := fixed(h.current.File, h.before.File); len(faults) > 0 {
-		return nil, faults // it was in force before a restart
+		return nil, faults // that generation was in force before a restart
 	}
 	return h.next(h.before.Digest, now, h.before.Raw, h.before.File), nil
 }
@@ -207,9 +212,9 @@
 	return &Generation{Number: h.current.Number + 1, Digest: digest, Time: now, Raw: raw, File: f}
 }
 
-// Accept notes that what Offer or Back proposed is in force. After a return
-// nothing is kept to return to: doing it twice must not bring back what the
-// operator has just left.
+// Accept puts a generation that Offer or Back proposed in force. After a rollback no
+// previous generation is stored: a second rollback must not restore the file that
+// the operator has just rolled back.
 func (h *History) Accept(g *Generation) {
 	if h.before != nil && g.File == h.before.File {
 		h.before, h.left = nil, h.current.Digest
@@ -219,13 +224,14 @@
 	h.current, h.refused = g, nil
 }
 
-// fixed names the fields that differ and can't change while a process runs: the
-// sockets that are open rest on them, or how the whole fleet is laid out.
+// fixed returns a fault for each changed field that needs a restart. Open sockets or
+// the layout of the whole fleet depend on these fields.
 func fixed(a, b *File) Faults {
 	var out Faults
 	same := func(ok bool, field string, from, to any) {
 		if !ok {
-			out = append(out, Fault{field, fmt.Sprintf("can't change without a restart (from %v to %v)", from, to)})
+			out = append(out, Fault{field,
+				fmt.Sprintf("can't change without a restart (from %v to %v)", from, to)})
 		}
 	}
 	same(a.Name == b.Name, "name", a.Name, b.Name)
@@ -243,7 +249,8 @@
 	same(s.Resolution == t.Resolution, "settings.tick_ms", s.Resolution, t.Resolution)
 	same(s.MustAsk == t.MustAsk, "settings.discovery", s.MustAsk, t.MustAsk)
 	same(s.CanTell == t.CanTell, "settings.caps.peers", s.CanTell, t.CanTell)
-	same(s.DatagramsPerSecond == t.DatagramsPerSecond, "settings.family_info.mail_per_s", s.DatagramsPerSecond, t.DatagramsPerSecond)
+	same(s.DatagramsPerSecond == t.DatagramsPerSecond, "settings.family_info.mail_per_s",
+		s.DatagramsPerSecond, t.DatagramsPerSecond)
 	same(slices.Equal(s.ReportNames, t.ReportNames), "settings.report.names", s.ReportNames, t.ReportNames)
 	return out
 }
--- a/internal/config/large_test.go
+++ b/internal/config/large_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// largeFile is a configuration of so many edge nodes that knows so many servers.
+// largeFile returns a configuration with the given numbers of edge nodes and known servers.
 func largeFile(nodes, servers int) string {
 	var peers, known []string
 	for i := range nodes {
@@ -20,7 +20,7 @@
 		`"limits"`, `"known":{"rev":1,"all":true,"targets":[`+strings.Join(known, ",")+`]},"limits"`).Replace(testFile)
 }
 
-// What a start spends on its file grows with the file, not with its square.
+// BenchmarkParse shows whether the time of a start grows linearly with the file.
 func BenchmarkParse(b *testing.B) {
 	for _, size := range [][2]int{{80, 60}, {300, 200}, {3000, 2000}, {mostGateways, 20000}, {6200, 56000}} {
 		text := []byte(largeFile(size[0], size[1]))
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -10,33 +10,35 @@
 	"strings"
 )
 
-// ownObject holds the fields that are this program's own: the file is the
-// platform's, and whatever it adds to it may bear any name.
+// ownObject is the field that holds this program's own fields. The platform owns the
+// rest of the file and may add fields of any name there.
 const ownObject = "valvering"
 
-const mostDuties = 16 // each costs its voters some messages a second
+// mostDuties limits the duties: each costs its voters some messages a second.
+const mostDuties = 16
 
 var dutyName = regexp.MustCompile(`^[A-Za-z0-9_-]{1,40}$`)
 
-// ownField is one of this program's own fields. The environment's value, where there
-// is one, goes before the file's.
+// ownField is one of this program's own fields. Its environment variable, if set,
+// overrides the file.
 type ownField struct {
 	name, env string
-	take      func(p *parser, name string) // notes faults, or sets the field
+	take      func(p *parser, name string) // sets the field or records faults
 }
 
-// StateDirEnv is the environment variable that goes before state_dir.
+// StateDirEnv is the environment variable that overrides state_dir.
 const StateDirEnv = "VALVERING_STATE_DIR"
 
-// formerEnv is what it was called before, among the platform's.
+// formerEnv is the former name of StateDirEnv, in the platform's namespace.
 const formerEnv = "GW_STATE_DIR"
 
-// own takes this program's fields from their object and from its own environment
-// variables alone. Each fault in them counts. They used to stand among the platform's
-// fields: whatever has such a name there is the platform's own and is not looked at,
-// and one warning tells where this program's are.
+// own decodes this program's fields from ownObject and from its environment variables.
+// Earlier versions read them at the top level. A top-level field or a variable of such
+// a name now belongs to the platform: own ignores it, and a single warning names the
+// new place.
 //
-// mayTell says whether edge nodes may send each other messages, as far as is known.
+// mayTell reports whether edge nodes may send messages to each other; it is also true
+// if the settings are invalid.
 func (p *parser) own(c *File, getenv func(string) string, mayTell bool) {
 	within := p.within(ownObject)
 	fields := []ownField{
@@ -50,7 +52,7 @@
 			former = append(former, f.name)
 		}
 		if text := getenv(f.env); f.env != "" && text != "" {
-			raw, _ := json.Marshal(text) // a string can't fail
+			raw, _ := json.Marshal(text) // never fails for a string
 			set := &parser{top: rawFields{f.env: raw}}
 			f.take(set, f.env)
 			p.faults = append(p.faults, set.faults...)
@@ -59,9 +61,9 @@
 		f.take(within, f.name)
 	}
 	p.take(within, ownObject)
-	for name := range within.top { // a newer program's
+	for name := range within.top { // a later version of this program may know more fields
 		if !slices.ContainsFunc(fields, func(f ownField) bool { return f.name == name }) {
-			c.Warnings = append(c.Warnings, ownObject+"."+name+": not known here, passed over")
+			c.Warnings = append(c.Warnings, ownObject+"."+name+": unknown field, ignored")
 		}
 	}
 	slices.Sort(c.Warnings)
@@ -69,7 +71,8 @@
 		former = append(former, formerEnv)
 	}
 	if len(former) > 0 {
-		c.Warnings = append(c.Warnings, fmt.Sprintf("%s: the platform's, not read here; this program's own fields stand in the object %q, its variables begin with VALVERING_",
+		c.Warnings = append(c.Warnings, fmt.Sprintf(
+			"%s: ignored; this program reads the object %q and variables that begin with VALVERING_",
 			strings.Join(former, ", "), ownObject))
 	}
 }
@@ -97,21 +100,22 @@
 	case !filepath.IsAbs(dir):
 		p.fault(name, "%q is not an absolute path", dir)
 	case c.Name == "":
-		p.fault(name, "it is kept under the field name, which is empty")
+		p.fault(name, "it needs the field name, which is empty")
 	default:
 		c.StateDir = dir
 	}
 }
 
-// takeDuties checks the names of duties: they stand in an address.
+// takeDuties sets the duties. Their names are part of URLs of the admin listener.
 func (c *File) takeDuties(p *parser, name string, mayTell bool) {
 	var duties []string
 	if !p.field(name, &duties) {
 		return
 	}
 	before := len(p.faults)
-	p.need(len(duties) == 0 || mayTell, name, "there are no messages between edge nodes to agree by")
-	p.need(len(duties) <= mostDuties, name, "%d, over %d", len(duties), mostDuties)
+	p.need(len(duties) == 0 || mayTell, name,
+		"leases need messages between edge nodes, which settings.caps.peers disables")
+	p.need(len(duties) <= mostDuties, name, "%d duties, more than %d", len(duties), mostDuties)
 	for i, duty := range duties[:min(len(duties), mostDuties)] {
 		at := fmt.Sprintf("%s[%d]", name, i)
 		p.need(dutyName.MatchString(duty), at, "%q is not of 1 to 40 letters, digits, - and _", duty)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,22 +1,22 @@
-// Package lease lets one process at a time hold a duty, without a disk and without
-// a service of its own, after PaxosLease: a few edge nodes vote, a majority grants a
-// lease for a stated time, and what is not renewed ends by itself.
+// Package lease implements leases after PaxosLease: at most one process at a time holds
+// a duty. It needs neither a disk nor a separate service. A few edge nodes vote, a
+// majority grants a lease for a fixed term, and a lease that isn't renewed expires.
 //
-// Promised, as long as no clock runs faster or slower than the true time by more
-// than the stated drift: never do two processes hold a duty at the same moment, also
-// while messages are lost, late, repeated or out of order, voters start anew, and
-// holders stand still. Each holding has a higher fencing token than the one before
-// it as long as a voter of each majority has not started anew in between, or the wall
-// clocks of the two holders differ by less than the time between them.
+// Guarantees, if no clock drifts by more than Settings.Drift: two processes never hold
+// a duty at the same time, even if messages are lost, delayed, duplicated or reordered,
+// voters restart, or holders pause. Fencing tokens increase with each new lease if some
+// voter of each majority has not restarted since the previous lease, or if the wall
+// clocks of the two holders differ by less than the time between their leases.
 //
-// Not promised: a holder at every moment. A duty stands empty for about a term after
-// a crash, for a moment after a release, and for as long as no majority of voters is
-// connected. A process that is stopped between asking Holds and acting on it may act
-// late: who receives its work refuses a token lower than one it has seen.
+// There isn't a holder at all times. A duty has no holder for about a term after a
+// crash, for a short time after a release, and while no majority of voters is
+// connected. A process that pauses after calling Holds may act when its lease has
+// expired, so receivers of its work must reject a token lower than the highest they
+// have seen.
 //
-// A Duty is a state machine: time and messages in, messages out. It is not safe for
-// concurrent use, opens no socket and reads no clock. Its memory is bounded by the
-// number of voters.
+// A Duty is a state machine: it takes the time and messages and returns messages. It is
+// not safe for concurrent use, opens no sockets and reads no clocks. Its memory is
+// bounded by the number of voters.
 package lease
 
 import (
@@ -28,25 +28,30 @@
 	"time"
 )
 
-// Settings are those of a duty, alike at all who take part.
+// Settings are the parameters of a duty, the same at all participants.
 type Settings struct {
 	Name  string
-	Term  time.Duration // a grant ends so long after its voter gave it
-	Drift float64       // by which part a clock may run fast or slow
+	Term  time.Duration // lifetime of a grant, by the voter's clock
+	Drift float64       // maximal relative error of a clock's rate
 }
 
 const (
-	renewPart   = 1.0 / 3 // of a term, after which a holder asks again
-	replyWait   = 250 * time.Millisecond
-	leastPause  = 20 * time.Millisecond // between two tries, and up to mostPause as they fail
-	mostPause   = time.Second
-	mostVoters  = 5 // a majority is three: two may be away
-	nameHashLen = 4
+	renewPart = 1.0 / 3 // fraction of the term after which a holder renews its lease
+
+	replyWait = 250 * time.Millisecond // timeout of a round
+
+	// Exponential backoff between failed rounds.
+	leastPause = 20 * time.Millisecond
+	mostPause  = time.Second
+
+	mostVoters = 5 // tolerates the loss of two
+
+	nameHashLen = 4 // bytes
 )
 
-// Voters picks the edge nodes that vote on a duty, by rendezvous hashing: an odd
-// number of n, the same at all of them. They are also those who may hold it: they
-// alone know when it is free.
+// Voters selects the edge nodes that vote on a duty: an odd number of n, by rendezvous
+// hashing, so that all edge nodes select the same ones. Only voters may hold the duty,
+// since only they know when it is free.
 func Voters(name string, n int) []int {
 	all := make([]int, n)
 	score := make([]uint64, n)
@@ -54,12 +59,14 @@
 		all[i] = i
 		h := fnv.New64a()
 		h.Write(binary.BigEndian.AppendUint32([]byte(name), uint32(i)))
-		x := h.Sum64() // its last bytes mix too little
+		x := h.Sum64() // FNV mixes the last bytes too little
 		x ^= x >> 32
 		x *= 0x9e3779b97f4a7c15
 		score[i] = x ^ x>>29
 	}
-	slices.SortFunc(all, func(a, b int) int { return cmp.Or(cmp.Compare(score[b], score[a]), cmp.Compare(a, b)) })
+	slices.SortFunc(all, func(a, b int) int {
+		return cmp.Or(cmp.Compare(score[b], score[a]), cmp.Compare(a, b))
+	})
 	k := min(n, mostVoters)
 	if k%2 == 0 {
 		k--
@@ -67,35 +74,35 @@
 	return all[:max(k, 1)]
 }
 
-// Kind says what a message means.
+// Kind is the type of a message.
 type Kind byte
 
-// The kinds of message, in the order of a round.
+// The kinds of messages, in the order of a round.
 const (
-	Prepare Kind = iota + 1 // may I ask with this ballot?
-	Promise                 // yes: and this is the grant that runs here, if any
-	Propose                 // grant it to me
-	Accept                  // granted
-	Reject                  // a higher ballot was promised: that one
-	Release                 // the holder is done
+	Prepare Kind = iota + 1 // candidate to voter: start a round with this ballot
+	Promise                 // voter's reply to Prepare, with its current grant, if any
+	Propose                 // candidate to voter: request the grant
+	Accept                  // voter's reply to Propose: granted
+	Reject                  // voter's reply if it has promised a higher ballot
+	Release                 // holder to voter: end the grant
 )
 
-// Message is what voters and those who would hold a duty say. On the wire it is of
-// a fixed length.
+// Message is a message between candidates and voters. Its encoding has a fixed length.
 type Message struct {
 	Kind   Kind
-	Duty   uint32 // a digest of its name
-	Ballot uint64 // of the round it belongs to
-	Holder uint16 // in a Promise: who was granted what runs; else the sender
-	Held   uint64 // in a Promise: the ballot of that grant, 0: none; in a Reject: the higher ballot
+	Duty   uint32 // Digest of the duty's name
+	Ballot uint64 // of the round
+	Holder uint16 // in a Promise: holder of the current grant; otherwise the sender
+	Held   uint64 // in a Promise: ballot of the current grant, or 0; in a Reject: the higher ballot
 }
 
-// Version begins each datagram: the module's messages begin otherwise.
+// Version is the first byte of each datagram. It differs from the first bytes of
+// messages of package policy.
 const Version = 0x4c
 
 const wireLen = 1 + 1 + nameHashLen + 8 + 2 + 8
 
-// Append writes a message.
+// Append appends the encoded message.
 func (m Message) Append(b []byte) []byte {
 	b = append(b, Version, byte(m.Kind))
 	b = binary.BigEndian.AppendUint32(b, m.Duty)
@@ -104,7 +111,7 @@
 	return binary.BigEndian.AppendUint64(b, m.Held)
 }
 
-// Decode reads a message; anything but a whole, well-formed one is not ok.
+// Decode decodes a message. ok is false if b isn't exactly one valid message.
 func Decode(b []byte) (m Message, ok bool) {
 	if len(b) != wireLen || b[0] != Version || Kind(b[1]) < Prepare || Kind(b[1]) > Release {
 		return m, false
@@ -113,20 +120,20 @@
 	return Message{Kind(b[1]), be.Uint32(b[2:]), be.Uint64(b[6:]), be.Uint16(b[14:]), be.Uint64(b[16:])}, true
 }
 
-// Digest names a duty in messages.
+// Digest returns the hash that identifies a duty in messages.
 func Digest(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
 }
 
-// Out is a message to an edge node.
+// Out is a message to send to an edge node.
 type Out struct {
 	To  int
 	Msg Message
 }
 
-// Duty is one edge node's part in a duty: a voter, and one who would hold it.
+// Duty is the state of one edge node as a voter on a duty and as a candidate for it.
 type Duty struct {
 	set    Settings
 	id     uint32
@@ -135,36 +142,37 @@
 	rng    *rand.Rand
 	out    []Out
 
-	// As a voter.
-	began    time.Duration // by this clock, and
-	wall     uint64        // by the wall clock, in milliseconds
-	awake    time.Duration // no part is taken before: what was granted before the start has ended then
-	promised uint64
-	granted  uint64 // ballot of the grant that runs
-	holder   int
-	until    time.Duration // it ends here
-
-	// As one who would hold it.
-	phase   Kind          // of the round: Prepare, Propose, or 0 for none
-	ballot  uint64        // of the round
-	seen    uint64        // highest ballot met
-	asked   time.Duration // when the round began
+	// State as a voter.
+	began    time.Duration // start by the local clock
+	wall     uint64        // start by the wall clock, in milliseconds
+	awake    time.Duration // end of the first term: grants from before a restart have expired by then
+	promised uint64        // highest promised ballot
+	granted  uint64        // ballot of the current grant; 0: none
+	holder   int           // of the current grant
+	until    time.Duration // end of the current grant
+
+	// State as a candidate or holder.
+	phase   Kind          // of the current round: Prepare, Propose, or 0 between rounds
+	ballot  uint64        // of the current round
+	seen    uint64        // highest ballot seen
+	asked   time.Duration // start of the round
 	yes     map[int]bool  // voters that have agreed in this phase
-	no      map[int]bool  // voters at which another's grant runs
-	retry   time.Duration // the next round
-	pause   time.Duration // doubled as rounds fail
-	held    uint64        // ballot of the holding: its fencing token
-	ends    time.Duration // the holding, by this clock
-	resting bool          // it does not want the duty
+	no      map[int]bool  // voters whose grant belongs to another edge node
+	retry   time.Duration // start of the next round
+	pause   time.Duration // backoff, doubled with each failed round
+	held    uint64        // fencing token of the lease, the ballot that won it; 0: none
+	ends    time.Duration // end of the lease by the local clock
+	resting bool          // not a candidate
 }
 
-// New starts an edge node's part. Ballots are never below the wall clock, in
-// milliseconds at the start and counted on: once all voters have started anew and
-// forgotten the highest, that keeps tokens growing.
+// New returns the state of an edge node that starts now. The wall clock, read once at
+// the start and advanced by the local clock, is a lower bound of ballots. It keeps tokens
+// increasing if all voters restart and forget the highest ballot.
 func New(set Settings, me int, voters []int, seed uint64, now time.Duration, wallMS uint64) *Duty {
-	d := &Duty{set: set, id: Digest(set.Name), me: me, voters: voters, rng: rand.New(rand.NewPCG(seed, uint64(me))),
+	d := &Duty{set: set, id: Digest(set.Name), me: me, voters: voters,
+		rng:   rand.New(rand.NewPCG(seed, uint64(me))),
 		began: now, wall: wallMS, awake: now + set.Term, yes: map[int]bool{}, no: map[int]bool{}}
-	d.retry = d.awake + d.jitter(replyWait) // and all would ask at once
+	d.retry = d.awake + d.jitter(replyWait) // edge nodes that start together would collide without jitter
 	return d
 }
 
@@ -172,13 +180,14 @@
 	return time.Duration(d.rng.Int64N(int64(most) + 1))
 }
 
-// span is how long a holder may count on a grant, by its own clock, from before it
-// asked: its clock may be slow, and the voters' fast.
+// span returns how long a lease lasts by the holder's clock, from the start of its round.
+// It is shorter than the term because the holder's clock may be slow and the voters'
+// clocks fast.
 func (d *Duty) span() time.Duration {
 	return time.Duration(float64(d.set.Term) * (1 - d.set.Drift) / (1 + d.set.Drift))
 }
 
-// Holds tells whether this edge node holds the duty now, and the fencing token.
+// Holds reports whether this edge node holds the duty now, and returns the fencing token.
 func (d *Duty) Holds(now time.Duration) (token uint64, ok bool) {
 	if d.held == 0 || now >= d.ends {
 		return 0, false
@@ -186,7 +195,7 @@
 	return d.held, true
 }
 
-// Holder is who was granted the duty as far as this voter knows; -1: nobody.
+// Holder returns the edge node to which this voter has granted the duty, or -1.
 func (d *Duty) Holder(now time.Duration) int {
 	if d.granted == 0 || now >= d.until {
 		return -1
@@ -194,7 +203,7 @@
 	return d.holder
 }
 
-// Tick does what is due; it is to be called again at the time it returns.
+// Tick expires the lease and starts or ends rounds. It must be called again at next.
 func (d *Duty) Tick(now time.Duration) (out []Out, next time.Duration) {
 	d.out = nil
 	if d.held != 0 && now >= d.ends {
@@ -215,10 +224,10 @@
 	return d.out, max(next, now+time.Millisecond)
 }
 
-// ask begins a round, where nothing is known to stand in its way.
+// ask starts a round, unless the grant of this voter belongs to another edge node.
 func (d *Duty) ask(now time.Duration) {
 	if d.held == 0 && d.Holder(now) >= 0 && d.holder != d.me {
-		d.retry = d.until + d.jitter(leastPause) // another's grant runs: it is free then at the soonest
+		d.retry = d.until + d.jitter(leastPause) // the duty can't be free before that
 		return
 	}
 	d.seen = max(d.seen>>16+1, d.wall+uint64((now-d.began).Milliseconds()))<<16 | uint64(d.me)
@@ -228,21 +237,21 @@
 	d.toAll(now, Message{Kind: Prepare, Duty: d.id, Ballot: d.ballot, Holder: uint16(d.me)})
 }
 
-// fail ends a round that came to nothing; two that collide wait for other times.
+// fail ends a round without a lease. The random pause separates candidates that collide.
 func (d *Duty) fail(now time.Duration) {
 	d.phase = 0
 	d.pause = min(max(2*d.pause, leastPause), mostPause)
 	d.retry = now + leastPause + d.jitter(d.pause)
 }
 
-// toAll sends to all voters, itself included.
+// toAll sends a message to all voters, including itself.
 func (d *Duty) toAll(now time.Duration, m Message) {
 	for _, v := range d.voters {
 		d.send(now, v, m)
 	}
 }
 
-// send queues a message. One to itself is handled at once.
+// send queues a message. It handles a message to itself at once.
 func (d *Duty) send(now time.Duration, to int, m Message) {
 	if to == d.me {
 		d.handle(now, to, m)
@@ -251,7 +260,7 @@
 	d.out = append(d.out, Out{to, m})
 }
 
-// Handle takes in a message of another edge node.
+// Handle processes a message from another edge node and returns the messages to send.
 func (d *Duty) Handle(now time.Duration, from int, m Message) []Out {
 	d.out = nil
 	if m.Duty == d.id && from != d.me && slices.Contains(d.voters, from) {
@@ -274,10 +283,12 @@
 	}
 }
 
-// vote is the voter's part.
+// vote handles a message as a voter.
 func (d *Duty) vote(now time.Duration, from int, m Message) {
+	// Before awake, a grant from before a restart may still be valid. A ballot ends with
+	// the number of the edge node that it belongs to.
 	if now < d.awake || int(m.Ballot&0xffff) != from {
-		return // it may have granted what it knows nothing of; or the ballot is another's
+		return
 	}
 	d.seen = max(d.seen, m.Ballot)
 	if d.granted != 0 && now >= d.until {
@@ -285,26 +296,28 @@
 	}
 	switch {
 	case m.Kind == Release:
-		d.promised = max(d.promised, m.Ballot+1)                         // what it asked before may come behind
-		if d.granted != 0 && d.holder == from && d.granted <= m.Ballot { // it may have begun a further round
+		d.promised = max(d.promised, m.Ballot+1) // an earlier request of the sender may still arrive
+		// The holder may have started another round since the grant, so its ballot may be higher.
+		if d.granted != 0 && d.holder == from && d.granted <= m.Ballot {
 			d.granted = 0
-			d.retry = min(d.retry, now+d.jitter(replyWait)) // it is free
+			d.retry = min(d.retry, now+d.jitter(replyWait)) // the duty is free
 		}
 	case m.Ballot < d.promised:
 		d.send(now, from, Message{Kind: Reject, Duty: d.id, Ballot: m.Ballot, Held: d.promised})
 	case m.Kind == Prepare:
 		d.promised = m.Ballot
-		d.send(now, from, Message{Kind: Promise, Duty: d.id, Ballot: m.Ballot, Holder: uint16(d.holder), Held: d.granted})
+		d.send(now, from, Message{Kind: Promise, Duty: d.id, Ballot: m.Ballot, Holder: uint16(d.holder),
+			Held: d.granted})
 	default:
 		if d.granted != 0 && d.holder != from {
-			return // it was granted between the two
+			return // granted to another edge node since the Promise
 		}
 		d.promised, d.granted, d.holder, d.until = m.Ballot, m.Ballot, from, now+d.set.Term
 		d.send(now, from, Message{Kind: Accept, Duty: d.id, Ballot: m.Ballot, Holder: uint16(d.me)})
 	}
 }
 
-// answered counts the voters' answers. Those to an earlier round count for nothing.
+// answered counts the voters' replies to the current phase and ignores others.
 func (d *Duty) answered(now time.Duration, from int, m Message) {
 	if d.phase == 0 || m.Ballot != d.ballot || (m.Kind == Promise) != (d.phase == Prepare) {
 		return
@@ -327,23 +340,23 @@
 	}
 	d.phase, d.pause = 0, 0
 	if now >= d.asked+d.span() {
-		return // the answers were late: it has ended already
+		return // the replies were late: the lease has expired already
 	}
 	if d.held == 0 {
-		d.held = d.ballot // a new holding, a new token
+		d.held = d.ballot // a new lease gets a new token; a renewal keeps it
 	}
 	d.ends = d.asked + d.span()
 	d.retry = d.asked + time.Duration(renewPart*float64(d.set.Term)) + d.jitter(leastPause)
 }
 
-// Leave gives the duty up and wants it no more.
+// Leave releases the duty and stops being a candidate.
 func (d *Duty) Leave(now time.Duration) []Out {
 	d.out = nil
 	d.resting, d.phase = true, 0
 	if d.granted != 0 && d.holder == d.me || d.held != 0 {
 		d.held = 0
-		// The grants that run may be of a later round than the token's, or an earlier
-		// one than that which has begun.
+		// The current grants may be from a later round than the token or from an
+		// earlier one than the round in progress, so Release carries the latest ballot.
 		d.toAll(now, Message{Kind: Release, Duty: d.id, Ballot: d.ballot, Holder: uint16(d.me)})
 	}
 	return d.out
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -21,12 +21,12 @@
 	}
 	for n := range b {
 		if _, ok := Decode(b[:n]); ok {
-			t.Errorf("%d bytes passed", n)
+			t.Errorf("%d bytes were accepted", n)
 		}
 	}
 	for _, bad := range [][]byte{append(b, 0), append([]byte{3}, b[1:]...), append([]byte{Version, 0}, b[2:]...), append([]byte{Version, 9}, b[2:]...)} {
 		if _, ok := Decode(bad); ok {
-			t.Errorf("%x passed", bad)
+			t.Errorf("%x was accepted", bad)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 			return
 		}
 		if string(m.Append(nil)) != string(b) {
-			t.Fatalf("%x read as %+v", b, m)
+			t.Fatalf("%x decoded as %+v", b, m)
 		}
 		d := New(set(), 0, Voters("checks", 5), 1, 0, 0)
 		for _, now := range []time.Duration{0, time.Minute} {
@@ -51,7 +51,8 @@
 	})
 }
 
-// The voters are the same at all, an odd number, and spread over the fleet.
+// Voters returns the same odd number of voters for each call and spreads duties over the
+// fleet.
 func TestVoters(t *testing.T) {
 	for n, want := range map[int]int{1: 1, 2: 1, 3: 3, 4: 3, 5: 5, 300: 5} {
 		if v := Voters("a", n); len(v) != want || !slices.Equal(v, Voters("a", n)) {
@@ -63,7 +64,7 @@
 		v := Voters(fmt.Sprint("duty", i), 300)
 		slices.Sort(v)
 		if len(slices.Compact(v)) != 5 {
-			t.Fatalf("one twice: %v", v)
+			t.Fatalf("duplicate voter: %v", v)
 		}
 		for _, x := range v {
 			count[x]++
@@ -76,8 +77,8 @@
 	}
 }
 
-// world plays voters whose clocks drift over a network that loses, delays and
-// repeats, in steps of a true millisecond.
+// world simulates voters with drifting clocks and a network that loses, delays and
+// duplicates messages, in steps of a millisecond of true time.
 type world struct {
 	rng    *rand.Rand
 	set    Settings
@@ -85,24 +86,24 @@
 	mail   []letter
 	now    time.Duration // true time
 	loss   float64
-	late   time.Duration // most
+	late   time.Duration // maximal delay of a message
 	cut    func(from, to int) bool
 	msgs   int
-	tokens []uint64 // of the holdings, in their order
-	last   int      // who held last; -1: nobody yet
+	tokens []uint64 // of the leases, in order
+	last   int      // the last holder; -1: none yet
 
-	forget bool // planted: a voter that starts anew takes part at once
-	sloppy bool // planted: a holder counts from the grant's arrival
+	forget bool // injected fault: a voter takes part right after a restart
+	sloppy bool // injected fault: a holder measures the term from the arrival of the grant
 }
 
 type node struct {
 	*Duty
 	rate   float64
 	offset time.Duration
-	next   time.Duration // by its clock
-	asleep time.Duration // true time until which it stands still
-	dead   time.Duration // true time until which it does not run; 0: it runs
-	box    []letter      // what came while it stood still
+	next   time.Duration // time of the next tick, by the local clock
+	asleep time.Duration // true time until which the process is paused
+	dead   time.Duration // true time of the next start; 0: running
+	box    []letter      // messages that arrived during a pause
 }
 
 type letter struct {
@@ -123,7 +124,7 @@
 	}
 	for i, n := range w.nodes {
 		w.boot(i)
-		if w.rng.IntN(2) == 0 { // they have been up for long
+		if w.rng.IntN(2) == 0 { // half of the voters started more than a term ago
 			n.awake = 0
 			n.retry = n.clock(0) + n.jitter(replyWait)
 		}
@@ -157,7 +158,7 @@
 	}
 }
 
-// step lets a millisecond go by and checks that no two hold the duty.
+// step advances the time by a millisecond and checks the holders.
 func (w *world) step() error {
 	w.now += ms
 	var rest []letter
@@ -214,8 +215,8 @@
 	}
 }
 
-// check looks at all who would act now. One that stands still does not act; it asks
-// Holds again when it wakes.
+// check returns an error if two nodes hold the duty or a token decreases. It ignores paused
+// nodes: they don't act, and call Holds again after the pause.
 func (w *world) check() error {
 	holder := -1
 	for i, n := range w.nodes {
@@ -241,7 +242,7 @@
 	return nil
 }
 
-// trouble does to the world whatever may happen.
+// trouble injects a random fault.
 func (w *world) trouble() {
 	i := w.rng.IntN(len(w.nodes))
 	n := w.nodes[i]
@@ -249,11 +250,11 @@
 		return
 	}
 	switch w.rng.IntN(8) {
-	case 0, 1: // killed, and back soon
+	case 0, 1: // killed, restarts soon
 		n.dead, n.asleep, n.box = w.now+time.Duration(w.rng.Int64N(int64(2*time.Second)))+ms, 0, nil
-	case 2, 3: // stands still, perhaps for longer than its lease
+	case 2, 3: // paused, perhaps for longer than its lease
 		n.asleep = w.now + time.Duration(w.rng.Int64N(int64(5*time.Second)))
-	case 4: // a cut, perhaps of one way only
+	case 4: // a network partition, perhaps in one direction only
 		side := w.rng.IntN(1 << len(w.nodes))
 		one := w.rng.IntN(2) == 0
 		w.cut = func(from, to int) bool {
@@ -263,7 +264,7 @@
 		w.cut = func(int, int) bool { return false }
 	case 6:
 		w.loss = w.rng.Float64() * 0.3
-	case 7: // a planned stop
+	case 7: // shutdown
 		if n.asleep <= w.now {
 			w.send(i, n.Leave(n.clock(w.now)))
 			n.dead = w.now + time.Duration(w.rng.Int64N(int64(time.Second))) + ms
@@ -271,14 +272,14 @@
 	}
 }
 
-// play runs a world for a while of trouble; it tells how often the duty was held.
+// play simulates 25 seconds with random faults and returns the number of leases.
 func play(seed uint64, plant func(*world)) (holdings int, err error) {
 	w := newWorld(seed, 3+2*int(seed%2))
 	if plant != nil {
 		plant(w)
 	}
 	w.late = time.Duration(1+w.rng.IntN(150)) * ms
-	calm := 500 + w.rng.IntN(4000) // milliseconds between two troubles, on average
+	calm := 500 + w.rng.IntN(4000) // average milliseconds between faults
 	for range 25000 {
 		if w.rng.IntN(calm) == 0 {
 			w.trouble()
@@ -292,7 +293,7 @@
 
 var manySeeds = flag.Uint64("seeds", 400, "worlds that TestNeverTwo plays")
 
-// Never two at once, and tokens that grow, whatever happens.
+// Under random faults, two nodes never hold the duty at the same time, and tokens increase.
 func TestNeverTwo(t *testing.T) {
 	seeds, held := *manySeeds, 0
 	for seed := range seeds {
@@ -303,12 +304,12 @@
 		held += n
 	}
 	if held < int(seeds) {
-		t.Errorf("held %d times in %d worlds: too seldom to tell", held, seeds)
+		t.Errorf("only %d leases in %d worlds: too few for the test", held, seeds)
 	}
 }
 
-// The model sees a voter that forgets without waiting, and a holder that counts its
-// lease from the grant's arrival.
+// The model detects a voter that takes part right after a restart and a holder that measures
+// its lease from the arrival of the grant.
 func TestModelCatchesFaults(t *testing.T) {
 	for name, plant := range map[string]func(*world){
 		"forgets": func(w *world) { w.forget = true },
@@ -320,12 +321,12 @@
 			caught = err != nil
 		}
 		if !caught {
-			t.Errorf("%s went unseen", name)
+			t.Errorf("the fault %q was not detected", name)
 		}
 	}
 }
 
-// settle runs until somebody holds the duty, and gives how long that took.
+// settle runs the world until a node holds the duty and returns the time it took.
 func (w *world) settle(t testing.TB, most time.Duration) time.Duration {
 	t.Helper()
 	from := w.now
@@ -339,11 +340,11 @@
 			}
 		}
 	}
-	t.Fatalf("nobody holds the duty after %v", most)
+	t.Fatalf("no holder after %v", most)
 	return 0
 }
 
-// One holder goes on holding, by one token, while nothing happens.
+// Without faults, one node keeps the duty and its token.
 func TestHolderStays(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(seed, 5)
@@ -355,7 +356,7 @@
 			}
 		}
 		if len(w.tokens) != 1 {
-			t.Errorf("seed %d: %d holdings in a calm minute", seed, len(w.tokens))
+			t.Errorf("seed %d: %d leases in a minute without faults", seed, len(w.tokens))
 		}
 		if n := w.msgs - before; n > 60*20 {
 			t.Errorf("seed %d: %d messages in a minute", seed, n)
@@ -363,8 +364,8 @@
 	}
 }
 
-// A majority in neither part of a cut: nobody holds the duty for longer than its
-// lease, and somebody does once it heals.
+// In a partition without a majority on any side, the lease expires and no node holds the
+// duty. A node holds it again after the partition ends.
 func TestNoMajority(t *testing.T) {
 	w := newWorld(3, 5)
 	w.settle(t, 10*time.Second)
@@ -376,14 +377,14 @@
 	}
 	for i, n := range w.nodes {
 		if _, ok := n.Holds(n.clock(w.now)); ok {
-			t.Errorf("%d holds it though it hears nobody", i)
+			t.Errorf("%d holds the duty though it receives no messages", i)
 		}
 	}
 	w.cut = func(int, int) bool { return false }
 	w.settle(t, 5*time.Second)
 }
 
-// All start at once, or all ask at once: the pauses drawn let one through.
+// If all nodes start a round at the same time, random pauses let one of them succeed.
 func TestCollisions(t *testing.T) {
 	for seed := range uint64(200) {
 		w := newWorld(seed, 5)
@@ -394,8 +395,8 @@
 	}
 }
 
-// Messages of others, of other duties, of rounds that are over and by another's
-// ballot change nothing.
+// Messages from non-voters, for other duties, of past rounds or with the ballot of another
+// node change nothing.
 func TestStrayMessages(t *testing.T) {
 	w := newWorld(1, 3)
 	w.settle(t, 10*time.Second)
@@ -411,16 +412,16 @@
 		}
 		holder.Handle(now, from, m)
 		if token, ok := holder.Holds(now); !ok || token != holder.held || holder.Holder(now) != w.last {
-			t.Errorf("%+v took the duty", m)
+			t.Errorf("%+v changed the holder", m)
 		}
 	}
 	if out := holder.Handle(now, 7, Message{Kind: Prepare, Duty: holder.id, Ballot: 1<<60 | 7}); len(out) != 0 || other.ballot != ballot {
-		t.Errorf("%v to one who does not vote", out)
+		t.Errorf("%v sent to a node that is not a voter", out)
 	}
 }
 
-// BenchmarkEmpty tells how long a duty stands empty after its holder crashes and
-// after it leaves, and what the holding costs in messages.
+// BenchmarkEmpty measures how long a duty has no holder after a crash and after a release,
+// and how many messages a lease costs.
 func BenchmarkEmpty(b *testing.B) {
 	for _, how := range []string{"crash", "release"} {
 		for _, loss := range []float64{0, 0.05, 0.2} {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,11 +1,11 @@
-// Package loopback sets addresses of this machine aside for programs that are started
-// later, or again and again. A port that is found free by opening it, and let go, may
-// be another's by the time the program opens it; then whoever asks for the program
-// gets an answer from a stranger.
+// Package loopback reserves local addresses for programs that start later or restart.
+// A port that was found free by opening and closing it may belong to another program
+// by the time the intended one opens it. Clients would then reach the wrong program.
 //
-// An Address is nobody else's until it is closed, as long as others that want any port
-// ask for one at 127.0.0.1 or for all addresses: its port is held there, and the
-// address itself lies beside it. Nothing listens at it.
+// An Address stays reserved until it is closed: the package keeps its port open at
+// 127.0.0.1, while the address itself has another loopback IP. This works against
+// programs that request any free port at 127.0.0.1 or at all addresses. Nothing listens
+// at the reserved address.
 package loopback
 
 import (
@@ -13,31 +13,31 @@
 	"net"
 )
 
-// beside is where the addresses lie; the ports are held at 127.0.0.1.
+// beside is the IP of reserved addresses. Their ports are kept open at 127.0.0.1.
 const beside = "127.1.0.1"
 
-// Address is one that is set aside, for TCP and for UDP.
+// Address is a reserved address, for TCP and UDP.
 type Address struct {
 	hold net.Listener
 	text string
 }
 
-// Reserve sets an address aside.
+// Reserve reserves an address.
 func Reserve() (*Address, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("set an address aside: %w", err)
+		return nil, fmt.Errorf("reserve a loopback address: %w", err)
 	}
 	_, port, err := net.SplitHostPort(ln.Addr().String())
 	if err != nil {
 		ln.Close()
-		return nil, fmt.Errorf("set an address aside: %w", err)
+		return nil, fmt.Errorf("reserve a loopback address: %w", err)
 	}
 	return &Address{ln, net.JoinHostPort(beside, port)}, nil
 }
 
-// String is the address and its port.
+// String returns the address in the form host:port.
 func (a *Address) String() string { return a.text }
 
-// Close gives it up.
+// Close ends the reservation.
 func (a *Address) Close() { a.hold.Close() }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// While an address is set aside, nothing listens at it, who is to have it may open it
-// again and again, and no one that asks for any port gets it.
+// Nothing listens at a reserved address. Its user can open it repeatedly, and no request for
+// any free port gets it.
 func TestReserve(t *testing.T) {
 	a, err := Reserve()
 	if err != nil {
@@ -15,7 +15,7 @@
 	defer a.Close()
 	if c, err := net.Dial("tcp", a.String()); err == nil {
 		c.Close()
-		t.Fatal("something listens")
+		t.Fatal("a program listens at the reserved address")
 	}
 	_, port, _ := net.SplitHostPort(a.String())
 	for range 3 {
@@ -38,7 +38,7 @@
 		}
 		open = append(open, ln)
 		if _, other, _ := net.SplitHostPort(ln.Addr().String()); other == port {
-			t.Errorf("%s is another's", port)
+			t.Errorf("port %s was given to another listener", port)
 		}
 	}
 	for _, ln := range open {
--- a/internal/roster/binary.go
+++ b/internal/roster/binary.go
@@ -13,16 +13,17 @@
 	"valvering.example/valvering/policy"
 )
 
-// The binary form of a whole list, for snapshots: the revision, then the lines; what
-// varies in length stands behind its length.
+// Snapshots store a complete list in a binary format: the revision, then the lines.
+// Values of variable length follow their length.
 
-const leastBinaryLine = 22 // bytes: empty strings behind their lengths, state, cell and two figures
+// leastBinaryLine is the size in bytes of a line whose strings are empty: lengths, state,
+// cell and two numbers.
+const leastBinaryLine = 22
 
-// errCut is a binary list whose last line is not whole.
-var errCut = errors.New("the list is cut short")
+// errCut is returned for a binary list that ends inside a line.
+var errCut = errors.New("the list is truncated")
 
-// AppendBinary appends the binary form of a whole list, without lines of servers that
-// are gone.
+// AppendBinary appends the binary format of a complete list, without removed servers.
 func (l *List) AppendBinary(b []byte) ([]byte, error) {
 	b = binary.AppendVarint(b, l.Rev)
 	for i := range l.Targets {
@@ -34,7 +35,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("targets[%d]: endpoint: %w", i, err)
 		}
-		e := Entry{UID: t.UID, Zone: t.Zone, Addr: addr, BootMS: t.BootMS, Weight: t.Weight, Cell: t.Cell, State: t.PolicyState()}
+		e := Entry{UID: t.UID, Zone: t.Zone, Addr: addr, BootMS: t.BootMS, Weight: t.Weight, Cell: t.Cell,
+			State: t.PolicyState()}
 		b = e.appendBinary(b)
 	}
 	return b, nil
@@ -50,12 +52,12 @@
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(e.BootMS))
 }
 
-// appendAddr appends an address behind its length, which takes one byte but for very long
-// names of interfaces.
+// appendAddr appends an address after its length. The length takes one byte, except for
+// an IPv6 address with a very long zone.
 func appendAddr(b []byte, addr netip.AddrPort) []byte {
 	const oneByte = 1 << 7
 	length := len(b)
-	b, _ = addr.AppendBinary(append(b, 0)) // never fails
+	b, _ = addr.AppendBinary(append(b, 0)) // never returns an error
 	if n := len(b) - length - 1; n < oneByte {
 		b[length] = byte(n)
 		return b
@@ -68,26 +70,27 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Encoded is the binary form of a Directory at one of its updates.
+// Encoded is the binary format of a Directory after one of its updates.
 type Encoded struct {
-	Bytes  []byte // empty: no list was taken over yet
-	update uint64
-	spare  []byte // for the next
+	Bytes  []byte // empty before the first update
+	update uint64 // number of the update
+	spare  []byte // buffer for the next encoding
 }
 
 const (
-	encodeStep  = 1024 // entries after which others may have the directory
-	encodeTries = 4    // and how often the encoding begins anew where it has changed then
+	encodeStep  = 1024 // entries between two releases of the read lock
+	encodeTries = 4    // attempts; the last one holds the lock throughout
 )
 
-// Encode brings the binary form up to date, in memory that it keeps. While parts of a list
-// are still to come it stays as it is.
+// Encode brings e up to date and reuses its buffers. It leaves e unchanged while parts
+// of a list are still to come.
 func (d *Directory) Encode(e *Encoded) {
 	for try := 1; !d.encode(e, try < encodeTries); try++ {
 	}
 }
 
-// encode is false where the directory was changed while others had it.
+// encode returns false if the directory changed while its lock was released. With share
+// set, it releases the lock from time to time.
 func (d *Directory) encode(e *Encoded, share bool) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -108,8 +111,8 @@
 	return true
 }
 
-// yield lets others have the directory, which the caller holds for reading, and tells
-// whether it was changed.
+// yield releases the caller's read lock for a moment and reports whether the directory
+// was updated meanwhile.
 func (d *Directory) yield(update uint64) (changed bool) {
 	d.mu.RUnlock()
 	runtime.Gosched()
@@ -117,15 +120,15 @@
 	return d.updates != update
 }
 
-// SetPartial says whether parts of a list are still to come.
+// SetPartial records whether parts of a list are still to come.
 func (d *Directory) SetPartial(partial bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.partial = partial
 }
 
-// ParseBinary reads the binary form. The lines come in the order of their uids. It fails
-// where any line can't be used, and takes memory in proportion to the bytes.
+// ParseBinary decodes the binary format and sorts the lines by uid. It fails if any line
+// is invalid, and uses memory in proportion to len(b).
 func ParseBinary(b []byte) (*List, error) {
 	r := binaryReader{b: b}
 	l := &List{Rev: r.varint(), All: true, Targets: make([]Target, 0, len(b)/(2*leastBinaryLine))}
@@ -153,7 +156,7 @@
 	return l, nil
 }
 
-// binaryReader takes values off; cut is set where one is not whole.
+// binaryReader consumes values from b. It sets cut if a value is incomplete.
 type binaryReader struct {
 	b   []byte
 	cut bool
@@ -169,7 +172,7 @@
 	return out
 }
 
-// take takes bytes behind their length.
+// take consumes a length and as many bytes.
 func (r *binaryReader) take() []byte {
 	length, n := binary.Uvarint(r.b)
 	if n <= 0 {
@@ -196,7 +199,7 @@
 	return math.Float64frombits(binary.BigEndian.Uint64(b))
 }
 
-// state names the state in discovery's words; an unknown one is empty.
+// state returns discovery's name of a state, or "" if it is unknown.
 func (r *binaryReader) state() string {
 	b := r.fixed(1)
 	if r.cut {
--- a/internal/roster/binary_test.go
+++ b/internal/roster/binary_test.go
@@ -19,7 +19,7 @@
 	return l
 }
 
-// Both ways to the binary form come to the same, and back to the list.
+// A List and a Directory encode to binary data that decodes to the same list.
 func TestBinaryRoundTrip(t *testing.T) {
 	want := sampleList()
 	b, err := want.AppendBinary(nil)
@@ -42,7 +42,7 @@
 	}
 }
 
-// The form is made anew only after an update, and not of half a list.
+// Encode encodes again only after an update, and not while parts of a list are missing.
 func TestEncodeFollowsWholeUpdates(t *testing.T) {
 	d, e := NewDirectory(), Encoded{}
 	revision := func() int64 {
@@ -57,14 +57,14 @@
 	if revision() != 1 {
 		t.Error("the first update is not in it")
 	}
-	e.Bytes[0] = 0x22 // a mark: revision 17
+	e.Bytes[0] = 0x22 // revision 17, to detect a new encoding
 	if revision() != 17 {
-		t.Error("made anew though nothing has changed")
+		t.Error("encoded again without an update")
 	}
 	d.SetPartial(true)
 	d.Update(&List{Rev: 2}, false, 0, ignore)
 	if revision() != 17 {
-		t.Error("half a list is in it")
+		t.Error("a partial list was encoded")
 	}
 	d.SetPartial(false)
 	if revision() != 2 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// What is not a whole list of usable lines is refused.
+// ParseBinary rejects truncated data and invalid lines. It replaces invalid numbers by 0.
 func TestBinaryRefuses(t *testing.T) {
 	one := &List{Rev: 3, Targets: fleet(1).Targets}
 	b, _ := one.AppendBinary(nil)
@@ -91,7 +91,7 @@
 		change(&d.entries[0])
 		d.Encode(&e)
 		if _, err := ParseBinary(e.Bytes); err == nil {
-			t.Errorf("%s: passed", why)
+			t.Errorf("%s: accepted", why)
 		}
 	}
 	d, e := NewDirectory(), Encoded{}
@@ -99,11 +99,11 @@
 	d.entries[0].Weight = math.NaN()
 	d.Encode(&e)
 	if l, err := ParseBinary(e.Bytes); err != nil || l.Targets[0].Weight != 0 {
-		t.Errorf("%+v, %v: a figure that can't be meant is not told", l, err)
+		t.Errorf("%+v, %v: an invalid number was not replaced by 0", l, err)
 	}
 }
 
-// Whatever the bytes, they are a list that can be written again, or refused.
+// Any bytes are rejected or decode to a list that survives another round trip.
 func FuzzParseBinary(f *testing.F) {
 	b, _ := sampleList().AppendBinary(nil)
 	f.Add(b)
@@ -123,7 +123,8 @@
 	})
 }
 
-// What is encoded beside changes is the list as it was at one of its updates.
+// Encode yields the lock in between, so updates run concurrently. Its result must still be
+// the list after exactly one of the updates.
 func TestEncodeBesideChanges(t *testing.T) {
 	const size = 3 * encodeStep
 	d, e := NewDirectory(), Encoded{}
--- a/internal/roster/decode.go
+++ b/internal/roster/decode.go
@@ -12,25 +12,30 @@
 	"valvering.example/valvering/policy"
 )
 
-// Limits bound a list while it is decoded.
+// Limits bounds a list while it is decoded.
 type Limits struct {
-	Bytes int64 // of its JSON text
-	Lines int   // that can be used
+	Bytes int64 // of JSON text
+	Lines int   // valid lines
 }
 
 const (
-	listPart     = 6         // a list's text may take this fraction of the memory limit
-	leastBytes   = 4 << 20   // whatever the memory limit
-	defaultBytes = 32 << 20  // where there is no memory limit
-	bytesPerLine = 160       // of text, in a list of ordinary lines
-	yieldEvery   = 32        // lines; the event loop shares the processor with the decoder
-	mostWords    = 256       // distinct zones that are shared between lines
-	mostWordSize = 64        // bytes; longer ones are not shared
-	mostBlanks   = 1024      // between two tokens; discovery writes none
-	noBytes      = 1<<63 - 1 // as a limit: none
+	// Limits of a list's JSON text.
+	listPart     = 6         // the memory limit is divided by this
+	leastBytes   = 4 << 20   // for any memory limit
+	defaultBytes = 32 << 20  // without a memory limit
+	noBytes      = 1<<63 - 1 // no limit
+	bytesPerLine = 160       // typical size of a line, to derive the limit of lines
+	mostBlanks   = 1024      // whitespace bytes in a row; discovery sends none
+
+	// Strings that lines share.
+	mostWords    = 256 // distinct strings
+	mostWordSize = 64  // bytes; longer strings are not shared
+
+	yieldEvery = 32 // lines between two yields to the event loop, which may share the processor
 )
 
-// LimitsFor bounds lists by the memory limit of the process in MiB; 0: it has none.
+// LimitsFor derives the limits from the memory limit of the process in MiB. 0 means that
+// there is no memory limit.
 func LimitsFor(memoryMB int) Limits {
 	size := int64(defaultBytes)
 	if memoryMB > 0 {
@@ -39,22 +44,22 @@
 	return Limits{Bytes: size, Lines: int(min(size/bytesPerLine, math.MaxInt32))}
 }
 
-// What is wrong with a list as a whole.
+// Errors of a list as a whole.
 var (
 	ErrTooLong = errors.New("the list is too long")
-	ErrTwice   = errors.New("a uid is there twice")
+	ErrTwice   = errors.New("duplicate uid")
 	errNoList  = errors.New("not a JSON object")
-	errBlanks  = fmt.Errorf("over %d blank bytes in a row", mostBlanks)
+	errBlanks  = fmt.Errorf("more than %d whitespace bytes in a row", mostBlanks)
 )
 
-// limitedReader fails behind the limit, where io.LimitedReader ends, and at a long run
-// of blank bytes: json.Decoder looks at such a run anew with each read, so that the time
-// it takes would grow with the run's square.
+// limitedReader fails beyond its limit, where io.LimitedReader returns io.EOF. It also
+// fails at a long run of whitespace: json.Decoder scans such a run again on each read,
+// which takes quadratic time.
 type limitedReader struct {
 	from   io.Reader
-	left   int64
-	blanks int   // so many came last
-	err    error // that ended it
+	left   int64 // bytes
+	blanks int   // whitespace bytes at the end of what was read
+	err    error // returned by all further reads
 }
 
 func (r *limitedReader) Read(b []byte) (int, error) {
@@ -77,7 +82,7 @@
 	return n, err
 }
 
-// end tells whether the text ends at the limit.
+// end returns ErrTooLong if the text continues beyond the limit, and io.EOF if not.
 func (r *limitedReader) end() error {
 	var one [1]byte
 	if n, err := io.ReadFull(r.from, one[:]); n == 0 {
@@ -86,10 +91,11 @@
 	return ErrTooLong
 }
 
-// Decode reads one list from its JSON text as a stream: beside the lines taken only
-// one line's text is held. Lines that can't be used are counted and passed over. It fails
-// for what is no whole list, for one with lines of which none can be used, and for one
-// beyond the limits; the error names the line where there is one.
+// Decode reads one list from a stream of JSON text. Besides the decoded lines it holds
+// the text of a single line in memory. It counts and drops invalid lines.
+//
+// Decode fails if the list is incomplete, exceeds the limits, or has lines that are all
+// invalid. The error names the line, if there is one.
 func Decode(from io.Reader, limits Limits) (*List, error) {
 	d := decoder{json: json.NewDecoder(&limitedReader{from: from, left: limits.Bytes}), most: limits.Lines,
 		words: words{}, named: map[policy.ServerID]int32{}, list: List{Targets: []Target{}}}
@@ -98,35 +104,35 @@
 	}
 	if _, err := d.json.Token(); err != io.EOF {
 		if err == nil {
-			err = errors.New("more behind it")
+			err = errors.New("data after the list")
 		}
 		return nil, err
 	}
 	if l := &d.list; l.Bad > 0 && len(l.Targets) == 0 {
-		return nil, fmt.Errorf("none of %d lines can be used; %w", l.Bad, l.BadWhy)
+		return nil, fmt.Errorf("all %d lines are invalid; %w", l.Bad, l.BadWhy)
 	}
 	return &d.list, nil
 }
 
-// whole turns an early end into an error: to a reader EOF means that all was read.
+// whole replaces an early io.EOF, which callers would take for the normal end.
 func whole(err error) error {
 	if errors.Is(err, io.EOF) {
-		return fmt.Errorf("the list is cut short: %v", err)
+		return fmt.Errorf("the list is truncated: %v", err)
 	}
 	return err
 }
 
-// decoder reads a list's JSON text.
+// decoder decodes a list from JSON text.
 type decoder struct {
 	json  *json.Decoder
-	most  int
+	most  int // limit of valid lines
 	words words
-	named map[policy.ServerID]int32 // the line taken that names it last
-	had   bool                      // the lines were there
+	named map[policy.ServerID]int32 // index in list.Targets of the ID's last line
+	had   bool                      // the field targets was read
 	list  List
 }
 
-// object reads the outermost object.
+// object decodes the outermost object.
 func (d *decoder) object() error {
 	if err := d.delim('{', errNoList); err != nil {
 		return err
@@ -154,7 +160,7 @@
 	return err
 }
 
-// delim reads one delimiter; what else stands there is wrong.
+// delim reads one token and returns wrong if it isn't the wanted delimiter.
 func (d *decoder) delim(want json.Delim, wrong error) error {
 	switch got, err := d.json.Token(); {
 	case err != nil:
@@ -165,7 +171,7 @@
 	return nil
 }
 
-// skip passes over a value of any kind without holding it.
+// skip discards a value of any kind without storing it.
 func (d *decoder) skip() error {
 	for depth := 0; ; {
 		token, err := d.json.Token()
@@ -184,10 +190,10 @@
 	}
 }
 
-// lines reads the array of lines; null is none.
+// lines decodes the array of lines. null stands for an empty array.
 func (d *decoder) lines() error {
 	if d.had {
-		return errors.New("there twice")
+		return errors.New("duplicate field")
 	}
 	d.had = true
 	switch token, err := d.json.Token(); {
@@ -211,7 +217,7 @@
 	return nil
 }
 
-// line reads one line; it fails where the list can't be read on.
+// line decodes one line. It returns an error only if the rest of the list can't be read.
 func (d *decoder) line(i int) error {
 	l := &d.list
 	var next decodedLine
@@ -228,7 +234,7 @@
 		return nil
 	}
 	if len(l.Targets) == d.most {
-		return fmt.Errorf("%w: over %d lines", ErrTooLong, d.most)
+		return fmt.Errorf("%w: more than %d lines", ErrTooLong, d.most)
 	}
 	t := next.target
 	t.Zone, t.State = d.words.share(t.Zone), d.words.share(t.State)
@@ -236,8 +242,8 @@
 	return nil
 }
 
-// identify notes a uid that is there twice. A line whose ID is another uid's can't be
-// used: messages between edge nodes name servers by their IDs.
+// identify records a duplicate uid. It returns an error for a line whose ID belongs to
+// another uid, since messages between edge nodes refer to servers by their IDs.
 func (d *decoder) identify(i int, uid string) error {
 	l, id := &d.list, ID(uid)
 	if before, have := d.named[id]; have {
@@ -252,7 +258,7 @@
 	return nil
 }
 
-// words shares strings that come often, in bounded memory.
+// words deduplicates repeated strings in bounded memory.
 type words map[string]string
 
 func (w words) share(s string) string {
@@ -265,13 +271,14 @@
 	return s
 }
 
-// decodedLine is a line, or why it can't be used.
+// decodedLine is a line, or the reason why it is invalid.
 type decodedLine struct {
 	target Target
 	err    error
 }
 
-// UnmarshalJSON never fails: one line must not keep others from being used.
+// UnmarshalJSON always returns nil, so that an invalid line doesn't end the decoding of
+// the list.
 func (l *decodedLine) UnmarshalJSON(raw []byte) error {
 	if plainNames(raw) {
 		type plain Target // without methods
@@ -279,18 +286,19 @@
 			l.err = l.target.check()
 			return nil
 		}
-		l.target = Target{} // the exact decoding names the field
+		l.target = Target{} // read returns an error that names the field
 	}
 	l.err = l.target.read(raw)
 	return nil
 }
 
-// lineNames are the fields of a line.
+// lineNames lists the fields of a line.
 var lineNames = []string{"uid", "endpoint", "az", "pod_group", "state", "capacity_hint", "boot_ms"}
 
-// plainNames tells whether the standard decoder of structs finds the fields of a
-// valid JSON object just as fields does: each name is plain lower-case ASCII, so that
-// none differs from another's in case alone, and none of a line's is there twice.
+// plainNames reports whether the faster decoding into a struct gives the same result as
+// decoding by exact names. That holds if all names of the valid JSON object are
+// lower-case ASCII, so that none differs from a line's field in case alone, and no field
+// of a line is a duplicate.
 func plainNames(raw []byte) bool {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 || raw[0] != '{' {
@@ -321,7 +329,7 @@
 	return true
 }
 
-// stringEnd finds the closing quote of the string that begins at i.
+// stringEnd returns the index of the closing quote of the string that begins at i.
 func stringEnd(raw []byte, i int) int {
 	for i++; i < len(raw) && raw[i] != '"'; i++ {
 		if raw[i] == '\\' {
@@ -331,7 +339,7 @@
 	return min(i, len(raw)-1)
 }
 
-// isName tells whether a string stood for a name, by what follows it.
+// isName reports whether a string that is followed by rest is the name of a field.
 func isName(rest []byte) bool {
 	rest = bytes.TrimLeft(rest, " \t\r\n")
 	return len(rest) > 0 && rest[0] == ':'
--- a/internal/roster/decode_test.go
+++ b/internal/roster/decode_test.go
@@ -11,7 +11,7 @@
 	"unsafe"
 )
 
-// endless gives one text for ever and counts what was taken of it.
+// endless repeats a text forever and counts the bytes that were read.
 type endless struct {
 	text string
 	read int
@@ -27,7 +27,8 @@
 	return strings.Replace(goodLine, "s-00000001", fmt.Sprintf("s-%08x", i), 1)
 }
 
-// A list that is not whole is refused, and the error names the place where there is one.
+// Decode rejects incomplete and oversize lists, and the error names the place if there is
+// one.
 func TestDecodeRefuses(t *testing.T) {
 	limits := Limits{Bytes: 2000, Lines: 5}
 	var six []string
@@ -35,16 +36,16 @@
 		six = append(six, numbered(i))
 	}
 	for why, c := range map[string]struct{ text, place string }{
-		"empty":             {``, "cut short"},
+		"empty":             {``, "truncated"},
 		"null":              {`null`, "not a JSON object"},
 		"cut in a line":     {`{"targets":[` + numbered(1) + `,` + numbered(2)[:40], "targets: line 1"},
 		"cut behind a line": {`{"targets":[` + numbered(1) + `,`, "targets: line 1"},
-		"cut behind all":    {`{"targets":[` + numbered(1) + `]`, "cut short"},
-		"more behind it":    {`{"targets":[` + numbered(1) + `]} {}`, "more behind it"},
+		"cut behind all":    {`{"targets":[` + numbered(1) + `]`, "truncated"},
+		"more behind it":    {`{"targets":[` + numbered(1) + `]} {}`, "data after the list"},
 		"no JSON":           {`{"targets":[` + numbered(1) + `,x]}`, "targets: line 1"},
-		"lines twice":       {`{"targets":[` + numbered(1) + `],"targets":[]}`, "targets: there twice"},
+		"lines twice":       {`{"targets":[` + numbered(1) + `],"targets":[]}`, "targets: duplicate field"},
 		"too many lines":    {`{"targets":[` + strings.Join(six, ",") + `]}`, "targets: line 5"},
-		"blanks":            {`{"targets":[` + strings.Repeat(" ", mostBlanks+1) + numbered(1) + `]}`, "blank bytes"},
+		"blanks":            {`{"targets":[` + strings.Repeat(" ", mostBlanks+1) + numbered(1) + `]}`, "whitespace bytes"},
 		"too many bytes":    {`{"other":"` + strings.Repeat("x", 2000) + `","targets":[` + numbered(1) + `]}`, "too long"},
 	} {
 		l, err := Decode(strings.NewReader(c.text), limits)
@@ -53,11 +54,11 @@
 		}
 	}
 	if l, err := Decode(strings.NewReader(`{"rev":2,"targets":[`+strings.Join(six[:5], ",")+`]}`), limits); err != nil || len(l.Targets) != 5 {
-		t.Errorf("%+v, %v: a list at the limit", l, err)
+		t.Errorf("%+v, %v: a list at the limit was rejected", l, err)
 	}
 }
 
-// What never ends is read up to the limit and no further.
+// Decode reads endless input up to the limit and no further.
 func TestDecodeEndless(t *testing.T) {
 	limits := Limits{Bytes: 100000, Lines: 1 << 20}
 	for _, text := range []string{goodLine + ",", " ", "[", `"x":1,`, "x", `{"uid":`, "7,"} {
@@ -72,7 +73,8 @@
 	}
 }
 
-// A uid that is there twice is told of by its place; another uid of the same ID can't be used.
+// Decode reports the place of a duplicate uid. It drops a line whose ID collides with that
+// of another uid.
 func TestDecodeRepeatedUID(t *testing.T) {
 	l, err := Decode(strings.NewReader(`{"targets":[`+numbered(1)+`,{},`+numbered(2)+`,`+numbered(1)+`]}`), LimitsFor(0))
 	if err != nil || !errors.Is(l.Twice, ErrTwice) || !strings.HasPrefix(l.Twice.Error(), "targets[3]: ") || l.Bad != 1 {
@@ -86,7 +88,7 @@
 	}
 }
 
-// Strings that come often are held once, and the table of them is bounded.
+// Repeated strings share memory, and the table of shared strings is bounded.
 func TestDecodeSharesStrings(t *testing.T) {
 	var lines []string
 	for i := range 2 * mostWords {
@@ -102,7 +104,7 @@
 	}
 	a, b := l.Targets[0], l.Targets[1]
 	if unsafe.StringData(a.Zone) != unsafe.StringData(b.Zone) || unsafe.StringData(a.State) != unsafe.StringData(b.State) {
-		t.Error("equal zones or states are held twice")
+		t.Error("equal zones or states don't share memory")
 	}
 	w := words{}
 	for i := range 2 * mostWords {
@@ -110,11 +112,11 @@
 	}
 	w.share(strings.Repeat("x", mostWordSize+1))
 	if len(w) != mostWords {
-		t.Errorf("%d strings are held", len(w))
+		t.Errorf("%d strings in the table", len(w))
 	}
 }
 
-// The limits follow the memory limit, with a floor.
+// The limits are proportional to the memory limit, with a minimum.
 func TestLimitsFor(t *testing.T) {
 	for memory, want := range map[int]int64{0: defaultBytes, 1: leastBytes, 192: 32 << 20, 1 << 24: 1 << 44 / listPart} {
 		if l := LimitsFor(memory); l.Bytes != want || l.Lines < 1 || int64(l.Lines) > l.Bytes/bytesPerLine {
@@ -123,7 +125,7 @@
 	}
 }
 
-// Whatever the text of a line, both ways to decode it come to the same.
+// Both ways to decode a line give the same result for any text.
 func FuzzLine(f *testing.F) {
 	for _, text := range []string{goodLine, `{}`, `null`, `7`, `{"uid":"a","UID":"b","state":"DELETED"}`, `{"uid":"a","uid":null,"state":"DELETED"}`,
 		`{"uid":"a","more":{"uid":"b","x":["}\""]},"state":"DELETED"}`, `{"u\u0069d":"a","state":"DELETED"}`, `{"uid":"a\\","state":"DELETED","\u017ftate":"x"}`,
@@ -146,7 +148,7 @@
 	})
 }
 
-// BenchmarkDecode decodes a list of the planned size.
+// BenchmarkDecode decodes a list of 56,000 servers.
 func BenchmarkDecode(b *testing.B) {
 	var text strings.Builder
 	text.WriteString(`{"rev":1,"all":true,"targets":[`)
--- a/internal/roster/directory.go
+++ b/internal/roster/directory.go
@@ -10,27 +10,30 @@
 	"valvering.example/valvering/policy"
 )
 
-// Entry is what a Directory holds of a server that is listed.
+// Entry is a listed server in a Directory.
 type Entry struct {
-	UID         string
-	Zone        string
-	Addr        netip.AddrPort
-	BootMS      float64
-	Weight      float64
-	Cell        int
-	State       policy.State  // never Removed
-	Since       time.Duration // when it was first told to be no longer running, by the edge node's clock
-	Incarnation uint64        // the process there: another one has another, also under the same ID and address
+	UID    string
+	Zone   string
+	Addr   netip.AddrPort
+	BootMS float64
+	Weight float64
+	Cell   int
+	State  policy.State  // never Removed
+	Since  time.Duration // when the server was first reported as draining, by the edge node's clock
+
+	// Incarnation identifies the server's process. It changes when the server restarts
+	// or moves, even if ID and address stay.
+	Incarnation uint64
 }
 
-// same tells whether a line says of the server what is held.
+// same reports whether a line equals the entry.
 func (e *Entry) same(t *Target, addr netip.AddrPort) bool {
-	return e.UID == t.UID && e.Zone == t.Zone && e.Addr == addr && e.BootMS == t.BootMS && e.Weight == t.Weight &&
-		e.Cell == t.Cell && e.State == t.PolicyState()
+	return e.UID == t.UID && e.Zone == t.Zone && e.Addr == addr && e.BootMS == t.BootMS &&
+		e.Weight == t.Weight && e.Cell == t.Cell && e.State == t.PolicyState()
 }
 
-// Directory holds each listed server once. A changed line costs the same whatever the
-// number of servers. It is safe for concurrent use.
+// Directory stores the listed servers by ID. The cost of a changed line doesn't depend on
+// the number of servers. It is safe for concurrent use.
 type Directory struct {
 	mu           sync.RWMutex
 	rev          int64
@@ -38,18 +41,18 @@
 	partial      bool   // parts of a list are still to come
 	index        map[policy.ServerID]int32
 	entries      []Entry
-	free         []int32 // entries that hold no server
+	free         []int32 // indexes of unused entries
 	zones        words
 	incarnations uint64
-	looked       int // entries looked at by Update; tests count by it
+	looked       int // entries that Update visited, for tests
 }
 
-// NewDirectory makes one without servers.
+// NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
 	return &Directory{index: map[policy.ServerID]int32{}, zones: words{}}
 }
 
-// Len is the number of servers.
+// Len returns the number of servers.
 func (d *Directory) Len() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -67,9 +70,9 @@
 	return e, listed
 }
 
-// Update takes over a list or changes to it; of lines that name one server the last
-// counts. It tells of each server to whose process nothing new should be sent any more: it is
-// gone or drains, or another process is there.
+// Update applies a complete list or changes. If several lines have the same ID, the last
+// one counts. Update calls ended for each server whose previous process must get no new
+// requests: the server was removed, drains, or was replaced by another process.
 func (d *Directory) Update(l *List, whole bool, now time.Duration, ended func(policy.ServerID)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,7 +99,8 @@
 	}
 }
 
-// take takes over one line and returns where its server's entry is; -1: there is none.
+// take applies one line and returns the index of the server's entry, or -1 if the server
+// is removed.
 func (d *Directory) take(t *Target, now time.Duration, ended func(policy.ServerID)) int32 {
 	d.looked++
 	id := ID(t.UID)
@@ -107,7 +111,7 @@
 		}
 		return -1
 	}
-	addr, _ := netip.ParseAddrPort(t.Endpoint) // the zero address can't be dialed
+	addr, _ := netip.ParseAddrPort(t.Endpoint) // dialing the zero address fails
 	if !listed {
 		at = d.room()
 		d.index[id] = at
@@ -127,7 +131,7 @@
 	return at
 }
 
-// room finds an entry that holds no server.
+// room returns the index of an unused entry.
 func (d *Directory) room() int32 {
 	if last := len(d.free) - 1; last >= 0 {
 		at := d.free[last]
@@ -146,9 +150,9 @@
 	d.free = append(d.free, at)
 }
 
-// Difference turns a whole list into the changes that lead to it: what is told anew, and
-// a Gone line for each server that is missing. Lines of servers that are to get nothing new come
-// first. It takes the memory of the list's lines for its own.
+// Difference returns the changes from the directory to a complete list: new and changed
+// lines, and a Gone line for each missing server. Lines of servers that must get no new
+// requests come first. The result reuses the memory of the list's lines.
 func (d *Directory) Difference(l *List) []Target {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -179,13 +183,13 @@
 	return out
 }
 
-// EndsFirst sorts the lines of servers that are to get nothing new before the others and
-// keeps their order otherwise.
+// EndsFirst moves the lines of removed and draining servers to the front. The sort is
+// stable.
 func EndsFirst(lines []Target) {
 	slices.SortStableFunc(lines, func(a, b Target) int { return int(b.PolicyState()) - int(a.PolicyState()) })
 }
 
-// pause lets the event loop have the processor now and then.
+// pause yields the processor to the event loop every yieldEvery steps.
 func pause(i int) {
 	if i%yieldEvery == yieldEvery-1 {
 		runtime.Gosched()
--- a/internal/roster/directory_test.go
+++ b/internal/roster/directory_test.go
@@ -22,8 +22,7 @@
 
 func ignore(policy.ServerID) {}
 
-// What a change costs is counted in entries looked at: one for each line, whatever the
-// size of the fleet.
+// An update with changes visits one entry for each line, whatever the number of servers.
 func TestChangeCostsItsLines(t *testing.T) {
 	for _, size := range []int{200, 2000, 56000} {
 		d := NewDirectory()
@@ -36,14 +35,14 @@
 			d.looked = 0
 			d.Update(&List{Rev: 2, Targets: changed}, false, 0, ignore)
 			if d.looked != lines {
-				t.Errorf("%d servers, %d lines: %d entries looked at", size, lines, d.looked)
+				t.Errorf("%d servers, %d lines: %d entries visited", size, lines, d.looked)
 			}
 		}
 	}
 }
 
-// The changes that Difference finds lead to the same directory as the whole list does, and
-// what is to get nothing new stands before the rest.
+// The changes that Difference returns lead to the same directory as the complete list.
+// Lines of removed and draining servers come first.
 func TestDifferenceLeadsToTheList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	d, reference, all := NewDirectory(), map[string]Target{}, fleet(300).Targets
@@ -68,7 +67,7 @@
 		changes := d.Difference(next)
 		for i := 1; i < len(changes); i++ {
 			if changes[i].PolicyState() > changes[i-1].PolicyState() {
-				t.Fatalf("%+v behind %+v", changes[i], changes[i-1])
+				t.Fatalf("%+v after %+v", changes[i], changes[i-1])
 			}
 		}
 		for len(changes) > 0 {
@@ -92,7 +91,8 @@
 	}
 }
 
-// Each end of a process is told of, and another process has another incarnation.
+// Update reports each server whose process ended or drains, and a new process gets a new
+// incarnation.
 func TestDirectoryTellsOfEnds(t *testing.T) {
 	one := fleet(1).Targets[0]
 	with := func(change func(*Target)) *List {
@@ -130,7 +130,7 @@
 	}
 }
 
-// BenchmarkDirectory tells how long the directory of a large fleet is held for what.
+// BenchmarkDirectory measures operations on the directory of a large fleet.
 func BenchmarkDirectory(b *testing.B) {
 	const size, part = 56000, 256
 	d, e := NewDirectory(), Encoded{}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,8 +1,8 @@
-// Package roster holds the list of lending servers in discovery's form, as it
-// comes from discovery, from the configuration and from a snapshot. It promises
-// that what it read can be turned into the module's form, that one line that can't
-// be used keeps no other from being used, and that every edge node gives a server the
-// same ID.
+// Package roster decodes and stores the list of servers in discovery's format. Lists
+// come from discovery, from the configuration and from snapshots.
+//
+// Each decoded line converts to a policy.Server. An invalid line doesn't affect the
+// others. All edge nodes derive the same ID for a server.
 package roster
 
 import (
@@ -21,18 +21,18 @@
 	"valvering.example/valvering/policy"
 )
 
-// List is the list of servers, or what has changed in it.
+// List is a complete list of servers or a list of changes.
 type List struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []Target `json:"targets"`
 
-	Bad    int   `json:"-"` // lines that were passed over when the list was read
-	BadWhy error `json:"-"` // what is wrong with the first of them; nil: there is none
-	Twice  error `json:"-"` // names the first uid that is there twice (ErrTwice); nil: there is none
+	Bad    int   `json:"-"` // invalid lines that the decoder dropped
+	BadWhy error `json:"-"` // the error of the first invalid line, or nil
+	Twice  error `json:"-"` // an ErrTwice that names the first duplicate uid, or nil
 }
 
-// Target is one line of it.
+// Target is one line of a List.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -43,11 +43,11 @@
 	BootMS   float64 `json:"boot_ms"`
 }
 
-// fields are those of an object by their very names: the standard decoder takes
-// others that differ in case for them, and these may be anybody's.
+// fields holds the fields of an object by their exact names. The standard decoder
+// also accepts names that differ in case, which may be unrelated fields.
 type fields map[string]json.RawMessage
 
-// take decodes one field; one that is absent or null changes nothing.
+// take decodes one field. An absent or null field leaves the target unchanged.
 func (f fields) take(name string, to any) error {
 	if raw := f[name]; len(raw) > 0 {
 		if err := json.Unmarshal(raw, to); err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// UnmarshalJSON reads a list that is held in memory already, as Decode does.
+// UnmarshalJSON decodes a list that is already in memory, so without limits.
 func (l *List) UnmarshalJSON(data []byte) error {
 	out, err := Decode(bytes.NewReader(data), Limits{Bytes: noBytes, Lines: math.MaxInt32})
 	if err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// read takes a line that can be meant.
+// read decodes a line by its exact field names and validates it.
 func (t *Target) read(raw []byte) error {
 	var f fields
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -81,18 +81,19 @@
 	return t.check()
 }
 
-// check tells why a line can't be used, and drops figures that can't be meant.
+// check returns the reason why a line is invalid, if any. It sets numbers that are
+// out of range to 0.
 func (t *Target) check() error {
 	for _, v := range []*float64{&t.Weight, &t.BootMS} {
-		if !(*v >= 0 && *v <= mostFigure) { // NaN is neither
-			*v = 0 // not told
+		if !(*v >= 0 && *v <= mostFigure) { // also true for NaN
+			*v = 0 // unknown
 		}
 	}
 	if t.UID == "" {
-		return fmt.Errorf("uid: none, at %q", t.Endpoint)
+		return fmt.Errorf("uid: missing, endpoint %q", t.Endpoint)
 	}
 	if _, ok := states[t.State]; !ok {
-		return fmt.Errorf("state: %q is unknown", t.State)
+		return fmt.Errorf("state: unknown value %q", t.State)
 	}
 	if t.State == Gone {
 		return nil
@@ -103,17 +104,21 @@
 	return nil
 }
 
-// mostFigure is beyond any that can be meant: as Unix milliseconds it is the year
-// 2255, which still fits in nanoseconds.
+// mostFigure is the largest valid number. As Unix milliseconds it is in the year 2255,
+// which a time.Duration in nanoseconds can still represent.
 const mostFigure = 9e12
 
-// Gone is the state of a server that has left the list.
+// Gone is the state of a server that was removed from the list.
 const Gone = "DELETED"
 
-var states = map[string]policy.State{"SERVING": policy.Running, "DRAINING": policy.Draining, Gone: policy.Removed}
+var states = map[string]policy.State{
+	"SERVING":  policy.Running,
+	"DRAINING": policy.Draining,
+	Gone:       policy.Removed,
+}
 
-// ID names a server to the module and in messages between edge nodes, so it
-// must come out alike at all of them: it rests on the uid alone.
+// ID returns the server's ID. It depends on the uid alone, since messages between
+// edge nodes refer to servers by their IDs.
 func ID(uid string) policy.ServerID {
 	if hex, ok := strings.CutPrefix(uid, "s-"); ok && len(hex) == 8 {
 		if v, err := strconv.ParseUint(hex, 16, 32); err == nil {
@@ -125,11 +130,11 @@
 	return policy.ServerID(h.Sum32())
 }
 
-// PolicyState is the server's state to the module.
+// PolicyState converts the state for package policy.
 func (t *Target) PolicyState() policy.State { return states[t.State] }
 
-// Server turns a line into the module's form. The loop's clock counts from the
-// Unix epoch, so a start time needs no shift.
+// Server converts a line for package policy. Its clock counts from the Unix epoch, so
+// the start time needs no offset.
 func (t *Target) Server() policy.Server {
 	return policy.Server{ID: ID(t.UID), Zone: wire.Word(t.Zone), Cell: t.Cell, State: states[t.State],
 		HasStart: t.BootMS > 0, Start: time.Duration(t.BootMS * float64(time.Millisecond)), Weight: t.Weight}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Names in messages between edge nodes must come out alike at all of them.
+// All edge nodes must derive the same ID from a uid, since messages between them contain
+// these IDs.
 func TestServerID(t *testing.T) {
 	if id := ID("s-5be2a07c"); id != 0x5be2a07c {
 		t.Errorf("%x", id)
@@ -18,8 +19,7 @@
 
 const goodLine = `{"uid":"s-00000001","endpoint":"127.0.0.1:1","az":"a","pod_group":3,"state":"SERVING","capacity_hint":1.5,"boot_ms":9}`
 
-// A list comes from outside. What can't be used of it is counted, and keeps nothing else
-// from being used.
+// Lists are untrusted. Invalid lines are counted and don't affect the other lines.
 func TestBadLines(t *testing.T) {
 	want := Target{UID: "s-00000001", Endpoint: "127.0.0.1:1", Zone: "a", Cell: 3, State: "SERVING", Weight: 1.5, BootMS: 9}
 	for why, c := range map[string]struct {
@@ -44,16 +44,16 @@
 	line := strings.NewReplacer("1.5", "-1", ":9}", ":1e300}").Replace(goodLine)
 	var l List
 	if err := json.Unmarshal([]byte(`{"targets":[`+line+`]}`), &l); err != nil || l.Targets[0].Weight != 0 || l.Targets[0].Server().HasStart {
-		t.Errorf("%+v, %v: a figure that can't be meant is not told", l, err)
+		t.Errorf("%+v, %v: invalid numbers were not replaced by 0", l, err)
 	}
 	for _, text := range []string{`7`, `[]`, `{"rev":"new"}`, `{"targets":{}}`, `{"targets":[{}]}`, `{"targets":[null,7]}`, `{"rev":1.5}`} {
 		if err := json.Unmarshal([]byte(text), &List{}); err == nil {
-			t.Errorf("%s passed", text)
+			t.Errorf("%s was accepted", text)
 		}
 	}
 }
 
-// Whatever discovery says can be turned into the module's form, or is refused.
+// Any list is rejected or converts to valid servers of package policy.
 func FuzzList(f *testing.F) {
 	f.Add([]byte(`{"rev":3,"all":true,"targets":[` + goodLine + `]}`))
 	f.Add([]byte(`{"targets":[{"uid":"x","state":"DELETED","boot_ms":1e308}]}`))
--- a/internal/snapshot/clock.go
+++ b/internal/snapshot/clock.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Moment is a time by the clocks that outlast a process.
+// Moment is a point in time by clocks that outlast a process.
 type Moment struct {
 	Wall time.Time
-	Boot string        // names the run of the machine's kernel; empty: not known
-	Up   time.Duration // since that began, to a hundredth of a second
+	Boot string        // the kernel's boot ID; empty: unknown
+	Up   time.Duration // uptime since that boot, in steps of upStep
 }
 
-// upStep is how coarsely the kernel tells its age.
+// upStep is the resolution of the kernel's uptime.
 const upStep = 10 * time.Millisecond
 
 // Now reads the clocks.
@@ -35,10 +35,10 @@
 	return m
 }
 
-// Since is how long ago another moment was, at the least. No single clock is
-// believed: the wall's may have been set, so the kernel's bounds it, within one run
-// of the machine by its difference, and after a restart by its age. A clock that
-// went backwards counts as no time.
+// Since returns a lower bound of the time since an earlier moment. The wall clock may
+// have been set, so the uptime bounds it: by the difference of the uptimes within one
+// boot, and by the uptime itself after a reboot. The result is 0 if a clock went
+// backwards.
 func (m Moment) Since(then Moment) time.Duration {
 	d := m.Wall.Round(0).Sub(then.Wall.Round(0))
 	switch {
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -1,15 +1,14 @@
-// Package snapshot keeps on disk what an edge node should know after a crash, a
-// power loss or a planned stop.
+// Package snapshot stores an edge node's state on disk, to be restored after a crash, a
+// power loss or a shutdown.
 //
-// Encode and Decode turn a State into a file and back. Store writes files so that
-// a start finds the newest or the one before it whole, whatever happens in
-// between; it holds a lock, since a directory has one writer. Writer keeps the
-// disk away from whoever hands states over: it takes the newest and drops those
-// it has no time for, and failures are counted and logged, never waited for.
+// Encode and Decode convert between a State and a file. Store writes two files in turn,
+// so that a start always finds the newest or the previous snapshot intact. A lock
+// ensures that a directory has one writer. Writer writes in the background: it never
+// blocks its caller, drops states that a newer one replaces, and counts and logs
+// failures.
 //
-// What a file holds is untrusted. Decode gives a whole State or a plain error, in
-// memory bounded by the size of the file, and a file of at most mostFile bytes is
-// read.
+// Files are untrusted. Decode returns a complete State or an error, and uses memory in
+// proportion to the size of the file, which is at most mostFile.
 package snapshot
 
 import (
@@ -27,17 +26,17 @@
 	"valvering.example/valvering/policy"
 )
 
-// State is what is kept of an edge node.
+// State is the stored state of an edge node.
 type State struct {
 	Name        string
-	Incarnation uint64 // counts the starts of the edge node on this directory
-	Sequence    uint64 // counts the snapshots
+	Incarnation uint64 // number of starts of the edge node on this directory
+	Sequence    uint64 // number of the snapshot
 	Taken       Moment
-	Clean       bool // the edge node let in nothing after it was taken
+	Clean       bool // the edge node admitted no request after the snapshot was taken
 	List        *roster.List
-	Lines       func() []byte // in place of List: its binary form as it is when the state is written; empty: none
+	Lines       func() []byte // used instead of List: returns its binary format, or nothing
 	Current     Generation
-	Before      Generation // empty: none
+	Before      Generation // zero: none
 	Left        string     // digest of the configuration that was rolled back from
 	Memory      policy.Memory
 }
@@ -45,7 +44,7 @@
 // Generation is a configuration file that was in force.
 type Generation = config.Kept
 
-// What is wrong with a file.
+// Errors of Decode.
 var (
 	ErrDamaged = errors.New("damaged")
 	ErrNewer   = errors.New("of a newer format")
@@ -53,32 +52,35 @@
 )
 
 const (
-	magic    = "valvsnap"
-	version  = 1
-	mostFile = 64 << 20 // 56,000 servers take 3 MB of list and as much of judgements
+	// Format of a file.
+	magic   = "valvsnap"
+	version = 1
+	trailer = 4 // bytes of the CRC-32C
+
+	// Limits in bytes.
+	mostFile = 64 << 20 // 56,000 servers take 3 MB for the list and 3 MB for their health
 	mostName = 255
-	trailer  = 4 // CRC-32C
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sections of the file. A reader passes over kinds that it does not know.
+// Kinds of sections. Decode ignores kinds that it doesn't know.
 const (
 	sectionTaken = iota + 1
-	sectionList  // as JSON; by earlier programs
+	sectionList  // the list as JSON, written by earlier versions
 	sectionCurrent
 	sectionBefore
 	sectionLeft
 	sectionServers
-	sectionStores
-	sectionLines // the list in its binary form
+	sectionStores // token buckets
+	sectionLines  // the list in its binary format
 )
 
-// Encode writes a file: magic, version, name, incarnation, sequence, length,
-// sections, CRC-32C of all that.
+// Encode returns a file: magic, version, name, incarnation, sequence, length of the
+// sections, sections, CRC-32C of everything before.
 func Encode(s *State) ([]byte, error) {
 	if len(s.Name) > mostName {
-		return nil, fmt.Errorf("a name of %d bytes", len(s.Name))
+		return nil, fmt.Errorf("the name has %d bytes", len(s.Name))
 	}
 	lines, err := s.lines()
 	if err != nil {
@@ -115,12 +117,12 @@
 		}
 	})
 	if len(w.b) > mostFile-trailer {
-		return nil, fmt.Errorf("a snapshot of %d bytes", len(w.b))
+		return nil, fmt.Errorf("the snapshot has %d bytes", len(w.b))
 	}
 	return binary.BigEndian.AppendUint32(w.b, crc32.Checksum(w.b, castagnoli)), nil
 }
 
-// lines is the list in its binary form.
+// lines returns the list in its binary format.
 func (s *State) lines() ([]byte, error) {
 	switch {
 	case s.Lines != nil:
@@ -131,7 +133,7 @@
 	return nil, nil
 }
 
-// writer appends fields.
+// writer appends fields to b.
 type writer struct{ b []byte }
 
 func (w *writer) u16(v uint16)  { w.b = binary.BigEndian.AppendUint16(w.b, v) }
@@ -147,7 +149,7 @@
 	}
 }
 
-// sized writes what fill writes, behind its length.
+// sized writes a length and then the bytes that fill writes.
 func (w *writer) sized(fill func()) {
 	at := len(w.b)
 	w.u32(0)
@@ -184,27 +186,27 @@
 	}
 }
 
-// Decode reads the file of the edge node of this name.
+// Decode parses a file of the edge node with this name.
 func Decode(b []byte, name string) (*State, error) {
 	r := reader{b: b}
 	if string(r.take(len(magic))) != magic {
-		return nil, fmt.Errorf("%w: it does not begin as a snapshot does", ErrDamaged)
+		return nil, fmt.Errorf("%w: no snapshot magic", ErrDamaged)
 	}
 	v := r.u16()
 	if r.bad || len(b) < trailer {
-		return nil, fmt.Errorf("%w: %d bytes only", ErrDamaged, len(b))
+		return nil, fmt.Errorf("%w: only %d bytes", ErrDamaged, len(b))
 	}
 	if v > version {
-		return nil, fmt.Errorf("%w: %d", ErrNewer, v) // its end may be told otherwise
+		return nil, fmt.Errorf("%w: %d", ErrNewer, v) // a newer format may have another trailer
 	}
 	body := b[:len(b)-trailer]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(b[len(body):]) {
-		return nil, fmt.Errorf("%w: its check sum is another", ErrDamaged)
+		return nil, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
 	r.b = r.b[:len(r.b)-trailer]
 	s := &State{Name: r.text(), Incarnation: r.u64(), Sequence: r.u64()}
 	if int(r.u32()) != len(r.b) || r.bad || v != version {
-		return nil, fmt.Errorf("%w: its length is another", ErrDamaged)
+		return nil, fmt.Errorf("%w: length mismatch", ErrDamaged)
 	}
 	if s.Name != name {
 		return nil, fmt.Errorf("%w: %q", ErrForeign, s.Name)
@@ -213,13 +215,13 @@
 		kind, part := r.u16(), reader{}
 		part.b = r.take(int(r.u32()))
 		if r.bad || !s.read(kind, &part) {
-			return nil, fmt.Errorf("%w: section %d can't be read", ErrDamaged, kind)
+			return nil, fmt.Errorf("%w: invalid section %d", ErrDamaged, kind)
 		}
 	}
 	return s, nil
 }
 
-// read takes in one section.
+// read decodes one section and reports whether it is valid.
 func (s *State) read(kind uint16, r *reader) bool {
 	switch kind {
 	case sectionTaken:
@@ -248,7 +250,7 @@
 		s.Memory.Tokens = make(map[uint64]float64, len(r.b)/16)
 		for len(r.b) > 0 && !r.bad {
 			key, v := r.u64(), r.f64()
-			if !(v >= 0) { // nor NaN
+			if !(v >= 0) { // also true for NaN
 				return false
 			}
 			s.Memory.Tokens[key] = v
@@ -259,7 +261,7 @@
 	return !r.bad && len(r.b) == 0
 }
 
-// reader takes fields off; bad is set when one is not whole.
+// reader consumes fields from b. It sets bad if a field is incomplete or invalid.
 type reader struct {
 	b   []byte
 	bad bool
@@ -305,7 +307,8 @@
 	k := policy.ServerMemory{ID: policy.ServerID(r.u32()), HasStart: r.bool(), Start: time.Duration(r.u64()),
 		Slow: r.f64(), Pace: r.f64()}
 	for n := r.u16(); n > 0 && !r.bad; n-- {
-		k.Faults = append(k.Faults, policy.FaultMemory{Class: r.text(), Errs: r.f64(), Bad: time.Duration(r.u64())})
+		k.Faults = append(k.Faults, policy.FaultMemory{Class: r.text(), Errs: r.f64(),
+			Bad: time.Duration(r.u64())})
 	}
 	return k
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -47,7 +47,7 @@
 	return b
 }
 
-// sealed puts the right check sum behind what a test has changed.
+// sealed replaces the checksum by the correct one after a test has changed the data.
 func sealed(b []byte) []byte {
 	b = append([]byte(nil), b[:len(b)-trailer]...)
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
@@ -62,11 +62,11 @@
 		}
 	}
 	if _, err := Encode(&State{Name: strings.Repeat("n", 300)}); err == nil {
-		t.Error("a name that does not fit passed")
+		t.Error("an oversize name was accepted")
 	}
 }
 
-// A file cut at any byte, or with any bit turned, is told from a whole one.
+// Decode detects a file that is truncated at any byte or has any bit flipped.
 func TestDamage(t *testing.T) {
 	b := encoded(t, sample())
 	for n := range b {
@@ -77,12 +77,12 @@
 	for i := range len(b) * 8 {
 		b[i/8] ^= 1 << (i % 8)
 		if _, err := Decode(b, "n3"); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
-			t.Fatalf("bit %d turned: %v", i, err)
+			t.Fatalf("bit %d flipped: %v", i, err)
 		}
 		b[i/8] ^= 1 << (i % 8)
 	}
 	if _, err := Decode(append(b, 0), "n3"); !errors.Is(err, ErrDamaged) {
-		t.Errorf("a byte more: %v", err)
+		t.Errorf("an additional byte: %v", err)
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// A section that a later program of this format adds is passed over.
+// Decode ignores a section that a later version of this program adds.
 func TestUnknownSection(t *testing.T) {
 	w := writer{b: []byte(magic)}
 	w.u16(version)
@@ -119,8 +119,8 @@
 	}
 }
 
-// Lengths that claim far more than is there cost no memory and no time, also
-// where the check sum is right.
+// Lengths far beyond the end of the file cost neither memory nor time, even if the
+// checksum is correct.
 func TestClaims(t *testing.T) {
 	b := encoded(t, sample())
 	var before, after runtime.MemStats
@@ -132,12 +132,12 @@
 		if s, err := Decode(sealed(c), "n3"); err != nil {
 			refused++
 		} else if len(s.Memory.Servers) > 100 || len(s.Memory.Tokens) > 100 {
-			t.Fatalf("claim at %d believed", i)
+			t.Fatalf("length at %d accepted", i)
 		}
 	}
 	runtime.ReadMemStats(&after)
 	if mb := (after.TotalAlloc - before.TotalAlloc) >> 20; refused == 0 || mb > 64 {
-		t.Errorf("%d claims refused, %d MB taken", refused, mb)
+		t.Errorf("%d lengths rejected, %d MB allocated", refused, mb)
 	}
 }
 
@@ -150,7 +150,7 @@
 		if len(b) < trailer {
 			b = append(b, 0, 0, 0, 0)
 		}
-		for _, c := range [][]byte{b, sealed(b)} { // behind the check sum too
+		for _, c := range [][]byte{b, sealed(b)} { // with a correct checksum too
 			s, err := Decode(c, "n3")
 			if err != nil {
 				if !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) && !errors.Is(err, ErrForeign) {
@@ -160,7 +160,7 @@
 			}
 			again, err := Decode(encoded(t, s), "n3")
 			if err != nil || again.Sequence != s.Sequence || len(again.Memory.Tokens) != len(s.Memory.Tokens) {
-				t.Fatalf("read once, not twice: %v", err)
+				t.Fatalf("not decoded again after encoding: %v", err)
 			}
 		}
 	})
@@ -193,18 +193,18 @@
 	}
 }
 
-// disk models a directory of which a crash may lose whatever was not synced: of
-// each file any part behind what was, of the names any change since.
+// disk models a directory in which a crash may lose everything that was not synced: any
+// part of a file after its synced size, and any changes of names since the last sync.
 type disk struct {
 	rng     *rand.Rand
 	names   map[string]*inode
-	lasting map[string]*inode
-	pending []func(map[string]*inode)
+	lasting map[string]*inode         // names that survive a crash
+	pending []func(map[string]*inode) // changes of names since the last sync
 
-	steps   int // calls so far
-	failAt  int // the call that fails, and all after it when crashed; 0: none
-	crashed bool
-	lax     string // the planted fault: "file" or "names" are not synced
+	steps   int    // calls so far
+	failAt  int    // the call that fails; 0: none
+	crashed bool   // all calls after failAt fail too
+	lax     string // injected fault: "file" or "names" are not synced
 }
 
 type inode struct {
@@ -214,7 +214,7 @@
 
 var errDisk = errors.New("no space left")
 
-// step counts a call; it fails where the test says so.
+// step counts a call and returns an error if this call should fail.
 func (d *disk) step() error {
 	d.steps++
 	if d.failAt > 0 && (d.steps == d.failAt || d.crashed && d.steps > d.failAt) {
@@ -273,7 +273,7 @@
 	return nil
 }
 
-// settle makes those changes of names last that keep tells.
+// settle makes the pending changes of names durable that keep selects.
 func (d *disk) settle(keep func() bool) {
 	for _, change := range d.pending {
 		if keep() {
@@ -290,7 +290,7 @@
 
 func (h *handle) Write(b []byte) (int, error) {
 	if err := h.d.step(); err != nil {
-		half := len(b) / 2 // a full disk takes a part
+		half := len(b) / 2 // a full disk accepts a part
 		h.n.data = append(h.n.data, b[:half]...)
 		return half, err
 	}
@@ -310,7 +310,7 @@
 
 func (h *handle) Close() error { return h.d.step() }
 
-// crash is the disk as the next start finds it.
+// crash returns the disk as the next start finds it.
 func (d *disk) crash() *disk {
 	d.settle(func() bool { return d.rng.IntN(2) == 0 })
 	next := &disk{rng: d.rng, names: map[string]*inode{}, lasting: map[string]*inode{}, lax: d.lax}
@@ -329,12 +329,12 @@
 	return &disk{rng: rand.New(rand.NewPCG(seed, 1)), names: map[string]*inode{}, lasting: map[string]*inode{}, lax: lax}
 }
 
-// outages writes snapshots on a disk that fails at a step of the seed's choice,
-// by a crash or an error, several lives long, and checks at each start that the
-// last acknowledged state is there, or the one that was being written.
+// outages writes snapshots to a disk that crashes or returns an error at a random step,
+// over several starts. At each start it checks that the directory holds the last
+// acknowledged state or the one that was being written.
 func outages(seed uint64, lax string) error {
 	d := newDisk(seed, lax)
-	acked, tried := uint64(0), uint64(0) // as numbers of the states
+	acked, tried := uint64(0), uint64(0) // numbers of the states
 	for life := range 6 {
 		s, found := Open(d, "n3")
 		got := uint64(0)
@@ -348,7 +348,7 @@
 			return fmt.Errorf("life %d: found %d, acknowledged %d, being written %d (%v)", life, got, acked, tried, found.Problems)
 		}
 		if found.Complete && got < acked {
-			return fmt.Errorf("life %d: %d passes for the last, %d was acknowledged", life, got, acked)
+			return fmt.Errorf("life %d: %d is reported as the last, %d was acknowledged", life, got, acked)
 		}
 		acked = got
 		if tried < got {
@@ -379,7 +379,7 @@
 	}
 }
 
-// The model catches a writer that syncs too little.
+// The disk model detects a Store that omits a sync.
 func TestModelCatchesMissingSyncs(t *testing.T) {
 	for _, lax := range []string{"file", "names"} {
 		caught := false
@@ -387,13 +387,12 @@
 			caught = caught || outages(seed, lax) != nil
 		}
 		if !caught {
-			t.Errorf("unsynced %s went unseen", lax)
+			t.Errorf("the missing sync of %s was not detected", lax)
 		}
 	}
 }
 
-// What was written cleanly passes for the last only while nothing that may have
-// come after it is lost.
+// Found.Complete is false if a later snapshot may be lost or damaged.
 func TestComplete(t *testing.T) {
 	d := newDisk(1, "")
 	s, found := Open(d, "n3")
@@ -430,7 +429,7 @@
 	}
 }
 
-// Each step of a write may fail: the snapshot before stays, and the next write
+// If any step of a write fails, the previous snapshot stays intact and the next write
 // succeeds.
 func TestNoSpace(t *testing.T) {
 	for at := 1; at <= 6; at++ {
@@ -456,7 +455,7 @@
 	}
 }
 
-// gate is a disk that holds each write until the test lets it go.
+// gate is a disk that blocks each write until the test closes a channel.
 type gate struct {
 	*disk
 	go_ chan struct{}
@@ -467,8 +466,8 @@
 	return g.disk.Create(name)
 }
 
-// A slow disk never holds up who offers: the newest state wins, and what was
-// dropped is counted. A failing one is counted too.
+// Offer doesn't block on a slow disk: the newest state is written, and dropped states are
+// counted. Failed writes are counted too.
 func TestWriterNeverWaits(t *testing.T) {
 	g := gate{newDisk(1, ""), make(chan struct{})}
 	s, _ := Open(g, "n3")
@@ -480,7 +479,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if w.Close(ctx) {
-		t.Error("written by a disk that stands still")
+		t.Error("Close reports success while the disk blocks")
 	}
 	close(g.go_)
 	<-w.done
@@ -498,8 +497,8 @@
 	}
 }
 
-// One process keeps its snapshots in a directory; the lock ends with it, however
-// it ends.
+// Only one process can use a directory. The lock is released even if that process is
+// killed.
 func TestOneWriter(t *testing.T) {
 	if path := os.Getenv("SNAPSHOT_DIR"); path != "" {
 		if _, err := OpenDir(path); err != nil {
@@ -562,13 +561,13 @@
 	for _, path := range []string{file, filepath.Join(file, "below"), "/proc/none"} {
 		if d, err := OpenDir(path); err == nil {
 			d.Close()
-			t.Errorf("%s passed", path)
+			t.Errorf("%s was accepted", path)
 		}
 	}
 }
 
-// The list as JSON, as earlier programs wrote it, is still read; and one that is handed over
-// in its binary form comes back as it was.
+// Decode still reads the list as JSON, as earlier versions wrote it. A list that is passed
+// in its binary format is decoded unchanged.
 func TestBothFormsOfTheList(t *testing.T) {
 	want := sample().List
 	raw, err := json.Marshal(want)
@@ -593,6 +592,6 @@
 	}
 	none := &State{Name: "n3", List: want, Lines: func() []byte { return nil }}
 	if s, err := Decode(encoded(t, none), "n3"); err != nil || s.List != nil {
-		t.Errorf("%+v, %v: a list though none was held", s, err)
+		t.Errorf("%+v, %v: a list although Lines returned none", s, err)
 	}
 }
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -10,31 +10,32 @@
 	"syscall"
 )
 
-// FS is the directory that snapshots are kept in.
+// FS is the directory of the snapshots.
 type FS interface {
-	Read(name string) ([]byte, error) // fs.ErrNotExist: there is no such file
-	Create(name string) (File, error) // empties one that is there
-	Rename(from, to string) error     // to is replaced
-	Sync() error                      // of the directory: until then renames may be lost
+	Read(name string) ([]byte, error) // fs.ErrNotExist if there is no such file
+	Create(name string) (File, error) // truncates an existing file
+	Rename(from, to string) error     // replaces an existing file
+	Sync() error                      // makes earlier renames durable
 }
 
-// File is one that is being written.
+// File is a file that is being written.
 type File interface {
 	io.WriteCloser
-	Sync() error // until then what was written may be lost from some place on
+	Sync() error // makes earlier writes durable
 }
 
-// The files. Snapshots take the two slots in turn, so the one before is never
-// touched while the next is written.
+// temporary is the file that a snapshot is written to before it is renamed to its slot.
 const temporary = "snapshot.tmp"
 
+// slot returns the file of a snapshot. Snapshots alternate between two slots, so the
+// previous one stays intact while the next one is written.
 func slot(sequence uint64) string { return fmt.Sprintf("snapshot-%d", sequence%2) }
 
-// ErrInUse is a directory that another process writes to.
-var ErrInUse = errors.New("another process keeps its snapshots there")
+// ErrInUse is returned for a directory that another process writes to.
+var ErrInUse = errors.New("another process writes its snapshots there")
 
-// Store is the snapshots of one edge node in one directory. It is not safe for
-// concurrent use.
+// Store reads and writes the snapshots of one edge node in one directory. It is not safe
+// for concurrent use.
 type Store struct {
 	fs          FS
 	name        string
@@ -42,14 +43,15 @@
 	sequence    uint64
 }
 
-// Found is what a directory held.
+// Found is the content of a directory.
 type Found struct {
-	State    *State   // nil: nothing that can be used
-	Complete bool     // State is the last that was written: no later one is lost or damaged
-	Problems []string // what was passed over, and why
+	State    *State   // the newest valid snapshot, or nil
+	Complete bool     // State is the last one written: no later one is lost or damaged
+	Problems []string // ignored files and the reasons
 }
 
-// Open reads what is there. What can't be used is told and passed over.
+// Open reads the snapshots in a directory. It ignores invalid ones and reports them in
+// Found.Problems.
 func Open(dir FS, name string) (*Store, Found) {
 	s, f := &Store{fs: dir, name: name}, Found{}
 	absent := 0
@@ -69,7 +71,7 @@
 		}
 	}
 	if f.State != nil {
-		// The first snapshot has none before it.
+		// The second slot is still empty after the first snapshot.
 		f.Complete = len(f.Problems) == 0 && (absent == 0 || f.State.Sequence == 1)
 		s.sequence, s.incarnation = f.State.Sequence, f.State.Incarnation
 	}
@@ -77,9 +79,9 @@
 	return s, f
 }
 
-// Write puts a state in place of the snapshot before the last, and tells its size.
-// Once it returns without an error the state is what a start finds, also after a power loss; at an
-// error, or when it is cut off anywhere, a start finds this one or the last.
+// Write writes a snapshot into the slot of the last but one and returns its size. After
+// success a start finds this snapshot, even after a power loss. After an error or a crash
+// at any point, a start finds this snapshot or the previous one.
 func (s *Store) Write(st *State) (int, error) {
 	out := *st
 	out.Name, out.Incarnation, out.Sequence = s.name, s.incarnation, s.sequence+1
@@ -105,10 +107,10 @@
 	if err := s.fs.Rename(temporary, slot(out.Sequence)); err != nil {
 		return 0, fmt.Errorf("rename: %w", err)
 	}
-	// At an error here the name may be in place or not: the next snapshot takes
-	// this slot again, never that of the last one that surely is there.
+	// If this fails, the rename may be durable or not. The sequence isn't advanced, so
+	// the next snapshot reuses this slot and the last durable one stays intact.
 	if err := s.fs.Sync(); err != nil {
-		return 0, fmt.Errorf("sync the directory: %w", err)
+		return 0, fmt.Errorf("sync directory: %w", err)
 	}
 	s.sequence = out.Sequence
 	return len(b), nil
@@ -121,8 +123,8 @@
 	lock *os.File
 }
 
-// OpenDir makes the directory if it is not there and takes its lock, which ends
-// with the process; it is ErrInUse while another process has it.
+// OpenDir creates the directory if necessary and locks it. The kernel releases the lock
+// when the process ends. The error is ErrInUse while another process has the lock.
 func OpenDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -147,7 +149,7 @@
 	return &Dir{path, dir, lock}, nil
 }
 
-// Close lets go of the lock.
+// Close releases the lock.
 func (d *Dir) Close() error { return errors.Join(d.dir.Close(), d.lock.Close()) }
 
 // Read reads a file of bounded size.
@@ -158,24 +160,24 @@
 	}
 	defer f.Close()
 	if info, err := f.Stat(); err == nil && !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%w: not a plain file", ErrDamaged)
+		return nil, fmt.Errorf("%w: not a regular file", ErrDamaged)
 	}
 	b, err := io.ReadAll(io.LimitReader(f, mostFile+1))
 	if err == nil && len(b) > mostFile {
-		err = fmt.Errorf("%w: over %d bytes", ErrDamaged, mostFile)
+		err = fmt.Errorf("%w: more than %d bytes", ErrDamaged, mostFile)
 	}
 	return b, err
 }
 
-// Create opens a file to be written.
+// Create opens a file for writing and truncates it.
 func (d *Dir) Create(name string) (File, error) {
 	return os.OpenFile(filepath.Join(d.path, name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
-// Rename gives a file another name.
+// Rename renames a file and replaces an existing one.
 func (d *Dir) Rename(from, to string) error {
 	return os.Rename(filepath.Join(d.path, from), filepath.Join(d.path, to))
 }
 
-// Sync makes the names in the directory last.
+// Sync makes the directory's entries durable.
 func (d *Dir) Sync() error { return d.dir.Sync() }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -7,36 +7,37 @@
 	"time"
 )
 
-// Counts tells how the writing goes.
+// Counts holds statistics of a Writer.
 type Counts struct {
 	Written int       // snapshots
-	Failed  int       // snapshots that could not be written
-	Dropped int       // states that a newer one overtook before they were written
-	Bytes   int64     // of all that were written
-	Last    time.Time // when the last one was; zero: none
-	Error   string    // why the latest failed; empty: it did not
+	Failed  int       // writes that failed
+	Dropped int       // states that a newer one replaced before they were written
+	Bytes   int64     // total size of the written snapshots
+	Last    time.Time // time of the last successful write; zero: none
+	Error   string    // error of the latest write; empty if it succeeded
 }
 
-// Writer writes states in a goroutine of its own.
+// Writer writes states in its own goroutine.
 type Writer struct {
 	store *Store
-	box   chan *State // room for one
-	done  chan struct{}
+	box   chan *State   // holds the state to write next
+	done  chan struct{} // closed when the goroutine has ended
 	first chan struct{} // closed when the first write has ended
 
 	mu     sync.Mutex
 	counts Counts
 }
 
-// NewWriter starts a writer; Close ends it.
+// NewWriter starts a writer. Close stops it.
 func NewWriter(s *Store) *Writer {
 	w := &Writer{store: s, box: make(chan *State, 1), done: make(chan struct{}), first: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Offer hands over a state, which is not changed from then on. It never waits:
-// one that the disk had no time for yet gives way. One goroutine offers.
+// Offer passes a state to the writer. The caller must not modify it afterwards. Offer
+// doesn't block: the state replaces one that is still waiting to be written. Only one
+// goroutine may call Offer.
 func (w *Writer) Offer(s *State) {
 	select {
 	case <-w.box:
@@ -48,8 +49,8 @@
 	w.box <- s
 }
 
-// First waits for the end of the first write, until ctx ends, and tells whether
-// that state is what a start finds from now on.
+// First waits until the first write has ended or ctx is done. It reports whether a
+// snapshot was written.
 func (w *Writer) First(ctx context.Context) bool {
 	select {
 	case <-w.first:
@@ -59,15 +60,15 @@
 	}
 }
 
-// Counts tells how the writing goes.
+// Counts returns the current statistics.
 func (w *Writer) Counts() Counts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counts
 }
 
-// Close lets the writer write what it was offered, until ctx ends; nothing may be
-// offered any more. It tells whether all is written.
+// Close waits until the last offered state is written or ctx is done. It reports whether
+// the last write succeeded. Offer must not be called any more.
 func (w *Writer) Close(ctx context.Context) bool {
 	close(w.box)
 	select {
@@ -98,7 +99,7 @@
 		first.Do(func() { close(w.first) })
 		switch {
 		case err != nil && was == "":
-			slog.Error("snapshot not written; the one before stays", "err", err, "failed", failed)
+			slog.Error("snapshot not written; the previous one is unchanged", "err", err, "failed", failed)
 		case err == nil && was != "":
 			slog.Info("snapshots are written again", "failed", failed)
 		}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit is what tests of several packages share.
+// Package testkit provides helpers for tests of several packages.
 package testkit
 
 import (
@@ -10,24 +10,24 @@
 	"valvering.example/valvering/internal/loopback"
 )
 
-// Patience is how long a test waits for a condition. It decides nothing but how long
-// a failing test takes: it is far beyond what a slow machine needs.
+// Patience limits the time that a test waits for a condition. It is far longer than a
+// slow machine needs, so it only determines how long a failing test takes.
 const Patience = 30 * time.Second
 
 const look = 2 * time.Millisecond
 
-// Eventually waits until something is so.
+// Eventually polls a condition until it is true, and fails the test after Patience.
 func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patience); !ok(); time.Sleep(look) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// FreeAddr is a loopback address that nothing listens on, until the test or what it starts
-// does.
+// FreeAddr returns a loopback address that nothing listens on. It stays reserved for the
+// test and the programs that the test starts.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
 	a, err := loopback.Reserve()
@@ -38,20 +38,20 @@
 	return a.String()
 }
 
-// Log is what a program writes, to be read while it does.
+// Log collects the output of a program and can be read while the program runs.
 type Log struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-// Write appends.
+// Write appends p to the log.
 func (l *Log) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-// String is all that was written.
+// String returns everything written so far.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,6 +1,5 @@
-// Package wire reads and writes the line protocol of the bench. It holds no
-// decisions: it turns lines into the events of package policy, and actions
-// into lines.
+// Package wire implements the simulator's line protocol. It decodes lines into the
+// events of package policy and encodes actions as lines.
 package wire
 
 import (
@@ -17,34 +16,34 @@
 	"valvering.example/valvering/policy"
 )
 
-// Configure starts an instance, with nothing remembered.
+// Configure starts an instance without stored state.
 type Configure struct {
 	Seed     uint64
 	Settings policy.Settings
 }
 
-// Kill ends an instance.
+// Kill stops an instance.
 type Kill struct{}
 
-// Item is one event of a batch for one instance. Event is a policy.Event, a
-// Configure or a Kill; it is nil for an event no decision needs.
+// Item is one event for one instance. Event is a policy.Event, a Configure or a Kill, or
+// nil for an event that package policy doesn't use.
 type Item struct {
 	Node  string
 	Line  int
 	Event any
 }
 
-// Batch is what happens at one instant.
+// Batch holds the events of one instant.
 type Batch struct {
 	Now   time.Duration
 	Items []Item
 }
 
-// Decoder reads batches.
+// Decoder reads batches from a stream.
 type Decoder struct {
 	r      *bufio.Reader
 	line   int
-	tables map[int][]policy.Server
+	tables map[int][]policy.Server // server lists by their numbers in TABLE lines
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -52,7 +51,7 @@
 	return &Decoder{r: bufio.NewReaderSize(r, 1<<16), tables: map[int][]policy.Server{}}
 }
 
-// Line is the number of the line read last.
+// Line returns the number of the last line read.
 func (d *Decoder) Line() int { return d.line }
 
 func (d *Decoder) next() (string, error) {
@@ -68,8 +67,8 @@
 	return fmt.Errorf("line %d: %s", d.line, fmt.Sprintf(format, args...))
 }
 
-// Next reads one batch. It returns io.EOF at the end of input between
-// batches; every other error names the line and the reason.
+// Next reads one batch. It returns io.EOF at the end of the input between batches. All
+// other errors name the line and the reason.
 func (d *Decoder) Next() (Batch, error) {
 	var b Batch
 	head := ""
@@ -159,7 +158,7 @@
 		f.skip() // latency
 	case "VERDICT":
 		o := policy.Outcome{ID: f.id(), Attempt: f.int()}
-		f.skip() // the meter's figure: peers' totals are what counts here
+		f.skip() // the simulator's own meter; totals come from other edge nodes instead
 		o.Latency = f.ms()
 		o.Server = f.server()
 		o.Over = f.bool()
@@ -239,7 +238,7 @@
 	return nil
 }
 
-// parser takes the fields of a line one by one and keeps the first error.
+// parser consumes the fields of a line and stores the first error.
 type parser struct {
 	words []string
 	err   error
@@ -277,7 +276,7 @@
 	}
 	v, err := strconv.ParseFloat(w, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.note("%q is no number", clip(w))
+		p.note("%q is not a number", clip(w))
 		return 0
 	}
 	return v
@@ -295,7 +294,7 @@
 	w := p.text()
 	v, err := strconv.ParseUint(w, 10, bits)
 	if err != nil {
-		p.note("%q is no whole number", clip(w))
+		p.note("%q is not an unsigned integer", clip(w))
 	}
 	return v
 }
@@ -306,7 +305,7 @@
 	w := p.text()
 	v, err := strconv.ParseUint(w, 16, 64)
 	if err != nil || len(w) != 16 {
-		p.note("%q is no request id", clip(w))
+		p.note("%q is not a request ID", clip(w))
 	}
 	return policy.RequestID(v)
 }
@@ -317,7 +316,7 @@
 	w := p.text()
 	c, known := codes[w]
 	if !known {
-		p.note("unknown ending %q", clip(w))
+		p.note("unknown result code %q", clip(w))
 	}
 	return c
 }
@@ -345,7 +344,7 @@
 	}
 	b, err := base64.StdEncoding.DecodeString(w)
 	if err != nil {
-		p.note("bad base64")
+		p.note("invalid base64")
 	}
 	return b
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -10,7 +10,7 @@
 	"valvering.example/valvering/policy"
 )
 
-// Append writes one action of an instance as a line.
+// Append appends an action of an instance as a line.
 func Append(b []byte, node string, a policy.Action) []byte {
 	start := func(verb string) {
 		b = append(b, verb...)
@@ -63,12 +63,12 @@
 	return append(b, '\n')
 }
 
-// AppendCrash writes that an instance's decisions broke, and why.
+// AppendCrash appends a line that reports a panic of an instance.
 func AppendCrash(b []byte, node, reason string) []byte {
 	return append(b, "CRASH "+node+" "+oneLine(reason)+"\n"...)
 }
 
-// AppendEnd ends a reply.
+// AppendEnd appends the line that ends a reply.
 func AppendEnd(b []byte) []byte { return append(b, "FINISHED\n"...) }
 
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -16,8 +16,8 @@
 // Facts are the settings of an instance as path=value pairs.
 type Facts struct{ pairs []string }
 
-// FactsFromJSON turns settings given as nested JSON into the pairs that a
-// CONFIGURE line holds, so that both programs share one mapping.
+// FactsFromJSON converts settings in nested JSON to the pairs of a CONFIGURE line, so
+// that the edge node and the simulator's adapter share one mapping.
 func FactsFromJSON(data []byte) (Facts, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -26,7 +26,7 @@
 		return Facts{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(top) == 0 {
-		return Facts{}, errors.New("settings: none")
+		return Facts{}, errors.New("settings: missing")
 	}
 	if dec.More() {
 		return Facts{}, errors.New("settings: more than one value")
@@ -36,14 +36,14 @@
 	return f, nil
 }
 
-// Settings maps the facts to what a gateway is told. The error joins all that
-// is wrong with them, each naming its key.
+// Settings converts the facts. The error joins all faults, each of which begins with its
+// key.
 func (f Facts) Settings() (policy.Settings, error) { return settings(f.pairs) }
 
-// Pairs are the facts as a CONFIGURE line holds them, in the order of their paths.
+// Pairs returns the path=value pairs in sorted order.
 func (f Facts) Pairs() []string { return slices.Sorted(slices.Values(f.pairs)) }
 
-// Duration returns a fact given in milliseconds; 0 if there is none.
+// Duration returns a fact in milliseconds as a duration, or 0 if it is absent.
 func (f Facts) Duration(key string) (time.Duration, error) {
 	for _, p := range f.pairs {
 		if v, ok := strings.CutPrefix(p, key+"="); ok {
@@ -55,7 +55,7 @@
 	return 0, nil
 }
 
-// Word is a value as it stands in a pair: without spaces and commas.
+// Word replaces the spaces and commas in a value, which separate pairs and elements.
 func Word(s string) string {
 	if !strings.ContainsAny(s, " ,") {
 		return s
@@ -68,7 +68,7 @@
 	case map[string]any:
 		for k, e := range v {
 			if k == "" || strings.ContainsAny(k, ".= ") {
-				continue // anybody's: in a path it would pass for other keys
+				continue // the path would look like that of another key
 			}
 			if path != "" {
 				k = path + "." + k
--- a/internal/wire/json_test.go
+++ b/internal/wire/json_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The edge node's nested settings must come out as the simulator's pairs do:
-// otherwise the two programs decide differently.
+// Nested JSON and the simulator's pairs must give the same settings. Otherwise the edge node
+// and the simulator would decide differently.
 func TestNestedSettingsAreThePairs(t *testing.T) {
 	pairs, err := settings(strings.Split("me=1 balancers=3 zone=north_hall tick_ms=4.0 caps.cancel=true caps.peers=true "+
 		"caps.retry_after=true caps.max_retry_after_ms=2000.0 report.names=cpu,rps weight_kind=nominal discovery=push "+
@@ -37,11 +37,11 @@
 		t.Errorf("%v %v", d, err)
 	}
 	if _, err := f.Duration("zone"); err == nil {
-		t.Error("a word passed for a duration")
+		t.Error("a word was accepted as a duration")
 	}
 	for _, bad := range []string{``, `{}`, `[]`, `{"me":`} {
 		if _, err := FactsFromJSON([]byte(bad)); err == nil {
-			t.Errorf("%q passed", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,16 +11,16 @@
 	"valvering.example/valvering/policy"
 )
 
-// facts holds the settings of a CONFIGURE line; unknown keys are ignored. Each
-// of errs names a key and what is wrong with it.
+// facts holds the settings of a CONFIGURE line. Unknown keys are ignored. Each of errs
+// begins with the key of a fault.
 type facts struct {
 	m    map[string]string
 	errs []error
 }
 
 const (
-	mostFigure = 1e12 // a figure beyond can't be meant, and may not fit where it is kept
-	mostTables = 200  // classes or plans: their places fit into a byte of a message
+	mostFigure = 1e12 // largest number; larger ones may overflow the fields that hold them
+	mostTables = 200  // classes or plans; messages store their indexes in one byte
 )
 
 func (f *facts) fault(key, format string, args ...any) {
@@ -60,7 +60,7 @@
 		return true
 	case "", "-", "false", "0":
 	default:
-		f.fault(key, "%q is neither true nor false", clip(w))
+		f.fault(key, "%q is not a boolean", clip(w))
 	}
 	return false
 }
@@ -114,10 +114,10 @@
 		effect, known := effects[f.m[k+"semantics"]]
 		group, grouped := groups[f.m[k+"group"]]
 		if !known {
-			f.fault(k+"semantics", "%q is unknown", clip(f.m[k+"semantics"]))
+			f.fault(k+"semantics", "unknown value %q", clip(f.m[k+"semantics"]))
 		}
 		if !grouped {
-			f.fault(k+"group", "%q is unknown", clip(f.m[k+"group"]))
+			f.fault(k+"group", "unknown value %q", clip(f.m[k+"group"]))
 		}
 		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], Aim: f.ms(k + "aim_ms"),
 			Deadline: f.ms(k + "hard_limit_ms"), Effect: effect, Group: group,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -72,13 +72,13 @@
 		"unknown event":  {"FRAME 1\nHELLO node/1\nEOF_BATCH\n", `line 2: unknown event "HELLO"`},
 		"too few":        {"FRAME 1\nELAPSED node/1\nEOF_BATCH\n", "line 2: ELAPSED: too few fields"},
 		"too many":       {"FRAME 1\nELAPSED node/1 x y\nEOF_BATCH\n", "line 2: ELAPSED: too many fields"},
-		"bad id":         {"FRAME 1\nLAPSED node/1 12\nEOF_BATCH\n", "line 2: LAPSED: \"12\" is no request id"},
+		"bad id":         {"FRAME 1\nLAPSED node/1 12\nEOF_BATCH\n", "line 2: LAPSED: \"12\" is not a request ID"},
 		"bad clock":      {"FRAME x\nEOF_BATCH\n", "line 1: FRAME"},
-		"bad base64":     {"FRAME 1\nWHISPER node/1 2 !!\nEOF_BATCH\n", "line 2: WHISPER: bad base64"},
+		"bad base64":     {"FRAME 1\nWHISPER node/1 2 !!\nEOF_BATCH\n", "line 2: WHISPER: invalid base64"},
 		"no such list":   {"FRAME 1\nMEMBERSHIP node/1 all 1 5\nEOF_BATCH\n", "line 2: MEMBERSHIP: no list"},
 		"bad state":      {"FRAME 1\nTABLE 0 1\nM - 1 a 0 Asleep k 1\nEOF_BATCH\n", "line 3: M: unknown state"},
 		"bad setting":    {"FRAME 1\nCONFIGURE node/1 5 me=x\nEOF_BATCH\n", "line 2: CONFIGURE: me:"},
-		"unknown ending": {"FRAME 1\nPROBE_RESULT node/1 7 SO 1 -\nEOF_BATCH\n", "unknown ending"},
+		"unknown ending": {"FRAME 1\nPROBE_RESULT node/1 7 SO 1 -\nEOF_BATCH\n", "unknown result code"},
 	} {
 		d := NewDecoder(strings.NewReader(c.in))
 		var err error
