--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -10,8 +10,8 @@
 //
 // The API serves only programs on the same machine: it listens on a loopback address and
 // rejects requests from pages in a browser. It accepts at most mostConns connections,
-// bounded bodies and bounded waits for clients, so it takes few resources from the
-// customers' side. The edge node also works while the address is unavailable.
+// bounded bodies and bounded waits for clients, so it leaves almost all resources to the
+// edge node's other work. The edge node also works while the address is unavailable.
 package admin
 
 import (
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -71,8 +71,7 @@
 		former = append(former, formerEnv)
 	}
 	if len(former) > 0 {
-		c.Warnings = append(c.Warnings, fmt.Sprintf(
-			"%s: ignored; this program reads the object %q and variables that begin with VALVERING_",
+		c.Warnings = append(c.Warnings, fmt.Sprintf("%s: ignored; use fields of the object %q and VALVERING_ variables",
 			strings.Join(former, ", "), ownObject))
 	}
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -111,11 +111,8 @@
 // Gone is the state of a server that was removed from the list.
 const Gone = "DELETED"
 
-var states = map[string]policy.State{
-	"SERVING":  policy.Running,
-	"DRAINING": policy.Draining,
-	Gone:       policy.Removed,
-}
+var states = map[string]policy.State{"SERVING": policy.Running, "DRAINING": policy.Draining,
+	Gone: policy.Removed}
 
 // ID returns the server's ID. It depends on the uid alone, since messages between
 // edge nodes refer to servers by their IDs.
