--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -9,7 +9,7 @@
 //	POST /stay      cancels a shutdown
 //
 // The API serves only programs on the same machine: it listens on a loopback address and
-// rejects requests from pages in a browser. It accepts at most mostConns connections,
+// rejects requests from pages in a browser. It accepts at most maxConns connections,
 // bounded bodies and bounded waits for clients, so it leaves almost all resources to the
 // edge node's other work. The edge node also works while the address is unavailable.
 package admin
@@ -32,8 +32,8 @@
 )
 
 const (
-	mostConns = 4       // these use file descriptors that clients and servers leave free
-	mostHead  = 8 << 10 // bytes
+	maxConns       = 4       // these use file descriptors that clients and servers leave free
+	maxHeaderBytes = 8 << 10 // bytes
 
 	headTimeout   = 2 * time.Second
 	bodyTimeout   = 10 * time.Second
@@ -42,8 +42,8 @@
 	retryEvery = time.Second // between attempts to listen on an address in use
 )
 
-// Operated is the edge node behind the API.
-type Operated interface {
+// EdgeNode is the edge node behind the API.
+type EdgeNode interface {
 	Status() node.Status
 	Check(raw []byte) error
 	Apply(ctx context.Context) error
@@ -60,13 +60,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	return &few{Listener: ln, places: make(chan struct{}, mostConns)}, nil
+	return &limitedListener{Listener: ln, slots: make(chan struct{}, maxConns)}, nil
 }
 
 // Open serves the API at addr in the background until ctx is done. If the address is
 // unavailable, Open retries until it can listen there, since the edge node must serve
 // its clients regardless.
-func Open(ctx context.Context, addr netip.AddrPort, o Operated) {
+func Open(ctx context.Context, addr netip.AddrPort, o EdgeNode) {
 	ln, err := Listen(addr)
 	if err != nil {
 		slog.Error("operators' address is unavailable; retrying", "err", err)
@@ -86,9 +86,9 @@
 }
 
 // Serve serves the API until ctx is done.
-func Serve(ctx context.Context, ln net.Listener, o Operated) error {
+func Serve(ctx context.Context, ln net.Listener, o EdgeNode) error {
 	s := &http.Server{Handler: handler(o), ReadHeaderTimeout: headTimeout, ReadTimeout: bodyTimeout,
-		WriteTimeout: answerTimeout, IdleTimeout: headTimeout, MaxHeaderBytes: mostHead,
+		WriteTimeout: answerTimeout, IdleTimeout: headTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn)}
 	stop := context.AfterFunc(ctx, func() { s.Close() })
 	defer stop()
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func handler(o Operated) http.Handler {
+func handler(o EdgeNode) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
 		reply(w, http.StatusOK, statusOf(o.Status()))
@@ -119,7 +119,7 @@
 		fail(w, http.StatusNotFound, fmt.Errorf("no duty %q", name))
 	})
 	mux.HandleFunc("POST /check", func(w http.ResponseWriter, r *http.Request) {
-		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, config.MostBytes))
+		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxFileBytes))
 		if err != nil {
 			fail(w, http.StatusRequestEntityTooLarge, err)
 			return
@@ -148,7 +148,7 @@
 	mux.HandleFunc("POST /rollback", change("rollback", o.RollBack))
 	mux.HandleFunc("POST /stay", change("stay", o.Stay))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := local(r); err != nil {
+		if err := checkLocal(r); err != nil {
 			fail(w, http.StatusForbidden, err)
 			return
 		}
@@ -156,10 +156,10 @@
 	})
 }
 
-// local returns an error for a request that doesn't come from a program on this machine.
+// checkLocal returns an error for a request that doesn't come from a program on this machine.
 // A web page in a local browser can also send requests, for example under a host name
 // that resolves to this address (DNS rebinding).
-func local(r *http.Request) error {
+func checkLocal(r *http.Request) error {
 	if from, err := netip.ParseAddrPort(r.RemoteAddr); err != nil || !from.Addr().Unmap().IsLoopback() {
 		return errors.New("only for programs on this machine")
 	}
@@ -178,17 +178,17 @@
 
 // status is the body of /status.
 type status struct {
-	Name       string      `json:"name"`
-	Ready      bool        `json:"ready"`
-	Phase      string      `json:"phase"` // of a shutdown
-	Generation generation  `json:"generation"`
-	Before     *generation `json:"before"`
-	Refused    *refusal    `json:"refused"`
-	Snapshots  *snapshots  `json:"snapshots"` // null: snapshots are disabled
-	Duties     []duty      `json:"duties,omitempty"`
-	Loop       loopLag     `json:"loop"`
-	Left       leavers     `json:"clients_left"`
-	Stray      unsolicited `json:"unsolicited_bytes"`
+	Name        string      `json:"name"`
+	Ready       bool        `json:"ready"`
+	Phase       string      `json:"phase"` // of a shutdown
+	Generation  generation  `json:"generation"`
+	Before      *generation `json:"before"`
+	Refused     *refusal    `json:"refused"`
+	Snapshots   *snapshots  `json:"snapshots"` // null: snapshots are disabled
+	Duties      []duty      `json:"duties,omitempty"`
+	Loop        loopLag     `json:"loop"`
+	Disconnects disconnects `json:"clients_left"`
+	Unsolicited unsolicited `json:"unsolicited_bytes"`
 }
 
 // unsolicited counts connections to servers that were closed because of bytes without a
@@ -200,10 +200,10 @@
 	Unchecked int64 `json:"unchecked_answers"`
 }
 
-// leavers counts requests whose client disconnected before their first attempt, by where
+// disconnects counts requests whose client disconnected before their first attempt, by where
 // that was detected. They were not sent to a server, except for Hidden: requests that
 // were sent although the client may have disconnected.
-type leavers struct {
+type disconnects struct {
 	Held    int64 `json:"held"`
 	Dialing int64 `json:"dialing"`
 	Writing int64 `json:"before_write"`
@@ -213,9 +213,9 @@
 // loopLag is the delay of the event loop in milliseconds. It grows while the loop is
 // blocked.
 type loopLag struct {
-	Now   float64 `json:"lag_ms"`
-	Worst float64 `json:"worst_lag_ms"` // over the last 30 to 60 seconds
-	Looks int64   `json:"looks"`        // heartbeats since the start; they stop while the loop is blocked
+	Now        float64 `json:"lag_ms"`
+	Worst      float64 `json:"worst_lag_ms"` // over the last 30 to 60 seconds
+	Heartbeats int64   `json:"looks"`        // heartbeats since the start; none while the loop is blocked
 }
 
 // duty is the state of a lease at this edge node.
@@ -263,18 +263,19 @@
 
 func statusOf(s node.Status) status {
 	out := status{Name: s.Name, Ready: s.Ready, Phase: s.Phase,
-		Generation: generation{s.Current.Number, s.Current.Digest, s.Current.Time},
-		Loop:       loopLag{milliseconds(s.Lag), milliseconds(s.MostLag), s.Looks},
-		Left:       leavers(s.Disconnects),
-		Stray:      unsolicited(s.Unsolicited)}
+		Generation:  generation{s.Current.Number, s.Current.Digest, s.Current.Time},
+		Loop:        loopLag{milliseconds(s.Lag), milliseconds(s.MostLag), s.Looks},
+		Disconnects: disconnects(s.Disconnects),
+		Unsolicited: unsolicited(s.Unsolicited)}
 	if s.Before != nil {
 		out.Before = &generation{s.Before.Number, s.Before.Digest, s.Before.Time}
 	}
 	for _, d := range s.Duties {
 		out.Duties = append(out.Duties, dutyOf(d))
 	}
-	if k := s.Keeping; k != nil {
-		out.Snapshots = &snapshots{k.Written, k.Failed, k.Dropped, k.Bytes, k.Last, k.Error}
+	if counts := s.Keeping; counts != nil {
+		out.Snapshots = &snapshots{counts.Written, counts.Failed, counts.Dropped, counts.Bytes,
+			counts.Last, counts.Error}
 	}
 	if s.Refused != nil {
 		out.Refused = &refusal{s.Refused.Digest, s.Refused.Time, problemOf(s.Refused.Err)}
@@ -300,30 +301,30 @@
 	_ = enc.Encode(v) // fails only if the client has disconnected
 }
 
-// few limits the number of open connections. Accept waits for a free place.
-type few struct {
+// limitedListener limits the number of open connections. Accept waits for a free slot.
+type limitedListener struct {
 	net.Listener
-	places chan struct{}
+	slots chan struct{}
 }
 
-func (f *few) Accept() (net.Conn, error) {
-	f.places <- struct{}{}
+func (f *limitedListener) Accept() (net.Conn, error) {
+	f.slots <- struct{}{}
 	c, err := f.Listener.Accept()
 	if err != nil {
-		<-f.places
+		<-f.slots
 		return nil, err
 	}
-	return &placed{Conn: c, free: func() { <-f.places }}, nil
+	return &limitedConn{Conn: c, release: func() { <-f.slots }}, nil
 }
 
-// placed is a connection that frees its place when it is closed.
-type placed struct {
+// limitedConn is a connection that frees its slot when it is closed.
+type limitedConn struct {
 	net.Conn
-	once sync.Once
-	free func()
+	once    sync.Once
+	release func()
 }
 
-func (p *placed) Close() error {
-	p.once.Do(p.free)
+func (p *limitedConn) Close() error {
+	p.once.Do(p.release)
 	return p.Conn.Close()
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -16,34 +16,34 @@
 	"valvering.example/valvering/internal/testkit"
 )
 
-// operated is a fake edge node with preset results.
-type operated struct {
+// fakeNode is a fake edge node with preset results.
+type fakeNode struct {
 	status node.Status
 	err    error
-	did    []string
+	calls  []string
 }
 
-func (o *operated) Status() node.Status { return o.status }
-func (o *operated) Check(raw []byte) error {
-	o.did = append(o.did, "check "+string(raw))
+func (o *fakeNode) Status() node.Status { return o.status }
+func (o *fakeNode) Check(raw []byte) error {
+	o.calls = append(o.calls, "check "+string(raw))
 	return o.err
 }
-func (o *operated) Apply(context.Context) error {
-	o.did = append(o.did, "apply")
+func (o *fakeNode) Apply(context.Context) error {
+	o.calls = append(o.calls, "apply")
 	return o.err
 }
-func (o *operated) Stay(context.Context) error {
-	o.did = append(o.did, "stay")
+func (o *fakeNode) Stay(context.Context) error {
+	o.calls = append(o.calls, "stay")
 	return o.err
 }
-func (o *operated) RollBack(context.Context) error {
-	o.did = append(o.did, "rollback")
+func (o *fakeNode) RollBack(context.Context) error {
+	o.calls = append(o.calls, "rollback")
 	return o.err
 }
 
-func newDoor(t *testing.T) (*operated, string) {
+func startAPI(t *testing.T) (*fakeNode, string) {
 	t.Helper()
-	o := &operated{status: node.Status{Name: "n3", Ready: true, Phase: "serving",
+	o := &fakeNode{status: node.Status{Name: "n3", Ready: true, Phase: "serving",
 		Current: &config.Generation{Number: 4, Digest: "d4", Time: time.Unix(4, 0)},
 		Before:  &config.Generation{Number: 3, Digest: "d3", Time: time.Unix(3, 0)},
 		Refused: &config.Refusal{Digest: "d5", Time: time.Unix(5, 0), Err: config.Faults{{Field: "listen", What: "no port"}}}}}
@@ -89,23 +89,24 @@
 }
 
 func TestStatus(t *testing.T) {
-	_, url := newDoor(t)
+	_, url := startAPI(t)
 	code, body := call(t, "GET", url+"/status", "", nil)
 	var s status
 	if err := json.Unmarshal([]byte(body), &s); err != nil || code != 200 {
 		t.Fatal(code, body, err)
 	}
-	if s.Stray != (unsolicited{5, 6, 7, 8}) || !strings.Contains(body, `"unsolicited_bytes"`) {
-		t.Errorf("unsolicited bytes: %+v in %s", s.Stray, body)
+	if s.Unsolicited != (unsolicited{5, 6, 7, 8}) || !strings.Contains(body, `"unsolicited_bytes"`) {
+		t.Errorf("unsolicited bytes: %+v in %s", s.Unsolicited, body)
 	}
 	if s.Name != "n3" || !s.Ready || s.Generation.Number != 4 || s.Before.Digest != "d3" || s.Refused.Digest != "d5" ||
-		s.Loop != (loopLag{1.5, 2000, 7}) || s.Left != (leavers{1, 2, 3, 4}) || len(s.Refused.Faults) != 1 || s.Refused.Faults[0].Field != "listen" {
+		s.Loop != (loopLag{1.5, 2000, 7}) || s.Disconnects != (disconnects{1, 2, 3, 4}) ||
+		len(s.Refused.Faults) != 1 || s.Refused.Faults[0].Field != "listen" {
 		t.Errorf("%s", body)
 	}
 }
 
 func TestDuty(t *testing.T) {
-	o, url := newDoor(t)
+	o, url := startAPI(t)
 	o.status.Duties = []node.DutyStatus{{Name: "here", Voter: true, Token: 9, Holder: 3}, {Name: "there", Voter: true, Holder: 4},
 		{Name: "unknown", Holder: -1}}
 	for name, want := range map[string]struct {
@@ -119,7 +120,7 @@
 }
 
 func TestCommands(t *testing.T) {
-	o, url := newDoor(t)
+	o, url := startAPI(t)
 	for _, c := range []struct {
 		method, path string
 		err          error
@@ -140,17 +141,17 @@
 		{"GET", "/rollback", nil, 405, "", ""},
 		{"GET", "/", nil, 404, "", ""},
 	} {
-		o.err, o.did = c.err, nil
+		o.err, o.calls = c.err, nil
 		code, body := call(t, c.method, url+c.path, "{}", nil)
-		if code != c.code || strings.Join(o.did, ",") != c.did || !strings.Contains(body, c.body) {
-			t.Errorf("%s %s: %d %v %s", c.method, c.path, code, o.did, body)
+		if code != c.code || strings.Join(o.calls, ",") != c.did || !strings.Contains(body, c.body) {
+			t.Errorf("%s %s: %d %v %s", c.method, c.path, code, o.calls, body)
 		}
 	}
 }
 
 // Requests that don't come from a program on this machine are rejected.
-func TestOthersAreRefused(t *testing.T) {
-	o, url := newDoor(t)
+func TestNonLocalRequestsAreRejected(t *testing.T) {
+	o, url := startAPI(t)
 	for why, change := range map[string]func(*http.Request){
 		"a name led here":   func(r *http.Request) { r.Host = "evil.example" },
 		"another's address": func(r *http.Request) { r.Host = "10.0.0.1:80" },
@@ -158,17 +159,17 @@
 		"a page's form":     func(r *http.Request) { r.Header.Set("Sec-Fetch-Site", "cross-site") },
 	} {
 		for _, path := range []string{"/rollback", "/apply", "/check"} {
-			if code, _ := call(t, "POST", url+path, "{}", change); code != 403 || len(o.did) > 0 {
-				t.Errorf("%s: %d, did %v", why, code, o.did)
+			if code, _ := call(t, "POST", url+path, "{}", change); code != 403 || len(o.calls) > 0 {
+				t.Errorf("%s: %d, did %v", why, code, o.calls)
 			}
 		}
 	}
 	r := &http.Request{RemoteAddr: "10.1.2.3:4", Host: "127.0.0.1"}
-	if local(r) == nil {
+	if checkLocal(r) == nil {
 		t.Error("a remote address was accepted")
 	}
 	for _, host := range []string{"localhost:1", "127.0.0.1", "[::1]:80", "127.8.0.3:1"} {
-		if err := local(&http.Request{RemoteAddr: "127.0.0.1:4", Host: host}); err != nil {
+		if err := checkLocal(&http.Request{RemoteAddr: "127.0.0.1:4", Host: host}); err != nil {
 			t.Error(err)
 		}
 	}
@@ -181,7 +182,7 @@
 }
 
 // If the address is in use at first, Open listens on it once it is free.
-func TestAddressTakenAtFirst(t *testing.T) {
+func TestAddressInUse(t *testing.T) {
 	addr := testkit.FreeAddr(t)
 	other, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -189,7 +190,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	o := &operated{status: node.Status{Current: &config.Generation{}}}
+	o := &fakeNode{status: node.Status{Current: &config.Generation{}}}
 	Open(ctx, netip.MustParseAddrPort(addr), o)
 	other.Close()
 	testkit.Eventually(t, "the operators' listener", func() bool {
@@ -204,8 +205,8 @@
 
 // Idle connections use few descriptors and are closed after a time-out, so others get through.
 func TestSilentConnections(t *testing.T) {
-	_, url := newDoor(t)
-	for range 3 * mostConns {
+	_, url := startAPI(t)
+	for range 3 * maxConns {
 		c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -218,9 +219,9 @@
 }
 
 func TestOversizeBody(t *testing.T) {
-	o, url := newDoor(t)
-	code, body := call(t, "POST", url+"/check", strings.Repeat(" ", config.MostBytes+1), nil)
-	if code != 413 || len(o.did) > 0 {
+	o, url := startAPI(t)
+	code, body := call(t, "POST", url+"/check", strings.Repeat(" ", config.MaxFileBytes+1), nil)
+	if code != 413 || len(o.calls) > 0 {
 		t.Errorf("%d %s", code, body)
 	}
 	var e problem
--- a/internal/bounded/bounded.go
+++ b/internal/bounded/bounded.go
@@ -26,7 +26,7 @@
 	case r := <-done:
 		return r.value, r.err
 	case <-time.After(d):
-		var none T
-		return none, ErrLate
+		var zero T
+		return zero, ErrLate
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,9 +26,9 @@
 const testFile = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peer_listen":"127.0.0.1:0","peers":["127.0.0.1:5"],
  "seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"new_field":{"of":"the platform"},"settings":` + testSettings + `}`
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
-func parse(text string) (*File, error) { return Source{none}.Parse([]byte(text)) }
+func parse(text string) (*File, error) { return Source{noEnv}.Parse([]byte(text)) }
 
 // Each fault names its field, and Parse reports all faults at once.
 func TestFaults(t *testing.T) {
@@ -88,8 +88,9 @@
 			t.Errorf("%s: %v", c.field, err)
 		}
 	}
-	twice := strings.Replace(testFile, `["127.0.0.1:5"]`, `["127.0.0.1:5","127.0.0.1:5"]`, 1)
-	if _, err := parse(twice); err == nil || !strings.Contains(err.Error(), "peers[1]: 127.0.0.1:5 is a duplicate") {
+	duplicate := strings.Replace(testFile, `["127.0.0.1:5"]`, `["127.0.0.1:5","127.0.0.1:5"]`, 1)
+	if _, err := parse(duplicate); err == nil ||
+		!strings.Contains(err.Error(), "peers[1]: 127.0.0.1:5 is a duplicate") {
 		t.Errorf("%v, want a fault of peers[1]", err)
 	}
 	all := strings.NewReplacer(`"listen":"127.0.0.1:0"`, `"listen":"here"`, `"sockets":1024`, `"sockets":3`,
@@ -112,8 +113,8 @@
 	"Sockets", "MEMORY_MB", "Me", "Balancers", "UID", "Endpoint", "State", "BOOT_MS", "Rev", "All", "Targets", "", ".", "a.b", "me=7",
 	"me", "caps.max_attempts", "classes.0.aim_ms", "classes.count", "plans.0.rate", "0", "count", "x y", "\u00e9", "__proto__"}
 
-// anything returns a random JSON value.
-func anything(rng *rand.Rand, deep int) any {
+// randomValue returns a random JSON value.
+func randomValue(rng *rand.Rand, deep int) any {
 	switch rng.IntN(9 - deep) {
 	case 0:
 		return nil
@@ -128,31 +129,32 @@
 	case 5:
 		return []any{"nightly", "a"}
 	case 6:
-		return []any{anything(rng, deep+1), anything(rng, deep+1)}
+		return []any{randomValue(rng, deep+1), randomValue(rng, deep+1)}
 	}
 	if deep == 2 {
 		return 7
 	}
-	return map[string]any{foreign[rng.IntN(len(foreign))]: anything(rng, deep+1), "listen": anything(rng, deep+1)}
+	return map[string]any{foreign[rng.IntN(len(foreign))]: randomValue(rng, deep+1),
+		"listen": randomValue(rng, deep+1)}
 }
 
-// add adds random fields with unused names to all objects in a value. The name "me" is
+// addUnknownFields adds random fields with unused names to all objects in a value. The name "me" is
 // unused everywhere but in the settings.
-func add(rng *rand.Rand, v any, at string) {
+func addUnknownFields(rng *rand.Rand, v any, at string) {
 	switch v := v.(type) {
 	case map[string]any:
 		for _, k := range slices.Sorted(maps.Keys(v)) { // sorted, so that a seed always gives the same file
-			add(rng, v[k], at+"/"+k)
+			addUnknownFields(rng, v[k], at+"/"+k)
 		}
 		for range rng.IntN(3) {
 			name := foreign[rng.IntN(len(foreign))]
 			if _, read := v[name]; !read && (name != "me" || at != "/settings") {
-				v[name] = anything(rng, 0)
+				v[name] = randomValue(rng, 0)
 			}
 		}
 	case []any:
 		for _, e := range v {
-			add(rng, e, at)
+			addUnknownFields(rng, e, at)
 		}
 	}
 }
@@ -176,7 +178,7 @@
 		}
 		own := v["valvering"]
 		delete(v, "valvering") // the platform adds nothing to this program's object
-		add(rng, v, "")
+		addUnknownFields(rng, v, "")
 		v["valvering"] = own
 		raw, err := json.Marshal(v)
 		if err != nil {
@@ -186,7 +188,7 @@
 			if !strings.HasPrefix(key, "GW_") || slices.Contains([]string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY"}, key) {
 				return ""
 			}
-			return fmt.Sprint(anything(rng, 0)) // the platform may set any other variable
+			return fmt.Sprint(randomValue(rng, 0)) // the platform may set any other variable
 		}}.Parse(raw)
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, raw)
@@ -229,7 +231,7 @@
 
 // An invalid list of known servers must not prevent a start, since discovery provides
 // the current list.
-func TestKnownListIsNoSetting(t *testing.T) {
+func TestInvalidKnownListIsWarning(t *testing.T) {
 	for known, want := range map[string]int{`null`: 0, `{"rev":3,"targets":[]}`: 0, `7`: 1,
 		`{"targets":[{"uid":"s-1","state":"DELETED"},{"uid":"s-1","state":"DELETED"}]}`: 1,
 		`{"targets":[{"uid":"s-1","state":"ASLEEP"}]}`:                                  1, `{"targets":[{"uid":"s-1","state":"DELETED"},{}]}`: 1} {
@@ -246,7 +248,7 @@
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, err := readWithin(path, time.Millisecond)
+	_, err := readWithTimeout(path, time.Millisecond)
 	var faults Faults
 	if !errors.As(err, &faults) || faults[0].Field != "file" || errors.Is(err, ErrUnreadable) {
 		t.Errorf("%v", err)
@@ -258,17 +260,17 @@
 	w.Close()
 }
 
-// bench is a History with its file and clock.
-type bench struct {
+// testHistory is a History with its file and clock.
+type testHistory struct {
 	*History
 	t    *testing.T
 	path string
 	now  time.Time
 }
 
-func newBench(t *testing.T) *bench {
+func newTestHistory(t *testing.T) *testHistory {
 	t.Helper()
-	b := &bench{t: t, path: filepath.Join(t.TempDir(), "config.json"), now: time.Unix(1e9, 0)}
+	b := &testHistory{t: t, path: filepath.Join(t.TempDir(), "config.json"), now: time.Unix(1e9, 0)}
 	b.write(testFile)
 	h, err := Start(Source{func(key string) string { return map[string]string{"GW_CONFIG": b.path}[key] }}.Load(), b.now)
 	if err != nil {
@@ -278,7 +280,7 @@
 	return b
 }
 
-func (b *bench) write(text string) {
+func (b *testHistory) write(text string) {
 	b.t.Helper()
 	if err := os.WriteFile(b.path, []byte(text), 0o600); err != nil {
 		b.t.Fatal(err)
@@ -286,7 +288,7 @@
 }
 
 // offer writes a changed file, offers it and accepts it if it is valid.
-func (b *bench) offer(from, to string) error {
+func (b *testHistory) offer(from, to string) error {
 	b.t.Helper()
 	b.write(strings.Replace(testFile, from, to, 1))
 	b.now = b.now.Add(time.Second)
@@ -298,8 +300,8 @@
 }
 
 // A rejected file between two valid ones changes nothing, and Refused returns it.
-func TestRefusedBetweenGood(t *testing.T) {
-	b := newBench(t)
+func TestRejectedFileBetweenValidOnes(t *testing.T) {
+	b := newTestHistory(t)
 	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:2"`); err != nil {
 		t.Fatal(err)
 	}
@@ -315,7 +317,7 @@
 
 // A file that changes a fixed field is rejected as a whole, and the fault names the field.
 func TestFixedFields(t *testing.T) {
-	b := newBench(t)
+	b := newTestHistory(t)
 	for _, c := range []struct{ field, from, to string }{
 		{"name", `"name":"n0"`, `"name":"n1"`},
 		{"listen", `"listen":"127.0.0.1:0"`, `"listen":"127.0.0.1:9"`},
@@ -349,7 +351,7 @@
 // A second rollback in a row is rejected. The file that was rolled back from is put in
 // force again by an operator's command or once it has changed, but not by a signal.
 func TestRollBack(t *testing.T) {
-	b := newBench(t)
+	b := newTestHistory(t)
 	if _, err := b.Back(b.now); !errors.Is(err, ErrNoneBefore) {
 		t.Errorf("%v with one generation", err)
 	}
@@ -383,7 +385,7 @@
 
 // A proposed generation is not in force until it is accepted.
 func TestProposedIsNotInForce(t *testing.T) {
-	b := newBench(t)
+	b := newTestHistory(t)
 	b.write(strings.Replace(testFile, `"127.0.0.1:1"`, `"127.0.0.1:2"`, 1))
 	if _, err := b.Offer(b.now, false); err != nil || b.Current().Number != 1 || b.Before() != nil {
 		t.Error(err, b.Current())
@@ -397,12 +399,13 @@
 	f.Add([]byte(`{"settings":{"classes":[{"name":1e999}],"plans":{"count":1e18}}}`))
 	f.Add([]byte(`{"limits":{"sockets":1e40},"peers":[null],"known":{"targets":[{}]}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, err := Source{none}.Parse(data)
+		c, err := Source{noEnv}.Parse(data)
 		var faults Faults
 		if err != nil && !errors.Is(err, ErrUnreadable) && (!errors.As(err, &faults) || len(faults) == 0) {
 			t.Fatalf("%T %v", err, err)
 		}
-		if err == nil && (c == nil || fixed(c, c) != nil || fmt.Sprint(c.Settings.Classes) == "[]") {
+		if err == nil && (c == nil || fixedFieldFaults(c, c) != nil ||
+			fmt.Sprint(c.Settings.Classes) == "[]") {
 			t.Fatalf("accepted as %+v", c)
 		}
 	})
@@ -425,7 +428,7 @@
 		left            string
 		number          uint64 // in force; 0: the start fails
 		port            string // of discovery
-		back            uint64 // previous generation; 0: none
+		previous        uint64 // previous generation; 0: none
 		refused         bool
 		notes           int
 	}{
@@ -452,14 +455,14 @@
 		if err != nil {
 			continue
 		}
-		back := uint64(0)
+		previous := uint64(0)
 		if h.Before() != nil {
-			back = h.Before().Number
+			previous = h.Before().Number
 		}
-		if h.Current().Number != c.number || h.Current().File.Discovery != "127.0.0.1:"+c.port || back != c.back ||
-			(h.Refused() != nil) != c.refused || len(notes) != c.notes {
+		if h.Current().Number != c.number || h.Current().File.Discovery != "127.0.0.1:"+c.port ||
+			previous != c.previous || (h.Refused() != nil) != c.refused || len(notes) != c.notes {
 			t.Errorf("%s: generation %d, %s, back to %d, refused %v, %v", c.name, h.Current().Number, h.Current().File.Discovery,
-				back, h.Refused(), notes)
+				previous, h.Refused(), notes)
 		}
 	}
 }
@@ -467,7 +470,7 @@
 // A rollback is rejected if the previous generation is from before a restart and differs
 // in a fixed field.
 func TestRollBackOverRestart(t *testing.T) {
-	b := newBench(t)
+	b := newTestHistory(t)
 	other := strings.Replace(testFile, `["127.0.0.1:5"]`, `["127.0.0.1:6"]`, 1)
 	h, _, err := Resume(Source{func(key string) string { return map[string]string{"GW_CONFIG": b.path}[key] }}.Load(),
 		Kept{1, DigestOf([]byte(other)), b.now, []byte(other)}, Kept{}, "", b.now)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -5,7 +5,7 @@
 // all faults, each of which names its field. A valid file becomes a Generation,
 // which is immutable. History holds the generation in force and the previous one.
 // It rejects a file that has a fault or changes a field that is fixed until a
-// restart, and the generation in force stays. A file may have at most MostBytes.
+// restart, and the generation in force stays. A file may have at most MaxFileBytes.
 // The package opens no sockets.
 package config
 
@@ -57,20 +57,20 @@
 
 const (
 	// Values of fields that the file leaves out.
-	defaultDial    = 250 * time.Millisecond
-	defaultIdle    = 15 * time.Second
-	defaultSockets = 1024
+	defaultDialTimeout = 250 * time.Millisecond
+	defaultConnIdle    = 15 * time.Second
+	defaultSockets     = 1024
 
 	// Ranges.
-	leastSockets = 64
-	mostSockets  = 1 << 20
-	mostMemoryMB = 1 << 24
-	mostGateways = 1 << 15 // messages number edge nodes in 16 bits
+	minSockets   = 64
+	maxSockets   = 1 << 20
+	maxMemoryMB  = 1 << 24
+	maxEdgeNodes = 1 << 15 // messages number edge nodes in 16 bits
 )
 
-// MostBytes is the size limit of a configuration file. A list of 10,000 servers
+// MaxFileBytes is the size limit of a configuration file. A list of 10,000 servers
 // takes 2 MB.
-const MostBytes = 16 << 20
+const MaxFileBytes = 16 << 20
 
 // Fault describes what is wrong with one field.
 type Fault struct {
@@ -109,14 +109,14 @@
 	return ReadFile(s.Path())
 }
 
-// readWait limits the time for reading a file: a disk may hang, and the file may be
+// readTimeout limits the time for reading a file: a disk may hang, and the file may be
 // a pipe without a writer.
-const readWait = 10 * time.Second
+const readTimeout = 10 * time.Second
 
 // ReadFile reads a configuration file within limits of size and time.
-func ReadFile(path string) ([]byte, error) { return readWithin(path, readWait) }
+func ReadFile(path string) ([]byte, error) { return readWithTimeout(path, readTimeout) }
 
-func readWithin(path string, wait time.Duration) ([]byte, error) {
+func readWithTimeout(path string, wait time.Duration) ([]byte, error) {
 	data, err := bounded.Do(wait, func() ([]byte, error) { return readAll(path) })
 	if errors.Is(err, bounded.ErrLate) {
 		return nil, Faults{{"file", fmt.Sprintf("reading did not finish within %v", wait)}}
@@ -130,12 +130,12 @@
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, MostBytes+1))
+	data, err := io.ReadAll(io.LimitReader(f, MaxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
-	if len(data) > MostBytes {
-		return nil, Faults{{"file", fmt.Sprintf("larger than %d bytes", MostBytes)}}
+	if len(data) > MaxFileBytes {
+		return nil, Faults{{"file", fmt.Sprintf("larger than %d bytes", MaxFileBytes)}}
 	}
 	return data, nil
 }
@@ -156,7 +156,7 @@
 
 // parser decodes a JSON object and collects its faults.
 type parser struct {
-	top    rawFields
+	fields rawFields
 	faults Faults
 }
 
@@ -164,7 +164,7 @@
 	p.faults = append(p.faults, Fault{field, fmt.Sprintf(format, args...)})
 }
 
-func (p *parser) need(ok bool, field, format string, args ...any) {
+func (p *parser) require(ok bool, field, format string, args ...any) {
 	if !ok {
 		p.fault(field, format, args...)
 	}
@@ -172,15 +172,15 @@
 
 // field decodes one field. An absent or null field leaves the target unchanged.
 func (p *parser) field(name string, to any) bool {
-	raw := p.top[name]
+	raw := p.fields[name]
 	if len(raw) == 0 {
 		return true
 	}
 	if err := json.Unmarshal(raw, to); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			name = strings.TrimSuffix(name+"."+kind.Field, ".")
-			p.fault(name, "unexpected JSON %s", kind.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			name = strings.TrimSuffix(name+"."+typeErr.Field, ".")
+			p.fault(name, "unexpected JSON %s", typeErr.Value)
 		} else {
 			p.fault(name, "%v", err)
 		}
@@ -189,17 +189,17 @@
 	return true
 }
 
-// within returns a parser for the object in a field. It decodes into a map because
+// object returns a parser for the object in a field. It decodes into a map because
 // the standard decoder matches the names of struct fields regardless of case.
-func (p *parser) within(name string) *parser {
-	in := &parser{}
-	p.field(name, &in.top)
-	return in
+func (p *parser) object(name string) *parser {
+	nested := &parser{}
+	p.field(name, &nested.fields)
+	return nested
 }
 
-// take adds the faults of a nested parser under the name of its field.
-func (p *parser) take(in *parser, name string) {
-	for _, f := range in.faults {
+// addFaults adds the faults of a nested parser under the name of its field.
+func (p *parser) addFaults(nested *parser, name string) {
+	for _, f := range nested.faults {
 		p.fault(name+"."+f.Field, "%s", f.What)
 	}
 }
@@ -209,7 +209,7 @@
 // data isn't a JSON object, and Faults otherwise.
 func (s Source) Parse(data []byte) (*File, error) {
 	p := &parser{}
-	if err := json.Unmarshal(data, &p.top); err != nil || p.top == nil {
+	if err := json.Unmarshal(data, &p.fields); err != nil || p.fields == nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, cmp.Or(err, errors.New("the value is null")))
 	}
 	c := p.file(s.Getenv)
@@ -235,24 +235,24 @@
 			*f.to = getenv(f.env)
 		}
 	}
-	var seed, all string
+	var seed, peersAll string
 	var peers []string
-	limits := p.within("limits")
+	limits := p.object("limits")
 	var memory, sockets float64
 	p.field("seed", &seed)
 	p.field("peers", &peers)
-	p.field("peers_all", &all)
+	p.field("peers_all", &peersAll)
 	limits.field("memory_mb", &memory)
 	limits.field("sockets", &sockets)
-	p.take(limits, "limits")
-	c.Seed = seedOf(seed)
+	p.addFaults(limits, "limits")
+	c.Seed = parseSeed(seed)
 
-	p.need(memory >= 0 && memory <= mostMemoryMB, "limits.memory_mb", "%g is out of range", memory)
+	p.require(memory >= 0 && memory <= maxMemoryMB, "limits.memory_mb", "%g is out of range", memory)
 	if sockets == 0 {
 		sockets = defaultSockets
 	}
-	p.need(sockets >= leastSockets && sockets <= mostSockets, "limits.sockets", "%g is not from %d to %d",
-		sockets, leastSockets, mostSockets)
+	p.require(sockets >= minSockets && sockets <= maxSockets, "limits.sockets", "%g is not from %d to %d",
+		sockets, minSockets, maxSockets)
 	if len(p.faults) == 0 {
 		c.MemoryMB, c.Sockets = int(memory), int(sockets)
 	}
@@ -261,19 +261,19 @@
 			p.fault(a[0], "%v", err)
 		}
 	}
-	p.known(c)
-	settled := p.settings(c)
-	if settled {
-		p.peers(c, peers, all)
+	p.knownList(c)
+	settingsValid := p.settings(c)
+	if settingsValid {
+		p.peerAddresses(c, peers, peersAll)
 	}
-	p.own(c, getenv, !settled || c.Settings.CanTell)
+	p.ownFields(c, getenv, !settingsValid || c.Settings.CanTell)
 	return c
 }
 
-// known decodes the list of known servers. An invalid list is only a warning, since
+// knownList decodes the list of known servers. An invalid list is only a warning, since
 // discovery provides the current one.
-func (p *parser) known(c *File) {
-	raw, have := p.top["known"]
+func (p *parser) knownList(c *File) {
+	raw, have := p.fields["known"]
 	if !have {
 		return
 	}
@@ -294,7 +294,7 @@
 
 // settings decodes the platform's settings and ignores unknown ones.
 func (p *parser) settings(c *File) bool {
-	raw, have := p.top["settings"]
+	raw, have := p.fields["settings"]
 	if !have {
 		p.fault("settings", "none")
 		return false
@@ -306,28 +306,28 @@
 	}
 	before := len(p.faults)
 	c.Settings, err = facts.Settings()
-	p.joined(err)
+	p.settingsErrors(err)
 	for _, d := range []struct {
 		key string
 		to  *time.Duration
 		def time.Duration
 	}{
-		{"caps.dial_timeout_ms", &c.DialTimeout, defaultDial},
-		{"caps.conn_idle_ms", &c.ConnIdle, defaultIdle},
+		{"caps.dial_timeout_ms", &c.DialTimeout, defaultDialTimeout},
+		{"caps.conn_idle_ms", &c.ConnIdle, defaultConnIdle},
 		{"rules.drain_grace_ms", &c.DrainGrace, 0},
 	} {
 		v, err := facts.Duration(d.key)
-		p.joined(err)
+		p.settingsErrors(err)
 		*d.to = cmp.Or(v, d.def)
 	}
 	if len(p.faults) == before {
-		p.tables(&c.Settings)
+		p.checkSettings(&c.Settings)
 	}
 	return len(p.faults) == before
 }
 
-// joined adds the errors in err, each of which begins with its key, as faults.
-func (p *parser) joined(err error) {
+// settingsErrors adds the errors in err, each of which begins with its key, as faults.
+func (p *parser) settingsErrors(err error) {
 	if err == nil {
 		return
 	}
@@ -341,68 +341,68 @@
 	}
 }
 
-// tables checks the ranges of the settings.
-func (p *parser) tables(s *policy.Settings) {
-	p.need(s.Resolution > 0, "settings.tick_ms", "not above 0")
-	p.need(s.Gateways >= 1 && s.Gateways <= mostGateways, "settings.balancers", "%d is not from 1 to %d",
-		s.Gateways, mostGateways)
-	p.need(s.Me >= 0 && s.Me < max(1, s.Gateways), "settings.me", "%d is negative or not below balancers",
+// checkSettings checks the ranges of the settings.
+func (p *parser) checkSettings(s *policy.Settings) {
+	p.require(s.Resolution > 0, "settings.tick_ms", "not above 0")
+	p.require(s.Gateways >= 1 && s.Gateways <= maxEdgeNodes, "settings.balancers", "%d is not from 1 to %d",
+		s.Gateways, maxEdgeNodes)
+	p.require(s.Me >= 0 && s.Me < max(1, s.Gateways), "settings.me", "%d is negative or not below balancers",
 		s.Me)
-	p.need(s.DatagramsPerSecond >= 0, "settings.family_info.mail_per_s", "negative")
-	p.need(s.LargestUnits >= 0 && s.LargestUnits <= math.MaxUint16, "settings.family_info.largest",
+	p.require(s.DatagramsPerSecond >= 0, "settings.family_info.mail_per_s", "negative")
+	p.require(s.LargestUnits >= 0 && s.LargestUnits <= math.MaxUint16, "settings.family_info.largest",
 		"%g is out of range", s.LargestUnits)
-	p.need(s.MaxAttempts >= 0, "settings.caps.max_attempts", "negative")
-	p.need(s.ColdShare >= 0 && s.ColdShare <= 1, "settings.rules.cold_share", "%g is not from 0 to 1",
+	p.require(s.MaxAttempts >= 0, "settings.caps.max_attempts", "negative")
+	p.require(s.ColdShare >= 0 && s.ColdShare <= 1, "settings.rules.cold_share", "%g is not from 0 to 1",
 		s.ColdShare)
-	p.need(s.FallMultiple >= 0, "settings.rules.fall_multiple", "negative")
-	p.need(len(s.Classes) > 0, "settings.classes", "none")
-	p.need(len(s.Plans) > 0, "settings.plans", "none")
+	p.require(s.FallMultiple >= 0, "settings.rules.fall_multiple", "negative")
+	p.require(len(s.Classes) > 0, "settings.classes", "none")
+	p.require(len(s.Plans) > 0, "settings.plans", "none")
 	names := map[string]bool{}
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("settings.classes.%d.", i)
-		p.need(c.Name != "", at+"name", "empty")
-		p.need(!names[c.Name], at+"name", "%q is a duplicate", c.Name)
+		p.require(c.Name != "", at+"name", "empty")
+		p.require(!names[c.Name], at+"name", "%q is a duplicate", c.Name)
 		names[c.Name] = true
-		p.need(c.Aim > 0, at+"aim_ms", "not above 0")
-		p.need(c.Deadline > 0, at+"hard_limit_ms", "not above 0")
+		p.require(c.Aim > 0, at+"aim_ms", "not above 0")
+		p.require(c.Deadline > 0, at+"hard_limit_ms", "not above 0")
 	}
 	clear(names)
 	for i, q := range s.Plans {
 		at := fmt.Sprintf("settings.plans.%d.", i)
-		p.need(q.Name != "", at+"name", "empty")
-		p.need(!names[q.Name], at+"name", "%q is a duplicate", q.Name)
+		p.require(q.Name != "", at+"name", "empty")
+		p.require(!names[q.Name], at+"name", "%q is a duplicate", q.Name)
 		names[q.Name] = true
-		p.need(q.Open >= 0, at+"parallel", "negative")
+		p.require(q.Open >= 0, at+"parallel", "negative")
 		for _, f := range []struct {
 			key string
 			v   float64
 		}{{"rate", q.Rate}, {"store_size", q.Burst}, {"hard_rate", q.HardRate}, {"hard_burst", q.HardBurst},
 			{"beyond_earns", q.BeyondEarns}, {"beyond_costs", q.BeyondCosts}} {
-			p.need(f.v >= 0, at+f.key, "negative")
+			p.require(f.v >= 0, at+f.key, "negative")
 		}
-		p.need(q.Rate <= 0 || q.Burst > 0, at+"store_size", "not above 0, but the plan has a rate")
+		p.require(q.Rate <= 0 || q.Burst > 0, at+"store_size", "not above 0, but the plan has a rate")
 	}
 }
 
-// peers parses the addresses at which edge nodes receive messages from each other.
-func (p *parser) peers(c *File, list []string, all string) {
+// peerAddresses parses the addresses at which edge nodes receive messages from each other.
+func (p *parser) peerAddresses(c *File, list []string, peersAll string) {
 	if !c.Settings.CanTell {
 		return
 	}
-	first := make(map[netip.AddrPort]bool, len(list))
+	seen := make(map[netip.AddrPort]bool, len(list))
 	for i, text := range list {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
 			p.fault(fmt.Sprintf("peers[%d]", i), "%v", err)
 		}
-		p.need(err != nil || !first[a], fmt.Sprintf("peers[%d]", i), "%s is a duplicate", text)
-		first[a] = true
+		p.require(err != nil || !seen[a], fmt.Sprintf("peers[%d]", i), "%s is a duplicate", text)
+		seen[a] = true
 		c.Peers = append(c.Peers, a)
 	}
-	p.need(len(list) == c.Settings.Gateways, "peers", "%d addresses for %d edge nodes",
+	p.require(len(list) == c.Settings.Gateways, "peers", "%d addresses for %d edge nodes",
 		len(list), c.Settings.Gateways)
-	if all != "" {
-		a, err := netip.ParseAddrPort(all)
+	if peersAll != "" {
+		a, err := netip.ParseAddrPort(peersAll)
 		if err != nil {
 			p.fault("peers_all", "%v", err)
 		}
@@ -413,9 +413,9 @@
 	}
 }
 
-// seedOf converts the text of the seed to a number. The platform writes the seed in
+// parseSeed converts the text of the seed to a number. The platform writes the seed in
 // hexadecimal; other text is hashed.
-func seedOf(s string) uint64 {
+func parseSeed(s string) uint64 {
 	if v, err := strconv.ParseUint(s, 16, 64); err == nil {
 		return v
 	}
--- a/internal/config/history.go
+++ b/internal/config/history.go
@@ -51,11 +51,11 @@
 // concurrent use. Offer and Back only propose a generation; Accept puts it in force
 // once the caller has applied it, so that a failure changes nothing here.
 type History struct {
-	src     Source
-	current *Generation
-	before  *Generation
-	left    string // digest of the file that an operator rolled back from; empty: none
-	refused *Refusal
+	src        Source
+	current    *Generation
+	previous   *Generation
+	rolledBack string // digest of the file that an operator rolled back from; empty: none
+	refused    *Refusal
 }
 
 // ErrPassedOver is returned for a file that Offer ignores.
@@ -93,45 +93,46 @@
 // restart. If the loaded file is invalid, the stored generation stays in force: a
 // crash must not turn a rejected change into an outage. It also stays if an operator
 // had rolled back from the loaded file. The notes are for the log.
-func Resume(l Loaded, current, before Kept, left string, now time.Time) (h *History, notes []string, err error) {
+func Resume(l Loaded, current, previous Kept, rolledBack string, now time.Time) (h *History, notes []string,
+	err error) {
 	src, f, raw, err := l.src, l.File, l.raw, l.Err
 	digest := DigestOf(raw)
-	was, wasErr := src.revive(current)
+	stored, storedErr := src.restore(current)
 	h = &History{src: src.reload()}
 	switch {
-	case err != nil && wasErr != nil:
+	case err != nil && storedErr != nil:
 		return nil, nil, err
 	case err != nil:
 		h.refused = &Refusal{Time: now, Err: err}
-		h.current, h.left = was, left
+		h.current, h.rolledBack = stored, rolledBack
 		notes = append(notes, fmt.Sprintf("the file is invalid (%v): generation %d stays in force",
-			err, was.Number))
-	case wasErr != nil:
+			err, stored.Number))
+	case storedErr != nil:
 		h.current = &Generation{current.Number + 1, digest, now, raw, f}
-		notes = append(notes, fmt.Sprintf("the stored generation is invalid: %v", wasErr))
+		notes = append(notes, fmt.Sprintf("the stored generation is invalid: %v", storedErr))
 		return h, notes, nil
 	case digest == current.Digest:
-		h.current, h.left = &Generation{current.Number, digest, current.Time, raw, f}, left
-	case digest == left:
-		h.current, h.left = was, left
+		h.current, h.rolledBack = &Generation{current.Number, digest, current.Time, raw, f}, rolledBack
+	case digest == rolledBack:
+		h.current, h.rolledBack = stored, rolledBack
 		notes = append(notes, fmt.Sprintf("the file was rolled back from: generation %d stays in force",
-			was.Number))
+			stored.Number))
 	default:
-		h.current, h.before = &Generation{current.Number + 1, digest, now, raw, f}, was
+		h.current, h.previous = &Generation{current.Number + 1, digest, now, raw, f}, stored
 		return h, notes, nil
 	}
-	if before.Number > 0 {
-		if h.before, err = src.revive(before); err != nil {
+	if previous.Number > 0 {
+		if h.previous, err = src.restore(previous); err != nil {
 			notes = append(notes, fmt.Sprintf("generation %d is not available for a rollback: %v",
-				before.Number, err))
+				previous.Number, err))
 		}
 	}
 	return h, notes, nil
 }
 
-// revive parses a stored generation again: another version of this program may have
+// restore parses a stored generation again: another version of this program may have
 // written it.
-func (s Source) revive(k Kept) (*Generation, error) {
+func (s Source) restore(k Kept) (*Generation, error) {
 	if k.Number == 0 || DigestOf(k.Raw) != k.Digest {
 		return nil, errors.New("missing or damaged")
 	}
@@ -149,10 +150,10 @@
 func (h *History) Current() *Generation { return h.current }
 
 // Before returns the generation that Back would propose, or nil.
-func (h *History) Before() *Generation { return h.before }
+func (h *History) Before() *Generation { return h.previous }
 
 // Left returns the digest of the file that was rolled back from, or "".
-func (h *History) Left() string { return h.left }
+func (h *History) Left() string { return h.rolledBack }
 
 // Refused returns the last rejected file, or nil.
 func (h *History) Refused() *Refusal { return h.refused }
@@ -164,7 +165,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if faults := fixed(h.current.File, f); len(faults) > 0 {
+	if faults := fixedFieldFaults(h.current.File, f); len(faults) > 0 {
 		return nil, faults
 	}
 	return f, nil
@@ -185,7 +186,7 @@
 	case digest == h.current.Digest:
 		h.refused = nil
 		return nil, fmt.Errorf("%w: generation %d is this file already", ErrPassedOver, h.current.Number)
-	case digest == h.left && !forced:
+	case digest == h.rolledBack && !forced:
 		return nil, fmt.Errorf("%w: this file was rolled back from; the apply command puts it in force",
 			ErrPassedOver)
 	}
@@ -194,21 +195,21 @@
 		h.refused = &Refusal{digest, now, err}
 		return nil, err
 	}
-	return h.next(digest, now, raw, f), nil
+	return h.propose(digest, now, raw, f), nil
 }
 
 // Back proposes a rollback to the previous generation.
 func (h *History) Back(now time.Time) (*Generation, error) {
-	if h.before == nil {
+	if h.previous == nil {
 		return nil, ErrNoneBefore
 	}
-	if faults := fixed(h.current.File, h.before.File); len(faults) > 0 {
+	if faults := fixedFieldFaults(h.current.File, h.previous.File); len(faults) > 0 {
 		return nil, faults // that generation was in force before a restart
 	}
-	return h.next(h.before.Digest, now, h.before.Raw, h.before.File), nil
+	return h.propose(h.previous.Digest, now, h.previous.Raw, h.previous.File), nil
 }
 
-func (h *History) next(digest string, now time.Time, raw []byte, f *File) *Generation {
+func (h *History) propose(digest string, now time.Time, raw []byte, f *File) *Generation {
 	return &Generation{Number: h.current.Number + 1, Digest: digest, Time: now, Raw: raw, File: f}
 }
 
@@ -216,17 +217,17 @@
 // previous generation is stored: a second rollback must not restore the file that
 // the operator has just rolled back.
 func (h *History) Accept(g *Generation) {
-	if h.before != nil && g.File == h.before.File {
-		h.before, h.left = nil, h.current.Digest
+	if h.previous != nil && g.File == h.previous.File {
+		h.previous, h.rolledBack = nil, h.current.Digest
 	} else {
-		h.before, h.left = h.current, ""
+		h.previous, h.rolledBack = h.current, ""
 	}
 	h.current, h.refused = g, nil
 }
 
-// fixed returns a fault for each changed field that needs a restart. Open sockets or
+// fixedFieldFaults returns a fault for each changed field that needs a restart. Open sockets or
 // the layout of the whole fleet depend on these fields.
-func fixed(a, b *File) Faults {
+func fixedFieldFaults(a, b *File) Faults {
 	var out Faults
 	same := func(ok bool, field string, from, to any) {
 		if !ok {
--- a/internal/config/large_test.go
+++ b/internal/config/large_test.go
@@ -22,12 +22,13 @@
 
 // BenchmarkParse shows whether the time of a start grows linearly with the file.
 func BenchmarkParse(b *testing.B) {
-	for _, size := range [][2]int{{80, 60}, {300, 200}, {3000, 2000}, {mostGateways, 20000}, {6200, 56000}} {
+	for _, size := range [][2]int{{80, 60}, {300, 200}, {3000, 2000}, {maxEdgeNodes, 20000}, {6200, 56000}} {
 		text := []byte(largeFile(size[0], size[1]))
 		b.Run(fmt.Sprintf("nodes=%d/servers=%d", size[0], size[1]), func(b *testing.B) {
 			b.SetBytes(int64(len(text)))
 			for b.Loop() {
-				if f, err := (Source{none}).Parse(text); err != nil || len(f.Peers) != size[0] || len(f.Known.Targets) != size[1] {
+				if f, err := (Source{noEnv}).Parse(text); err != nil || len(f.Peers) != size[0] ||
+					len(f.Known.Targets) != size[1] {
 					b.Fatal(err)
 				}
 			}
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -14,8 +14,8 @@
 // rest of the file and may add fields of any name there.
 const ownObject = "valvering"
 
-// mostDuties limits the duties: each costs its voters some messages a second.
-const mostDuties = 16
+// maxDuties limits the duties: each costs its voters some messages a second.
+const maxDuties = 16
 
 var dutyName = regexp.MustCompile(`^[A-Za-z0-9_-]{1,40}$`)
 
@@ -23,7 +23,7 @@
 // overrides the file.
 type ownField struct {
 	name, env string
-	take      func(p *parser, name string) // sets the field or records faults
+	decode    func(p *parser, name string) // sets the field or records faults
 }
 
 // StateDirEnv is the environment variable that overrides state_dir.
@@ -32,36 +32,36 @@
 // formerEnv is the former name of StateDirEnv, in the platform's namespace.
 const formerEnv = "GW_STATE_DIR"
 
-// own decodes this program's fields from ownObject and from its environment variables.
+// ownFields decodes this program's fields from ownObject and from its environment variables.
 // Earlier versions read them at the top level. A top-level field or a variable of such
-// a name now belongs to the platform: own ignores it, and a single warning names the
+// a name now belongs to the platform: ownFields ignores it, and a single warning names the
 // new place.
 //
-// mayTell reports whether edge nodes may send messages to each other; it is also true
+// canSend reports whether edge nodes may send messages to each other; it is also true
 // if the settings are invalid.
-func (p *parser) own(c *File, getenv func(string) string, mayTell bool) {
-	within := p.within(ownObject)
+func (p *parser) ownFields(c *File, getenv func(string) string, canSend bool) {
+	object := p.object(ownObject)
 	fields := []ownField{
-		{"admin", "", c.takeAdmin},
-		{"state_dir", StateDirEnv, c.takeStateDir},
-		{"duties", "", func(p *parser, name string) { c.takeDuties(p, name, mayTell) }},
+		{"admin", "", c.decodeAdmin},
+		{"state_dir", StateDirEnv, c.decodeStateDir},
+		{"duties", "", func(p *parser, name string) { c.decodeDuties(p, name, canSend) }},
 	}
 	var former []string
 	for _, f := range fields {
-		if _, have := p.top[f.name]; have {
+		if _, have := p.fields[f.name]; have {
 			former = append(former, f.name)
 		}
 		if text := getenv(f.env); f.env != "" && text != "" {
 			raw, _ := json.Marshal(text) // never fails for a string
-			set := &parser{top: rawFields{f.env: raw}}
-			f.take(set, f.env)
-			p.faults = append(p.faults, set.faults...)
+			envParser := &parser{fields: rawFields{f.env: raw}}
+			f.decode(envParser, f.env)
+			p.faults = append(p.faults, envParser.faults...)
 			continue
 		}
-		f.take(within, f.name)
+		f.decode(object, f.name)
 	}
-	p.take(within, ownObject)
-	for name := range within.top { // a later version of this program may know more fields
+	p.addFaults(object, ownObject)
+	for name := range object.fields { // a later version of this program may know more fields
 		if !slices.ContainsFunc(fields, func(f ownField) bool { return f.name == name }) {
 			c.Warnings = append(c.Warnings, ownObject+"."+name+": unknown field, ignored")
 		}
@@ -71,12 +71,12 @@
 		former = append(former, formerEnv)
 	}
 	if len(former) > 0 {
-		c.Warnings = append(c.Warnings, fmt.Sprintf("%s: ignored; use fields of the object %q and VALVERING_ variables",
+		c.Warnings = append(c.Warnings, fmt.Sprintf("%s: ignored; use object %q or VALVERING_ variables",
 			strings.Join(former, ", "), ownObject))
 	}
 }
 
-func (c *File) takeAdmin(p *parser, name string) {
+func (c *File) decodeAdmin(p *parser, name string) {
 	var text string
 	if !p.field(name, &text) || text == "" {
 		return
@@ -92,7 +92,7 @@
 	}
 }
 
-func (c *File) takeStateDir(p *parser, name string) {
+func (c *File) decodeStateDir(p *parser, name string) {
 	var dir string
 	switch {
 	case !p.field(name, &dir), dir == "":
@@ -105,20 +105,20 @@
 	}
 }
 
-// takeDuties sets the duties. Their names are part of URLs of the admin listener.
-func (c *File) takeDuties(p *parser, name string, mayTell bool) {
+// decodeDuties sets the duties. Their names are part of URLs of the admin listener.
+func (c *File) decodeDuties(p *parser, name string, canSend bool) {
 	var duties []string
 	if !p.field(name, &duties) {
 		return
 	}
 	before := len(p.faults)
-	p.need(len(duties) == 0 || mayTell, name,
+	p.require(len(duties) == 0 || canSend, name,
 		"leases need messages between edge nodes, which settings.caps.peers disables")
-	p.need(len(duties) <= mostDuties, name, "%d duties, more than %d", len(duties), mostDuties)
-	for i, duty := range duties[:min(len(duties), mostDuties)] {
+	p.require(len(duties) <= maxDuties, name, "%d duties, more than %d", len(duties), maxDuties)
+	for i, duty := range duties[:min(len(duties), maxDuties)] {
 		at := fmt.Sprintf("%s[%d]", name, i)
-		p.need(dutyName.MatchString(duty), at, "%q is not of 1 to 40 letters, digits, - and _", duty)
-		p.need(!slices.Contains(duties[:i], duty), at, "%q is there twice", duty)
+		p.require(dutyName.MatchString(duty), at, "%q is not of 1 to 40 letters, digits, - and _", duty)
+		p.require(!slices.Contains(duties[:i], duty), at, "%q is there twice", duty)
 	}
 	if len(p.faults) == before {
 		c.Duties = duties
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -36,17 +36,17 @@
 }
 
 const (
-	renewPart = 1.0 / 3 // fraction of the term after which a holder renews its lease
+	renewFraction = 1.0 / 3 // fraction of the term after which a holder renews its lease
 
-	replyWait = 250 * time.Millisecond // timeout of a round
+	roundTimeout = 250 * time.Millisecond // timeout of a round
 
 	// Exponential backoff between failed rounds.
-	leastPause = 20 * time.Millisecond
-	mostPause  = time.Second
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
 
-	mostVoters = 5 // tolerates the loss of two
+	maxVoters = 5 // tolerates the loss of two
 
-	nameHashLen = 4 // bytes
+	digestBytes = 4 // bytes
 )
 
 // Voters selects the edge nodes that vote on a duty: an odd number of n, by rendezvous
@@ -67,7 +67,7 @@
 	slices.SortFunc(all, func(a, b int) int {
 		return cmp.Or(cmp.Compare(score[b], score[a]), cmp.Compare(a, b))
 	})
-	k := min(n, mostVoters)
+	k := min(n, maxVoters)
 	if k%2 == 0 {
 		k--
 	}
@@ -100,7 +100,7 @@
 // messages of package policy.
 const Version = 0x4c
 
-const wireLen = 1 + 1 + nameHashLen + 8 + 2 + 8
+const messageBytes = 1 + 1 + digestBytes + 8 + 2 + 8
 
 // Append appends the encoded message.
 func (m Message) Append(b []byte) []byte {
@@ -113,7 +113,7 @@
 
 // Decode decodes a message. ok is false if b isn't exactly one valid message.
 func Decode(b []byte) (m Message, ok bool) {
-	if len(b) != wireLen || b[0] != Version || Kind(b[1]) < Prepare || Kind(b[1]) > Release {
+	if len(b) != messageBytes || b[0] != Version || Kind(b[1]) < Prepare || Kind(b[1]) > Release {
 		return m, false
 	}
 	be := binary.BigEndian
@@ -135,117 +135,120 @@
 
 // Duty is the state of one edge node as a voter on a duty and as a candidate for it.
 type Duty struct {
-	set    Settings
-	id     uint32
-	me     int
-	voters []int
-	rng    *rand.Rand
-	out    []Out
+	settings Settings
+	id       uint32
+	me       int
+	voters   []int
+	rng      *rand.Rand
+	out      []Out
 
 	// State as a voter.
-	began    time.Duration // start by the local clock
-	wall     uint64        // start by the wall clock, in milliseconds
-	awake    time.Duration // end of the first term: grants from before a restart have expired by then
-	promised uint64        // highest promised ballot
-	granted  uint64        // ballot of the current grant; 0: none
-	holder   int           // of the current grant
-	until    time.Duration // end of the current grant
+	started     time.Duration // start by the local clock
+	startWallMS uint64        // start by the wall clock, in milliseconds
+	activeAt    time.Duration // end of the first term: grants from before a restart have expired by then
+	promised    uint64        // highest promised ballot
+	grantBallot uint64        // ballot of the current grant; 0: none
+	grantHolder int           // of the current grant
+	grantEnd    time.Duration // end of the current grant
 
 	// State as a candidate or holder.
-	phase   Kind          // of the current round: Prepare, Propose, or 0 between rounds
-	ballot  uint64        // of the current round
-	seen    uint64        // highest ballot seen
-	asked   time.Duration // start of the round
-	yes     map[int]bool  // voters that have agreed in this phase
-	no      map[int]bool  // voters whose grant belongs to another edge node
-	retry   time.Duration // start of the next round
-	pause   time.Duration // backoff, doubled with each failed round
-	held    uint64        // fencing token of the lease, the ballot that won it; 0: none
-	ends    time.Duration // end of the lease by the local clock
-	resting bool          // not a candidate
+	phase      Kind          // of the current round: Prepare, Propose, or 0 between rounds
+	ballot     uint64        // of the current round
+	maxBallot  uint64        // highest ballot seen
+	roundStart time.Duration // start of the round
+	approvals  map[int]bool  // voters that have agreed in this phase
+	conflicts  map[int]bool  // voters whose grant belongs to another edge node
+	nextRound  time.Duration // start of the next round
+	backoff    time.Duration // backoff, doubled with each failed round
+	token      uint64        // fencing token of the lease, the ballot that won it; 0: none
+	leaseEnd   time.Duration // end of the lease by the local clock
+	resigned   bool          // not a candidate
 }
 
 // New returns the state of an edge node that starts now. The wall clock, read once at
 // the start and advanced by the local clock, is a lower bound of ballots. It keeps tokens
 // increasing if all voters restart and forget the highest ballot.
 func New(set Settings, me int, voters []int, seed uint64, now time.Duration, wallMS uint64) *Duty {
-	d := &Duty{set: set, id: Digest(set.Name), me: me, voters: voters,
-		rng:   rand.New(rand.NewPCG(seed, uint64(me))),
-		began: now, wall: wallMS, awake: now + set.Term, yes: map[int]bool{}, no: map[int]bool{}}
-	d.retry = d.awake + d.jitter(replyWait) // edge nodes that start together would collide without jitter
+	d := &Duty{settings: set, id: Digest(set.Name), me: me, voters: voters,
+		rng:     rand.New(rand.NewPCG(seed, uint64(me))),
+		started: now, startWallMS: wallMS, activeAt: now + set.Term,
+		approvals: map[int]bool{}, conflicts: map[int]bool{}}
+	// Without jitter, edge nodes that start together would collide.
+	d.nextRound = d.activeAt + d.jitter(roundTimeout)
 	return d
 }
 
-func (d *Duty) jitter(most time.Duration) time.Duration {
-	return time.Duration(d.rng.Int64N(int64(most) + 1))
+func (d *Duty) jitter(limit time.Duration) time.Duration {
+	return time.Duration(d.rng.Int64N(int64(limit) + 1))
 }
 
-// span returns how long a lease lasts by the holder's clock, from the start of its round.
+// leaseDuration returns how long a lease lasts by the holder's clock, from the start of its round.
 // It is shorter than the term because the holder's clock may be slow and the voters'
 // clocks fast.
-func (d *Duty) span() time.Duration {
-	return time.Duration(float64(d.set.Term) * (1 - d.set.Drift) / (1 + d.set.Drift))
+func (d *Duty) leaseDuration() time.Duration {
+	return time.Duration(float64(d.settings.Term) * (1 - d.settings.Drift) / (1 + d.settings.Drift))
 }
 
 // Holds reports whether this edge node holds the duty now, and returns the fencing token.
 func (d *Duty) Holds(now time.Duration) (token uint64, ok bool) {
-	if d.held == 0 || now >= d.ends {
+	if d.token == 0 || now >= d.leaseEnd {
 		return 0, false
 	}
-	return d.held, true
+	return d.token, true
 }
 
 // Holder returns the edge node to which this voter has granted the duty, or -1.
 func (d *Duty) Holder(now time.Duration) int {
-	if d.granted == 0 || now >= d.until {
+	if d.grantBallot == 0 || now >= d.grantEnd {
 		return -1
 	}
-	return d.holder
+	return d.grantHolder
 }
 
 // Tick expires the lease and starts or ends rounds. It must be called again at next.
 func (d *Duty) Tick(now time.Duration) (out []Out, next time.Duration) {
 	d.out = nil
-	if d.held != 0 && now >= d.ends {
-		d.held = 0
+	if d.token != 0 && now >= d.leaseEnd {
+		d.token = 0
 	}
-	if d.phase != 0 && now >= d.asked+replyWait {
-		d.fail(now)
+	if d.phase != 0 && now >= d.roundStart+roundTimeout {
+		d.failRound(now)
 	}
-	if d.phase == 0 && now >= d.retry && !d.resting {
-		d.ask(now)
+	if d.phase == 0 && now >= d.nextRound && !d.resigned {
+		d.startRound(now)
 	}
-	next = d.retry
+	next = d.nextRound
 	if d.phase != 0 {
-		next = d.asked + replyWait
-	} else if d.resting {
-		next = now + d.set.Term
+		next = d.roundStart + roundTimeout
+	} else if d.resigned {
+		next = now + d.settings.Term
 	}
 	return d.out, max(next, now+time.Millisecond)
 }
 
-// ask starts a round, unless the grant of this voter belongs to another edge node.
-func (d *Duty) ask(now time.Duration) {
-	if d.held == 0 && d.Holder(now) >= 0 && d.holder != d.me {
-		d.retry = d.until + d.jitter(leastPause) // the duty can't be free before that
+// startRound starts a round, unless the grant of this voter belongs to another edge node.
+func (d *Duty) startRound(now time.Duration) {
+	if d.token == 0 && d.Holder(now) >= 0 && d.grantHolder != d.me {
+		d.nextRound = d.grantEnd + d.jitter(minBackoff) // the duty can't be free before that
 		return
 	}
-	d.seen = max(d.seen>>16+1, d.wall+uint64((now-d.began).Milliseconds()))<<16 | uint64(d.me)
-	d.ballot, d.phase, d.asked = d.seen, Prepare, now
-	clear(d.yes)
-	clear(d.no)
-	d.toAll(now, Message{Kind: Prepare, Duty: d.id, Ballot: d.ballot, Holder: uint16(d.me)})
+	d.maxBallot = max(d.maxBallot>>16+1, d.startWallMS+uint64((now-d.started).Milliseconds()))<<16 |
+		uint64(d.me)
+	d.ballot, d.phase, d.roundStart = d.maxBallot, Prepare, now
+	clear(d.approvals)
+	clear(d.conflicts)
+	d.broadcast(now, Message{Kind: Prepare, Duty: d.id, Ballot: d.ballot, Holder: uint16(d.me)})
 }
 
-// fail ends a round without a lease. The random pause separates candidates that collide.
-func (d *Duty) fail(now time.Duration) {
+// failRound ends a round without a lease. The random pause separates candidates that collide.
+func (d *Duty) failRound(now time.Duration) {
 	d.phase = 0
-	d.pause = min(max(2*d.pause, leastPause), mostPause)
-	d.retry = now + leastPause + d.jitter(d.pause)
+	d.backoff = min(max(2*d.backoff, minBackoff), maxBackoff)
+	d.nextRound = now + minBackoff + d.jitter(d.backoff)
 }
 
-// toAll sends a message to all voters, including itself.
-func (d *Duty) toAll(now time.Duration, m Message) {
+// broadcast sends a message to all voters, including itself.
+func (d *Duty) broadcast(now time.Duration, m Message) {
 	for _, v := range d.voters {
 		d.send(now, v, m)
 	}
@@ -272,92 +275,92 @@
 func (d *Duty) handle(now time.Duration, from int, m Message) {
 	switch m.Kind {
 	case Prepare, Propose, Release:
-		d.vote(now, from, m)
+		d.handleRequest(now, from, m)
 	case Promise, Accept:
-		d.answered(now, from, m)
+		d.handleReply(now, from, m)
 	case Reject:
-		d.seen = max(d.seen, m.Held)
+		d.maxBallot = max(d.maxBallot, m.Held)
 		if m.Ballot == d.ballot && d.phase != 0 {
-			d.fail(now)
+			d.failRound(now)
 		}
 	}
 }
 
-// vote handles a message as a voter.
-func (d *Duty) vote(now time.Duration, from int, m Message) {
-	// Before awake, a grant from before a restart may still be valid. A ballot ends with
+// handleRequest handles a message as a voter.
+func (d *Duty) handleRequest(now time.Duration, from int, m Message) {
+	// Before activeAt, a grant from before a restart may still be valid. A ballot ends with
 	// the number of the edge node that it belongs to.
-	if now < d.awake || int(m.Ballot&0xffff) != from {
+	if now < d.activeAt || int(m.Ballot&0xffff) != from {
 		return
 	}
-	d.seen = max(d.seen, m.Ballot)
-	if d.granted != 0 && now >= d.until {
-		d.granted = 0
+	d.maxBallot = max(d.maxBallot, m.Ballot)
+	if d.grantBallot != 0 && now >= d.grantEnd {
+		d.grantBallot = 0
 	}
 	switch {
 	case m.Kind == Release:
 		d.promised = max(d.promised, m.Ballot+1) // an earlier request of the sender may still arrive
 		// The holder may have started another round since the grant, so its ballot may be higher.
-		if d.granted != 0 && d.holder == from && d.granted <= m.Ballot {
-			d.granted = 0
-			d.retry = min(d.retry, now+d.jitter(replyWait)) // the duty is free
+		if d.grantBallot != 0 && d.grantHolder == from && d.grantBallot <= m.Ballot {
+			d.grantBallot = 0
+			d.nextRound = min(d.nextRound, now+d.jitter(roundTimeout)) // the duty is free
 		}
 	case m.Ballot < d.promised:
 		d.send(now, from, Message{Kind: Reject, Duty: d.id, Ballot: m.Ballot, Held: d.promised})
 	case m.Kind == Prepare:
 		d.promised = m.Ballot
-		d.send(now, from, Message{Kind: Promise, Duty: d.id, Ballot: m.Ballot, Holder: uint16(d.holder),
-			Held: d.granted})
+		d.send(now, from, Message{Kind: Promise, Duty: d.id, Ballot: m.Ballot, Holder: uint16(d.grantHolder),
+			Held: d.grantBallot})
 	default:
-		if d.granted != 0 && d.holder != from {
+		if d.grantBallot != 0 && d.grantHolder != from {
 			return // granted to another edge node since the Promise
 		}
-		d.promised, d.granted, d.holder, d.until = m.Ballot, m.Ballot, from, now+d.set.Term
+		d.promised, d.grantBallot, d.grantHolder, d.grantEnd = m.Ballot, m.Ballot, from, now+d.settings.Term
 		d.send(now, from, Message{Kind: Accept, Duty: d.id, Ballot: m.Ballot, Holder: uint16(d.me)})
 	}
 }
 
-// answered counts the voters' replies to the current phase and ignores others.
-func (d *Duty) answered(now time.Duration, from int, m Message) {
+// handleReply counts the voters' replies to the current phase and ignores others.
+func (d *Duty) handleReply(now time.Duration, from int, m Message) {
 	if d.phase == 0 || m.Ballot != d.ballot || (m.Kind == Promise) != (d.phase == Prepare) {
 		return
 	}
 	if m.Kind == Promise && m.Held != 0 && int(m.Holder) != d.me {
-		d.seen = max(d.seen, m.Held)
-		if d.no[from] = true; 2*len(d.no) > len(d.voters) {
-			d.fail(now)
+		d.maxBallot = max(d.maxBallot, m.Held)
+		if d.conflicts[from] = true; 2*len(d.conflicts) > len(d.voters) {
+			d.failRound(now)
 		}
 		return
 	}
-	if d.yes[from] = true; 2*len(d.yes) <= len(d.voters) {
+	if d.approvals[from] = true; 2*len(d.approvals) <= len(d.voters) {
 		return
 	}
 	if d.phase == Prepare {
 		d.phase = Propose
-		clear(d.yes)
-		d.toAll(now, Message{Kind: Propose, Duty: d.id, Ballot: d.ballot, Holder: uint16(d.me)})
+		clear(d.approvals)
+		d.broadcast(now, Message{Kind: Propose, Duty: d.id, Ballot: d.ballot, Holder: uint16(d.me)})
 		return
 	}
-	d.phase, d.pause = 0, 0
-	if now >= d.asked+d.span() {
+	d.phase, d.backoff = 0, 0
+	if now >= d.roundStart+d.leaseDuration() {
 		return // the replies were late: the lease has expired already
 	}
-	if d.held == 0 {
-		d.held = d.ballot // a new lease gets a new token; a renewal keeps it
+	if d.token == 0 {
+		d.token = d.ballot // a new lease gets a new token; a renewal keeps it
 	}
-	d.ends = d.asked + d.span()
-	d.retry = d.asked + time.Duration(renewPart*float64(d.set.Term)) + d.jitter(leastPause)
+	d.leaseEnd = d.roundStart + d.leaseDuration()
+	d.nextRound = d.roundStart + time.Duration(renewFraction*float64(d.settings.Term)) + d.jitter(minBackoff)
 }
 
 // Leave releases the duty and stops being a candidate.
 func (d *Duty) Leave(now time.Duration) []Out {
 	d.out = nil
-	d.resting, d.phase = true, 0
-	if d.granted != 0 && d.holder == d.me || d.held != 0 {
-		d.held = 0
+	d.resigned, d.phase = true, 0
+	if d.grantBallot != 0 && d.grantHolder == d.me || d.token != 0 {
+		d.token = 0
 		// The current grants may be from a later round than the token or from an
 		// earlier one than the round in progress, so Release carries the latest ballot.
-		d.toAll(now, Message{Kind: Release, Duty: d.id, Ballot: d.ballot, Holder: uint16(d.me)})
+		d.broadcast(now, Message{Kind: Release, Duty: d.id, Ballot: d.ballot, Holder: uint16(d.me)})
 	}
 	return d.out
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-func set() Settings { return Settings{Name: "checks", Term: 3 * time.Second, Drift: 0.01} }
+func testSettings() Settings { return Settings{Name: "checks", Term: 3 * time.Second, Drift: 0.01} }
 
 func TestWire(t *testing.T) {
 	m := Message{Promise, 1, 2, 3, 4}
@@ -41,7 +41,7 @@
 		if string(m.Append(nil)) != string(b) {
 			t.Fatalf("%x decoded as %+v", b, m)
 		}
-		d := New(set(), 0, Voters("checks", 5), 1, 0, 0)
+		d := New(testSettings(), 0, Voters("checks", 5), 1, 0, 0)
 		for _, now := range []time.Duration{0, time.Minute} {
 			for from := range 7 {
 				d.Handle(now, from, m)
@@ -80,68 +80,70 @@
 // world simulates voters with drifting clocks and a network that loses, delays and
 // duplicates messages, in steps of a millisecond of true time.
 type world struct {
-	rng    *rand.Rand
-	set    Settings
-	nodes  []*node
-	mail   []letter
-	now    time.Duration // true time
-	loss   float64
-	late   time.Duration // maximal delay of a message
-	cut    func(from, to int) bool
-	msgs   int
-	tokens []uint64 // of the leases, in order
-	last   int      // the last holder; -1: none yet
+	rng      *rand.Rand
+	settings Settings
+	nodes    []*process
+	inFlight []delivery
+	now      time.Duration // true time
+	loss     float64
+	maxDelay time.Duration // maximal delay of a message
+	isCut    func(from, to int) bool
+	msgs     int
+	tokens   []uint64 // of the leases, in order
+	last     int      // the last holder; -1: none yet
 
-	forget bool // injected fault: a voter takes part right after a restart
-	sloppy bool // injected fault: a holder measures the term from the arrival of the grant
+	skipWait         bool // injected fault: a voter takes part right after a restart
+	countFromArrival bool // injected fault: a holder measures the term from the arrival of the grant
 }
 
-type node struct {
+type process struct {
 	*Duty
-	rate   float64
-	offset time.Duration
-	next   time.Duration // time of the next tick, by the local clock
-	asleep time.Duration // true time until which the process is paused
-	dead   time.Duration // true time of the next start; 0: running
-	box    []letter      // messages that arrived during a pause
+	rate        float64
+	offset      time.Duration
+	next        time.Duration // time of the next tick, by the local clock
+	pausedUntil time.Duration // true time until which the process is paused
+	restartAt   time.Duration // true time of the next start; 0: running
+	inbox       []delivery    // messages that arrived during a pause
 }
 
-type letter struct {
+type delivery struct {
 	at       time.Duration
 	from, to int
 	m        Message
 }
 
-func (n *node) clock(true_ time.Duration) time.Duration {
-	return n.offset + time.Duration(float64(true_)*n.rate)
+func (n *process) clock(trueTime time.Duration) time.Duration {
+	return n.offset + time.Duration(float64(trueTime)*n.rate)
 }
 
 func newWorld(seed uint64, voters int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 11)), set: set(), last: -1, cut: func(int, int) bool { return false }, late: 40 * ms}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 11)), settings: testSettings(), last: -1,
+		isCut: func(int, int) bool { return false }, maxDelay: 40 * ms}
 	for range voters {
-		n := &node{rate: 1 + w.set.Drift*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Int64N(int64(time.Hour)))}
+		n := &process{rate: 1 + w.settings.Drift*(2*w.rng.Float64()-1),
+			offset: time.Duration(w.rng.Int64N(int64(time.Hour)))}
 		w.nodes = append(w.nodes, n)
 	}
 	for i, n := range w.nodes {
-		w.boot(i)
+		w.restart(i)
 		if w.rng.IntN(2) == 0 { // half of the voters started more than a term ago
-			n.awake = 0
-			n.retry = n.clock(0) + n.jitter(replyWait)
+			n.activeAt = 0
+			n.nextRound = n.clock(0) + n.jitter(roundTimeout)
 		}
 	}
 	return w
 }
 
-func (w *world) boot(i int) {
+func (w *world) restart(i int) {
 	n := w.nodes[i]
 	voters := make([]int, len(w.nodes))
 	for k := range voters {
 		voters[k] = k
 	}
 	local := n.clock(w.now)
-	n.Duty = New(w.set, i, voters, w.rng.Uint64(), local, uint64(w.now/ms)+1000)
-	if w.forget {
-		n.awake = local
+	n.Duty = New(w.settings, i, voters, w.rng.Uint64(), local, uint64(w.now/ms)+1000)
+	if w.skipWait {
+		n.activeAt = local
 	}
 	n.next = local
 }
@@ -149,11 +151,12 @@
 func (w *world) send(from int, out []Out) {
 	for _, o := range out {
 		w.msgs++
-		if w.rng.Float64() < w.loss || w.cut(from, o.To) {
+		if w.rng.Float64() < w.loss || w.isCut(from, o.To) {
 			continue
 		}
 		for again := true; again; again = w.rng.IntN(20) == 0 {
-			w.mail = append(w.mail, letter{w.now + ms + time.Duration(w.rng.Int64N(int64(w.late))), from, o.To, o.Msg})
+			w.inFlight = append(w.inFlight, delivery{w.now + ms + time.Duration(w.rng.Int64N(int64(w.maxDelay))),
+				from, o.To, o.Msg})
 		}
 	}
 }
@@ -161,35 +164,35 @@
 // step advances the time by a millisecond and checks the holders.
 func (w *world) step() error {
 	w.now += ms
-	var rest []letter
-	due := w.mail
-	w.mail = nil
+	var rest []delivery
+	due := w.inFlight
+	w.inFlight = nil
 	for _, l := range due {
 		switch n := w.nodes[l.to]; {
 		case l.at > w.now:
 			rest = append(rest, l)
-		case n.dead > 0:
-		case n.asleep > w.now:
-			n.box = append(n.box, l)
+		case n.restartAt > 0:
+		case n.pausedUntil > w.now:
+			n.inbox = append(n.inbox, l)
 		default:
 			w.deliver(l)
 		}
 	}
-	w.mail = append(rest, w.mail...)
+	w.inFlight = append(rest, w.inFlight...)
 	for i, n := range w.nodes {
-		if n.dead > 0 {
-			if w.now >= n.dead {
-				n.dead = 0
-				w.boot(i)
+		if n.restartAt > 0 {
+			if w.now >= n.restartAt {
+				n.restartAt = 0
+				w.restart(i)
 			}
 			continue
 		}
-		if n.asleep > w.now {
+		if n.pausedUntil > w.now {
 			continue
 		}
-		box := n.box
-		n.box = nil
-		for _, l := range box {
+		messages := n.inbox
+		n.inbox = nil
+		for _, l := range messages {
 			w.deliver(l)
 		}
 		if local := n.clock(w.now); local >= n.next {
@@ -201,17 +204,17 @@
 	return w.check()
 }
 
-func (w *world) deliver(l letter) {
+func (w *world) deliver(l delivery) {
 	n := w.nodes[l.to]
 	local := n.clock(w.now)
-	before := n.ends
+	before := n.leaseEnd
 	w.send(l.to, n.Handle(local, l.from, l.m))
-	if w.sloppy && n.ends != before {
-		n.ends = local + w.set.Term
+	if w.countFromArrival && n.leaseEnd != before {
+		n.leaseEnd = local + w.settings.Term
 	}
-	n.next = min(n.next, max(n.retry, local+ms))
+	n.next = min(n.next, max(n.nextRound, local+ms))
 	if n.phase != 0 {
-		n.next = min(n.next, n.asked+replyWait)
+		n.next = min(n.next, n.roundStart+roundTimeout)
 	}
 }
 
@@ -220,7 +223,7 @@
 func (w *world) check() error {
 	holder := -1
 	for i, n := range w.nodes {
-		if n.dead > 0 || n.asleep > w.now {
+		if n.restartAt > 0 || n.pausedUntil > w.now {
 			continue
 		}
 		token, ok := n.Holds(n.clock(w.now))
@@ -242,47 +245,48 @@
 	return nil
 }
 
-// trouble injects a random fault.
-func (w *world) trouble() {
+// injectFault injects a random fault.
+func (w *world) injectFault() {
 	i := w.rng.IntN(len(w.nodes))
 	n := w.nodes[i]
-	if n.dead > 0 {
+	if n.restartAt > 0 {
 		return
 	}
 	switch w.rng.IntN(8) {
 	case 0, 1: // killed, restarts soon
-		n.dead, n.asleep, n.box = w.now+time.Duration(w.rng.Int64N(int64(2*time.Second)))+ms, 0, nil
+		n.restartAt, n.pausedUntil, n.inbox = w.now+time.Duration(w.rng.Int64N(int64(2*time.Second)))+ms,
+			0, nil
 	case 2, 3: // paused, perhaps for longer than its lease
-		n.asleep = w.now + time.Duration(w.rng.Int64N(int64(5*time.Second)))
+		n.pausedUntil = w.now + time.Duration(w.rng.Int64N(int64(5*time.Second)))
 	case 4: // a network partition, perhaps in one direction only
 		side := w.rng.IntN(1 << len(w.nodes))
 		one := w.rng.IntN(2) == 0
-		w.cut = func(from, to int) bool {
+		w.isCut = func(from, to int) bool {
 			return side>>from&1 == 1 && side>>to&1 == 0 || !one && side>>from&1 == 0 && side>>to&1 == 1
 		}
 	case 5:
-		w.cut = func(int, int) bool { return false }
+		w.isCut = func(int, int) bool { return false }
 	case 6:
 		w.loss = w.rng.Float64() * 0.3
 	case 7: // shutdown
-		if n.asleep <= w.now {
+		if n.pausedUntil <= w.now {
 			w.send(i, n.Leave(n.clock(w.now)))
-			n.dead = w.now + time.Duration(w.rng.Int64N(int64(time.Second))) + ms
+			n.restartAt = w.now + time.Duration(w.rng.Int64N(int64(time.Second))) + ms
 		}
 	}
 }
 
-// play simulates 25 seconds with random faults and returns the number of leases.
-func play(seed uint64, plant func(*world)) (holdings int, err error) {
+// simulate runs a world for 25 seconds with random faults and returns the number of leases.
+func simulate(seed uint64, inject func(*world)) (holdings int, err error) {
 	w := newWorld(seed, 3+2*int(seed%2))
-	if plant != nil {
-		plant(w)
+	if inject != nil {
+		inject(w)
 	}
-	w.late = time.Duration(1+w.rng.IntN(150)) * ms
-	calm := 500 + w.rng.IntN(4000) // average milliseconds between faults
+	w.maxDelay = time.Duration(1+w.rng.IntN(150)) * ms
+	faultInterval := 500 + w.rng.IntN(4000) // average milliseconds between faults
 	for range 25000 {
-		if w.rng.IntN(calm) == 0 {
-			w.trouble()
+		if w.rng.IntN(faultInterval) == 0 {
+			w.injectFault()
 		}
 		if err := w.step(); err != nil {
 			return 0, err
@@ -297,7 +301,7 @@
 func TestNeverTwo(t *testing.T) {
 	seeds, held := *manySeeds, 0
 	for seed := range seeds {
-		n, err := play(seed, nil)
+		n, err := simulate(seed, nil)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -311,13 +315,13 @@
 // The model detects a voter that takes part right after a restart and a holder that measures
 // its lease from the arrival of the grant.
 func TestModelCatchesFaults(t *testing.T) {
-	for name, plant := range map[string]func(*world){
-		"forgets": func(w *world) { w.forget = true },
-		"sloppy":  func(w *world) { w.sloppy = true },
+	for name, inject := range map[string]func(*world){
+		"forgets": func(w *world) { w.skipWait = true },
+		"sloppy":  func(w *world) { w.countFromArrival = true },
 	} {
 		caught := false
 		for seed := uint64(0); seed < 400 && !caught; seed++ {
-			_, err := play(seed, plant)
+			_, err := simulate(seed, inject)
 			caught = err != nil
 		}
 		if !caught {
@@ -326,21 +330,21 @@
 	}
 }
 
-// settle runs the world until a node holds the duty and returns the time it took.
-func (w *world) settle(t testing.TB, most time.Duration) time.Duration {
+// runUntilHeld runs the world until a node holds the duty and returns the time it took.
+func (w *world) runUntilHeld(t testing.TB, limit time.Duration) time.Duration {
 	t.Helper()
 	from := w.now
-	for w.now < from+most {
+	for w.now < from+limit {
 		if err := w.step(); err != nil {
 			t.Fatal(err)
 		}
 		for _, n := range w.nodes {
-			if _, ok := n.Holds(n.clock(w.now)); ok && n.dead == 0 && n.asleep <= w.now {
+			if _, ok := n.Holds(n.clock(w.now)); ok && n.restartAt == 0 && n.pausedUntil <= w.now {
 				return w.now - from
 			}
 		}
 	}
-	t.Fatalf("no holder after %v", most)
+	t.Fatalf("no holder after %v", limit)
 	return 0
 }
 
@@ -348,7 +352,7 @@
 func TestHolderStays(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(seed, 5)
-		w.settle(t, 10*time.Second)
+		w.runUntilHeld(t, 10*time.Second)
 		before := w.msgs
 		for range 60000 {
 			if err := w.step(); err != nil {
@@ -368,8 +372,8 @@
 // duty. A node holds it again after the partition ends.
 func TestNoMajority(t *testing.T) {
 	w := newWorld(3, 5)
-	w.settle(t, 10*time.Second)
-	w.cut = func(from, to int) bool { return from != to }
+	w.runUntilHeld(t, 10*time.Second)
+	w.isCut = func(from, to int) bool { return from != to }
 	for range 4000 {
 		if err := w.step(); err != nil {
 			t.Fatal(err)
@@ -380,8 +384,8 @@
 			t.Errorf("%d holds the duty though it receives no messages", i)
 		}
 	}
-	w.cut = func(int, int) bool { return false }
-	w.settle(t, 5*time.Second)
+	w.isCut = func(int, int) bool { return false }
+	w.runUntilHeld(t, 5*time.Second)
 }
 
 // If all nodes start a round at the same time, random pauses let one of them succeed.
@@ -389,9 +393,9 @@
 	for seed := range uint64(200) {
 		w := newWorld(seed, 5)
 		for _, n := range w.nodes {
-			n.awake, n.retry, n.next = 0, 0, 0
+			n.activeAt, n.nextRound, n.next = 0, 0, 0
 		}
-		w.settle(t, 10*time.Second)
+		w.runUntilHeld(t, 10*time.Second)
 	}
 }
 
@@ -399,7 +403,7 @@
 // node change nothing.
 func TestStrayMessages(t *testing.T) {
 	w := newWorld(1, 3)
-	w.settle(t, 10*time.Second)
+	w.runUntilHeld(t, 10*time.Second)
 	holder := w.nodes[w.last]
 	now := holder.clock(w.now)
 	other := w.nodes[(w.last+1)%3]
@@ -411,7 +415,7 @@
 			from = (w.last + 2) % 3
 		}
 		holder.Handle(now, from, m)
-		if token, ok := holder.Holds(now); !ok || token != holder.held || holder.Holder(now) != w.last {
+		if token, ok := holder.Holds(now); !ok || token != holder.token || holder.Holder(now) != w.last {
 			t.Errorf("%+v changed the holder", m)
 		}
 	}
@@ -431,10 +435,10 @@
 				for i := range b.N {
 					w := newWorld(uint64(i), 5)
 					for _, n := range w.nodes {
-						n.awake = 0
+						n.activeAt = 0
 					}
 					w.loss = loss
-					w.settle(b, 20*time.Second)
+					w.runUntilHeld(b, 20*time.Second)
 					before := w.msgs
 					for range 5000 {
 						if err := w.step(); err != nil {
@@ -446,8 +450,8 @@
 					if how == "release" {
 						w.send(w.last, n.Leave(n.clock(w.now)))
 					}
-					n.dead = w.now + time.Hour
-					took = append(took, w.settle(b, 30*time.Second).Seconds()*1e3)
+					n.restartAt = w.now + time.Hour
+					took = append(took, w.runUntilHeld(b, 30*time.Second).Seconds()*1e3)
 				}
 				slices.Sort(took)
 				b.ReportMetric(took[len(took)/2], "ms-empty")
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -13,13 +13,13 @@
 	"net"
 )
 
-// beside is the IP of reserved addresses. Their ports are kept open at 127.0.0.1.
-const beside = "127.1.0.1"
+// reservedIP is the IP of reserved addresses. Their ports are kept open at 127.0.0.1.
+const reservedIP = "127.1.0.1"
 
 // Address is a reserved address, for TCP and UDP.
 type Address struct {
-	hold net.Listener
-	text string
+	listener net.Listener
+	text     string
 }
 
 // Reserve reserves an address.
@@ -33,11 +33,11 @@
 		ln.Close()
 		return nil, fmt.Errorf("reserve a loopback address: %w", err)
 	}
-	return &Address{ln, net.JoinHostPort(beside, port)}, nil
+	return &Address{ln, net.JoinHostPort(reservedIP, port)}, nil
 }
 
 // String returns the address in the form host:port.
 func (a *Address) String() string { return a.text }
 
 // Close ends the reservation.
-func (a *Address) Close() { a.hold.Close() }
+func (a *Address) Close() { a.listener.Close() }
--- a/internal/roster/binary.go
+++ b/internal/roster/binary.go
@@ -16,12 +16,12 @@
 // Snapshots store a complete list in a binary format: the revision, then the lines.
 // Values of variable length follow their length.
 
-// leastBinaryLine is the size in bytes of a line whose strings are empty: lengths, state,
+// minBinaryLine is the size in bytes of a line whose strings are empty: lengths, state,
 // cell and two numbers.
-const leastBinaryLine = 22
+const minBinaryLine = 22
 
-// errCut is returned for a binary list that ends inside a line.
-var errCut = errors.New("the list is truncated")
+// errTruncated is returned for a binary list that ends inside a line.
+var errTruncated = errors.New("the list is truncated")
 
 // AppendBinary appends the binary format of a complete list, without removed servers.
 func (l *List) AppendBinary(b []byte) ([]byte, error) {
@@ -78,8 +78,8 @@
 }
 
 const (
-	encodeStep  = 1024 // entries between two releases of the read lock
-	encodeTries = 4    // attempts; the last one holds the lock throughout
+	encodeYieldEvery = 1024 // entries between two releases of the read lock
+	encodeTries      = 4    // attempts; the last one holds the lock throughout
 )
 
 // Encode brings e up to date and reuses its buffers. It leaves e unchanged while parts
@@ -89,9 +89,9 @@
 	}
 }
 
-// encode returns false if the directory changed while its lock was released. With share
+// encode returns false if the directory changed while its lock was released. With yielding
 // set, it releases the lock from time to time.
-func (d *Directory) encode(e *Encoded, share bool) bool {
+func (d *Directory) encode(e *Encoded, yielding bool) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	update := d.updates
@@ -100,7 +100,7 @@
 	}
 	b := binary.AppendVarint(e.spare[:0], d.rev)
 	for i := range d.entries {
-		if share && i%encodeStep == encodeStep-1 && d.yield(update) {
+		if yielding && i%encodeYieldEvery == encodeYieldEvery-1 && d.yield(update) {
 			return d.partial
 		}
 		if s := &d.entries[i]; s.Incarnation > 0 {
@@ -131,40 +131,40 @@
 // is invalid, and uses memory in proportion to len(b).
 func ParseBinary(b []byte) (*List, error) {
 	r := binaryReader{b: b}
-	l := &List{Rev: r.varint(), All: true, Targets: make([]Target, 0, len(b)/(2*leastBinaryLine))}
-	w := words{}
-	for len(r.b) > 0 && !r.cut {
-		t := Target{UID: string(r.take()), Zone: w.share(string(r.take()))}
+	l := &List{Rev: r.varint(), All: true, Targets: make([]Target, 0, len(b)/(2*minBinaryLine))}
+	w := stringPool{}
+	for len(r.b) > 0 && !r.truncated {
+		t := Target{UID: string(r.sized()), Zone: w.intern(string(r.sized()))}
 		var addr netip.AddrPort
-		if err := addr.UnmarshalBinary(r.take()); err != nil && !r.cut {
+		if err := addr.UnmarshalBinary(r.sized()); err != nil && !r.truncated {
 			return nil, fmt.Errorf("targets[%d]: endpoint: %w", len(l.Targets), err)
 		}
 		t.Endpoint, t.Cell, t.State = addr.String(), int(r.varint()), r.state()
-		t.Weight, t.BootMS = r.figure(), r.figure()
-		if r.cut {
+		t.Weight, t.BootMS = r.number(), r.number()
+		if r.truncated {
 			break
 		}
-		if err := t.check(); err != nil {
+		if err := t.validate(); err != nil {
 			return nil, fmt.Errorf("targets[%d]: %w", len(l.Targets), err)
 		}
 		l.Targets = append(l.Targets, t)
 	}
-	if r.cut {
-		return nil, errCut
+	if r.truncated {
+		return nil, errTruncated
 	}
 	slices.SortFunc(l.Targets, func(a, b Target) int { return cmp.Compare(a.UID, b.UID) })
 	return l, nil
 }
 
-// binaryReader consumes values from b. It sets cut if a value is incomplete.
+// binaryReader consumes values from b. It sets truncated if a value is incomplete.
 type binaryReader struct {
-	b   []byte
-	cut bool
+	b         []byte
+	truncated bool
 }
 
 func (r *binaryReader) fixed(n uint64) []byte {
-	if r.cut || n > uint64(len(r.b)) {
-		r.cut, r.b = true, nil
+	if r.truncated || n > uint64(len(r.b)) {
+		r.truncated, r.b = true, nil
 		return nil
 	}
 	out := r.b[:n]
@@ -172,11 +172,11 @@
 	return out
 }
 
-// take consumes a length and as many bytes.
-func (r *binaryReader) take() []byte {
+// sized consumes a length and as many bytes.
+func (r *binaryReader) sized() []byte {
 	length, n := binary.Uvarint(r.b)
 	if n <= 0 {
-		r.cut = true
+		r.truncated = true
 	}
 	r.fixed(uint64(max(n, 0)))
 	return r.fixed(length)
@@ -185,15 +185,15 @@
 func (r *binaryReader) varint() int64 {
 	v, n := binary.Varint(r.b)
 	if n <= 0 {
-		r.cut = true
+		r.truncated = true
 	}
 	r.fixed(uint64(max(n, 0)))
 	return v
 }
 
-func (r *binaryReader) figure() float64 {
+func (r *binaryReader) number() float64 {
 	b := r.fixed(8)
-	if r.cut {
+	if r.truncated {
 		return 0
 	}
 	return math.Float64frombits(binary.BigEndian.Uint64(b))
@@ -202,10 +202,10 @@
 // state returns discovery's name of a state, or "" if it is unknown.
 func (r *binaryReader) state() string {
 	b := r.fixed(1)
-	if r.cut {
+	if r.truncated {
 		return ""
 	}
-	for name, state := range states {
+	for name, state := range statesByName {
 		if state == policy.State(b[0]) && state != policy.Removed {
 			return name
 		}
--- a/internal/roster/binary_test.go
+++ b/internal/roster/binary_test.go
@@ -10,7 +10,7 @@
 )
 
 func sampleList() *List {
-	l := fleet(40)
+	l := listOf(40)
 	l.Rev = 1 << 40
 	l.Targets[1].State = "DRAINING"
 	l.Targets[2].Endpoint = "[2001:db8::1%eth0]:443"
@@ -30,7 +30,7 @@
 	if d.Encode(&e); len(e.Bytes) != 0 {
 		t.Errorf("%d bytes before there is a list", len(e.Bytes))
 	}
-	d.Update(want, true, time.Second, ignore)
+	d.Update(want, true, time.Second, ignoreEnded)
 	d.Encode(&e)
 	for name, b := range map[string][]byte{"list": b, "directory": e.Bytes} {
 		if got, err := ParseBinary(b); err != nil || !reflect.DeepEqual(got, want) {
@@ -53,7 +53,7 @@
 		}
 		return l.Rev
 	}
-	d.Update(&List{Rev: 1}, true, 0, ignore)
+	d.Update(&List{Rev: 1}, true, 0, ignoreEnded)
 	if revision() != 1 {
 		t.Error("the first update is not in it")
 	}
@@ -62,7 +62,7 @@
 		t.Error("encoded again without an update")
 	}
 	d.SetPartial(true)
-	d.Update(&List{Rev: 2}, false, 0, ignore)
+	d.Update(&List{Rev: 2}, false, 0, ignoreEnded)
 	if revision() != 17 {
 		t.Error("a partial list was encoded")
 	}
@@ -73,8 +73,8 @@
 }
 
 // ParseBinary rejects truncated data and invalid lines. It replaces invalid numbers by 0.
-func TestBinaryRefuses(t *testing.T) {
-	one := &List{Rev: 3, Targets: fleet(1).Targets}
+func TestParseBinaryRejects(t *testing.T) {
+	one := &List{Rev: 3, Targets: listOf(1).Targets}
 	b, _ := one.AppendBinary(nil)
 	for n := range b {
 		if l, err := ParseBinary(b[:n]); err == nil && len(l.Targets) > 0 {
@@ -87,7 +87,7 @@
 		"state":      func(e *Entry) { e.State = 2 },
 	} {
 		d, e := NewDirectory(), Encoded{}
-		d.Update(one, true, 0, ignore)
+		d.Update(one, true, 0, ignoreEnded)
 		change(&d.entries[0])
 		d.Encode(&e)
 		if _, err := ParseBinary(e.Bytes); err == nil {
@@ -95,7 +95,7 @@
 		}
 	}
 	d, e := NewDirectory(), Encoded{}
-	d.Update(one, true, 0, ignore)
+	d.Update(one, true, 0, ignoreEnded)
 	d.entries[0].Weight = math.NaN()
 	d.Encode(&e)
 	if l, err := ParseBinary(e.Bytes); err != nil || l.Targets[0].Weight != 0 {
@@ -125,17 +125,17 @@
 
 // Encode yields the lock in between, so updates run concurrently. Its result must still be
 // the list after exactly one of the updates.
-func TestEncodeBesideChanges(t *testing.T) {
-	const size = 3 * encodeStep
+func TestEncodeWithConcurrentUpdates(t *testing.T) {
+	const size = 3 * encodeYieldEvery
 	d, e := NewDirectory(), Encoded{}
-	d.Update(fleet(size), true, 0, ignore)
+	d.Update(listOf(size), true, 0, ignoreEnded)
 	var changes sync.WaitGroup
 	changes.Go(func() {
 		for round := range 200 {
-			first, last := fleet(1).Targets[0], fleet(1).Targets[0]
+			first, last := listOf(1).Targets[0], listOf(1).Targets[0]
 			last.UID = "s-00000c00" // the last
 			first.Weight, last.Weight = float64(round), float64(round)
-			d.Update(&List{Rev: int64(round), Targets: []Target{first, last}}, false, 0, ignore)
+			d.Update(&List{Rev: int64(round), Targets: []Target{first, last}}, false, 0, ignoreEnded)
 		}
 	})
 	for range 50 {
--- a/internal/roster/decode.go
+++ b/internal/roster/decode.go
@@ -20,16 +20,16 @@
 
 const (
 	// Limits of a list's JSON text.
-	listPart     = 6         // the memory limit is divided by this
-	leastBytes   = 4 << 20   // for any memory limit
-	defaultBytes = 32 << 20  // without a memory limit
-	noBytes      = 1<<63 - 1 // no limit
-	bytesPerLine = 160       // typical size of a line, to derive the limit of lines
-	mostBlanks   = 1024      // whitespace bytes in a row; discovery sends none
+	memoryDivisor  = 6         // the memory limit is divided by this
+	minBytes       = 4 << 20   // for any memory limit
+	defaultBytes   = 32 << 20  // without a memory limit
+	unlimitedBytes = 1<<63 - 1 // no limit
+	bytesPerLine   = 160       // typical size of a line, to derive the limit of lines
+	maxBlanks      = 1024      // whitespace bytes in a row; discovery sends none
 
 	// Strings that lines share.
-	mostWords    = 256 // distinct strings
-	mostWordSize = 64  // bytes; longer strings are not shared
+	maxShared      = 256 // distinct strings
+	maxSharedBytes = 64  // bytes; longer strings are not shared
 
 	yieldEvery = 32 // lines between two yields to the event loop, which may share the processor
 )
@@ -39,7 +39,7 @@
 func LimitsFor(memoryMB int) Limits {
 	size := int64(defaultBytes)
 	if memoryMB > 0 {
-		size = max(leastBytes, int64(memoryMB)<<20/listPart)
+		size = max(minBytes, int64(memoryMB)<<20/memoryDivisor)
 	}
 	return Limits{Bytes: size, Lines: int(min(size/bytesPerLine, math.MaxInt32))}
 }
@@ -49,32 +49,32 @@
 	ErrTooLong = errors.New("the list is too long")
 	ErrTwice   = errors.New("duplicate uid")
 	errNoList  = errors.New("not a JSON object")
-	errBlanks  = fmt.Errorf("more than %d whitespace bytes in a row", mostBlanks)
+	errBlanks  = fmt.Errorf("more than %d whitespace bytes in a row", maxBlanks)
 )
 
 // limitedReader fails beyond its limit, where io.LimitedReader returns io.EOF. It also
 // fails at a long run of whitespace: json.Decoder scans such a run again on each read,
 // which takes quadratic time.
 type limitedReader struct {
-	from   io.Reader
-	left   int64 // bytes
-	blanks int   // whitespace bytes at the end of what was read
-	err    error // returned by all further reads
+	from      io.Reader
+	remaining int64 // bytes
+	blanks    int   // whitespace bytes at the end of what was read
+	err       error // returned by all further reads
 }
 
 func (r *limitedReader) Read(b []byte) (int, error) {
-	if r.err == nil && r.left <= 0 {
-		r.err = r.end()
+	if r.err == nil && r.remaining <= 0 {
+		r.err = r.checkEnd()
 	}
 	if r.err != nil {
 		return 0, r.err
 	}
-	n, err := r.from.Read(b[:min(int64(len(b)), r.left)])
-	r.left -= int64(n)
+	n, err := r.from.Read(b[:min(int64(len(b)), r.remaining)])
+	r.remaining -= int64(n)
 	for _, c := range b[:n] {
 		if c > ' ' {
 			r.blanks = 0
-		} else if r.blanks++; r.blanks > mostBlanks {
+		} else if r.blanks++; r.blanks > maxBlanks {
 			r.err = errBlanks
 			return 0, r.err
 		}
@@ -82,8 +82,8 @@
 	return n, err
 }
 
-// end returns ErrTooLong if the text continues beyond the limit, and io.EOF if not.
-func (r *limitedReader) end() error {
+// checkEnd returns ErrTooLong if the text continues beyond the limit, and io.EOF if not.
+func (r *limitedReader) checkEnd() error {
 	var one [1]byte
 	if n, err := io.ReadFull(r.from, one[:]); n == 0 {
 		return err
@@ -97,10 +97,10 @@
 // Decode fails if the list is incomplete, exceeds the limits, or has lines that are all
 // invalid. The error names the line, if there is one.
 func Decode(from io.Reader, limits Limits) (*List, error) {
-	d := decoder{json: json.NewDecoder(&limitedReader{from: from, left: limits.Bytes}), most: limits.Lines,
-		words: words{}, named: map[policy.ServerID]int32{}, list: List{Targets: []Target{}}}
+	d := decoder{json: json.NewDecoder(&limitedReader{from: from, remaining: limits.Bytes}),
+		maxLines: limits.Lines, pool: stringPool{}, lastLine: map[policy.ServerID]int32{}, list: List{Targets: []Target{}}}
 	if err := d.object(); err != nil {
-		return nil, whole(err)
+		return nil, noEarlyEOF(err)
 	}
 	if _, err := d.json.Token(); err != io.EOF {
 		if err == nil {
@@ -114,8 +114,8 @@
 	return &d.list, nil
 }
 
-// whole replaces an early io.EOF, which callers would take for the normal end.
-func whole(err error) error {
+// noEarlyEOF replaces an early io.EOF, which callers would take for the normal end.
+func noEarlyEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return fmt.Errorf("the list is truncated: %v", err)
 	}
@@ -124,12 +124,12 @@
 
 // decoder decodes a list from JSON text.
 type decoder struct {
-	json  *json.Decoder
-	most  int // limit of valid lines
-	words words
-	named map[policy.ServerID]int32 // index in list.Targets of the ID's last line
-	had   bool                      // the field targets was read
-	list  List
+	json     *json.Decoder
+	maxLines int // limit of valid lines
+	pool     stringPool
+	lastLine map[policy.ServerID]int32 // index in list.Targets of the ID's last line
+	hasLines bool                      // the field targets was read
+	list     List
 }
 
 // object decodes the outermost object.
@@ -192,10 +192,10 @@
 
 // lines decodes the array of lines. null stands for an empty array.
 func (d *decoder) lines() error {
-	if d.had {
+	if d.hasLines {
 		return errors.New("duplicate field")
 	}
-	d.had = true
+	d.hasLines = true
 	switch token, err := d.json.Token(); {
 	case err != nil:
 		return err
@@ -206,7 +206,7 @@
 	}
 	i := 0
 	for ; d.json.More(); i++ {
-		pause(i)
+		yieldEach(i)
 		if err := d.line(i); err != nil {
 			return fmt.Errorf("line %d: %w", i, err)
 		}
@@ -225,7 +225,7 @@
 		return err
 	}
 	if next.err == nil {
-		next.err = d.identify(i, next.target.UID)
+		next.err = d.checkUID(i, next.target.UID)
 	}
 	if next.err != nil {
 		if l.Bad++; l.Bad == 1 {
@@ -233,20 +233,20 @@
 		}
 		return nil
 	}
-	if len(l.Targets) == d.most {
-		return fmt.Errorf("%w: more than %d lines", ErrTooLong, d.most)
+	if len(l.Targets) == d.maxLines {
+		return fmt.Errorf("%w: more than %d lines", ErrTooLong, d.maxLines)
 	}
 	t := next.target
-	t.Zone, t.State = d.words.share(t.Zone), d.words.share(t.State)
+	t.Zone, t.State = d.pool.intern(t.Zone), d.pool.intern(t.State)
 	l.Targets = append(l.Targets, t)
 	return nil
 }
 
-// identify records a duplicate uid. It returns an error for a line whose ID belongs to
+// checkUID records a duplicate uid. It returns an error for a line whose ID belongs to
 // another uid, since messages between edge nodes refer to servers by their IDs.
-func (d *decoder) identify(i int, uid string) error {
+func (d *decoder) checkUID(i int, uid string) error {
 	l, id := &d.list, ID(uid)
-	if before, have := d.named[id]; have {
+	if before, have := d.lastLine[id]; have {
 		if other := l.Targets[before].UID; other != uid {
 			return fmt.Errorf("uid: %.80q and %.80q have the same ID", uid, other)
 		}
@@ -254,18 +254,18 @@
 			l.Twice = fmt.Errorf("targets[%d]: %w: %.80q", i, ErrTwice, uid)
 		}
 	}
-	d.named[id] = int32(len(l.Targets))
+	d.lastLine[id] = int32(len(l.Targets))
 	return nil
 }
 
-// words deduplicates repeated strings in bounded memory.
-type words map[string]string
+// stringPool deduplicates repeated strings in bounded memory.
+type stringPool map[string]string
 
-func (w words) share(s string) string {
+func (w stringPool) intern(s string) string {
 	if shared, ok := w[s]; ok {
 		return shared
 	}
-	if len(w) < mostWords && len(s) <= mostWordSize {
+	if len(w) < maxShared && len(s) <= maxSharedBytes {
 		w[s] = s
 	}
 	return s
@@ -280,26 +280,26 @@
 // UnmarshalJSON always returns nil, so that an invalid line doesn't end the decoding of
 // the list.
 func (l *decodedLine) UnmarshalJSON(raw []byte) error {
-	if plainNames(raw) {
+	if hasPlainNames(raw) {
 		type plain Target // without methods
 		if json.Unmarshal(raw, (*plain)(&l.target)) == nil {
-			l.err = l.target.check()
+			l.err = l.target.validate()
 			return nil
 		}
-		l.target = Target{} // read returns an error that names the field
+		l.target = Target{} // decode returns an error that names the field
 	}
-	l.err = l.target.read(raw)
+	l.err = l.target.decode(raw)
 	return nil
 }
 
-// lineNames lists the fields of a line.
-var lineNames = []string{"uid", "endpoint", "az", "pod_group", "state", "capacity_hint", "boot_ms"}
+// lineFields lists the fields of a line.
+var lineFields = []string{"uid", "endpoint", "az", "pod_group", "state", "capacity_hint", "boot_ms"}
 
-// plainNames reports whether the faster decoding into a struct gives the same result as
+// hasPlainNames reports whether the faster decoding into a struct gives the same result as
 // decoding by exact names. That holds if all names of the valid JSON object are
 // lower-case ASCII, so that none differs from a line's field in case alone, and no field
 // of a line is a duplicate.
-func plainNames(raw []byte) bool {
+func hasPlainNames(raw []byte) bool {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 || raw[0] != '{' {
 		return false
@@ -314,8 +314,8 @@
 			depth--
 		case '"':
 			end := stringEnd(raw, i)
-			if name := raw[i+1 : end]; depth == 1 && isName(raw[end+1:]) {
-				at := slices.Index(lineNames, string(name))
+			if name := raw[i+1 : end]; depth == 1 && isFieldName(raw[end+1:]) {
+				at := slices.Index(lineFields, string(name))
 				if !lowerCase(name) || at >= 0 && seen[at] {
 					return false
 				}
@@ -339,8 +339,8 @@
 	return min(i, len(raw)-1)
 }
 
-// isName reports whether a string that is followed by rest is the name of a field.
-func isName(rest []byte) bool {
+// isFieldName reports whether a string that is followed by rest is the name of a field.
+func isFieldName(rest []byte) bool {
 	rest = bytes.TrimLeft(rest, " \t\r\n")
 	return len(rest) > 0 && rest[0] == ':'
 }
--- a/internal/roster/decode_test.go
+++ b/internal/roster/decode_test.go
@@ -23,30 +23,30 @@
 	return n, nil
 }
 
-func numbered(i int) string {
-	return strings.Replace(goodLine, "s-00000001", fmt.Sprintf("s-%08x", i), 1)
+func lineOf(i int) string {
+	return strings.Replace(validLine, "s-00000001", fmt.Sprintf("s-%08x", i), 1)
 }
 
 // Decode rejects incomplete and oversize lists, and the error names the place if there is
 // one.
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejects(t *testing.T) {
 	limits := Limits{Bytes: 2000, Lines: 5}
 	var six []string
 	for i := range 6 {
-		six = append(six, numbered(i))
+		six = append(six, lineOf(i))
 	}
 	for why, c := range map[string]struct{ text, place string }{
 		"empty":             {``, "truncated"},
 		"null":              {`null`, "not a JSON object"},
-		"cut in a line":     {`{"targets":[` + numbered(1) + `,` + numbered(2)[:40], "targets: line 1"},
-		"cut behind a line": {`{"targets":[` + numbered(1) + `,`, "targets: line 1"},
-		"cut behind all":    {`{"targets":[` + numbered(1) + `]`, "truncated"},
-		"more behind it":    {`{"targets":[` + numbered(1) + `]} {}`, "data after the list"},
-		"no JSON":           {`{"targets":[` + numbered(1) + `,x]}`, "targets: line 1"},
-		"lines twice":       {`{"targets":[` + numbered(1) + `],"targets":[]}`, "targets: duplicate field"},
+		"cut in a line":     {`{"targets":[` + lineOf(1) + `,` + lineOf(2)[:40], "targets: line 1"},
+		"cut behind a line": {`{"targets":[` + lineOf(1) + `,`, "targets: line 1"},
+		"cut behind all":    {`{"targets":[` + lineOf(1) + `]`, "truncated"},
+		"more behind it":    {`{"targets":[` + lineOf(1) + `]} {}`, "data after the list"},
+		"no JSON":           {`{"targets":[` + lineOf(1) + `,x]}`, "targets: line 1"},
+		"lines twice":       {`{"targets":[` + lineOf(1) + `],"targets":[]}`, "targets: duplicate field"},
 		"too many lines":    {`{"targets":[` + strings.Join(six, ",") + `]}`, "targets: line 5"},
-		"blanks":            {`{"targets":[` + strings.Repeat(" ", mostBlanks+1) + numbered(1) + `]}`, "whitespace bytes"},
-		"too many bytes":    {`{"other":"` + strings.Repeat("x", 2000) + `","targets":[` + numbered(1) + `]}`, "too long"},
+		"blanks":            {`{"targets":[` + strings.Repeat(" ", maxBlanks+1) + lineOf(1) + `]}`, "whitespace bytes"},
+		"too many bytes":    {`{"other":"` + strings.Repeat("x", 2000) + `","targets":[` + lineOf(1) + `]}`, "too long"},
 	} {
 		l, err := Decode(strings.NewReader(c.text), limits)
 		if err == nil || !strings.Contains(err.Error(), c.place) || l != nil {
@@ -61,7 +61,7 @@
 // Decode reads endless input up to the limit and no further.
 func TestDecodeEndless(t *testing.T) {
 	limits := Limits{Bytes: 100000, Lines: 1 << 20}
-	for _, text := range []string{goodLine + ",", " ", "[", `"x":1,`, "x", `{"uid":`, "7,"} {
+	for _, text := range []string{validLine + ",", " ", "[", `"x":1,`, "x", `{"uid":`, "7,"} {
 		e := &endless{text: text}
 		for _, before := range []string{`{"targets":[`, `{"targets":[{"uid":"`, `{`, `{"more":`, `{"more":"`} {
 			_, err := Decode(io.MultiReader(strings.NewReader(before), e), limits)
@@ -75,13 +75,15 @@
 
 // Decode reports the place of a duplicate uid. It drops a line whose ID collides with that
 // of another uid.
-func TestDecodeRepeatedUID(t *testing.T) {
-	l, err := Decode(strings.NewReader(`{"targets":[`+numbered(1)+`,{},`+numbered(2)+`,`+numbered(1)+`]}`), LimitsFor(0))
+func TestDecodeDuplicateUID(t *testing.T) {
+	l, err := Decode(strings.NewReader(`{"targets":[`+lineOf(1)+`,{},`+lineOf(2)+`,`+lineOf(1)+`]}`),
+		LimitsFor(0))
 	if err != nil || !errors.Is(l.Twice, ErrTwice) || !strings.HasPrefix(l.Twice.Error(), "targets[3]: ") || l.Bad != 1 {
 		t.Errorf("%+v, %v", l, err)
 	}
 	other := fmt.Sprintf("s-%08X", 0xabcdef01) // the same number in upper case
-	lines := strings.Replace(goodLine, "s-00000001", "s-abcdef01", 1) + "," + strings.Replace(goodLine, "s-00000001", other, 1)
+	lines := strings.Replace(validLine, "s-00000001", "s-abcdef01", 1) + "," +
+		strings.Replace(validLine, "s-00000001", other, 1)
 	l, err = Decode(strings.NewReader(`{"targets":[`+lines+`]}`), LimitsFor(0))
 	if err != nil || l.Twice != nil || len(l.Targets) != 1 || l.Bad != 1 || !strings.HasPrefix(l.BadWhy.Error(), "targets[1]: uid: ") {
 		t.Errorf("%+v, %v", l, err)
@@ -91,12 +93,12 @@
 // Repeated strings share memory, and the table of shared strings is bounded.
 func TestDecodeSharesStrings(t *testing.T) {
 	var lines []string
-	for i := range 2 * mostWords {
+	for i := range 2 * maxShared {
 		zone := "zone-1"
 		if i >= 2 {
 			zone = fmt.Sprint("zone-", i)
 		}
-		lines = append(lines, strings.Replace(numbered(i), `"a"`, `"`+zone+`"`, 1))
+		lines = append(lines, strings.Replace(lineOf(i), `"a"`, `"`+zone+`"`, 1))
 	}
 	l, err := Decode(strings.NewReader(`{"targets":[`+strings.Join(lines, ",")+`]}`), LimitsFor(0))
 	if err != nil {
@@ -106,19 +108,20 @@
 	if unsafe.StringData(a.Zone) != unsafe.StringData(b.Zone) || unsafe.StringData(a.State) != unsafe.StringData(b.State) {
 		t.Error("equal zones or states don't share memory")
 	}
-	w := words{}
-	for i := range 2 * mostWords {
-		w.share(fmt.Sprint(i))
+	w := stringPool{}
+	for i := range 2 * maxShared {
+		w.intern(fmt.Sprint(i))
 	}
-	w.share(strings.Repeat("x", mostWordSize+1))
-	if len(w) != mostWords {
+	w.intern(strings.Repeat("x", maxSharedBytes+1))
+	if len(w) != maxShared {
 		t.Errorf("%d strings in the table", len(w))
 	}
 }
 
 // The limits are proportional to the memory limit, with a minimum.
 func TestLimitsFor(t *testing.T) {
-	for memory, want := range map[int]int64{0: defaultBytes, 1: leastBytes, 192: 32 << 20, 1 << 24: 1 << 44 / listPart} {
+	for memory, want := range map[int]int64{0: defaultBytes, 1: minBytes, 192: 32 << 20,
+		1 << 24: 1 << 44 / memoryDivisor} {
 		if l := LimitsFor(memory); l.Bytes != want || l.Lines < 1 || int64(l.Lines) > l.Bytes/bytesPerLine {
 			t.Errorf("%d MiB: %+v", memory, l)
 		}
@@ -127,7 +130,8 @@
 
 // Both ways to decode a line give the same result for any text.
 func FuzzLine(f *testing.F) {
-	for _, text := range []string{goodLine, `{}`, `null`, `7`, `{"uid":"a","UID":"b","state":"DELETED"}`, `{"uid":"a","uid":null,"state":"DELETED"}`,
+	for _, text := range []string{validLine, `{}`, `null`, `7`, `{"uid":"a","UID":"b","state":"DELETED"}`,
+		`{"uid":"a","uid":null,"state":"DELETED"}`,
 		`{"uid":"a","more":{"uid":"b","x":["}\""]},"state":"DELETED"}`, `{"u\u0069d":"a","state":"DELETED"}`, `{"uid":"a\\","state":"DELETED","\u017ftate":"x"}`,
 		` { "uid" : "s-1" , "state" : "DELETED" , "weight" : -1e400 }`} {
 		f.Add([]byte(text))
@@ -141,7 +145,7 @@
 			t.Fatal(err)
 		}
 		var exact Target
-		err := exact.read(raw)
+		err := exact.decode(raw)
 		if (err == nil) != (quick.err == nil) || err == nil && !reflect.DeepEqual(exact, quick.target) {
 			t.Fatalf("%+v, %v; by exact names %+v, %v", quick.target, quick.err, exact, err)
 		}
@@ -156,7 +160,7 @@
 		if i > 0 {
 			text.WriteByte(',')
 		}
-		text.WriteString(numbered(i))
+		text.WriteString(lineOf(i))
 	}
 	text.WriteString(`]}`)
 	b.SetBytes(int64(text.Len()))
--- a/internal/roster/directory.go
+++ b/internal/roster/directory.go
@@ -26,8 +26,8 @@
 	Incarnation uint64
 }
 
-// same reports whether a line equals the entry.
-func (e *Entry) same(t *Target, addr netip.AddrPort) bool {
+// equals reports whether a line equals the entry.
+func (e *Entry) equals(t *Target, addr netip.AddrPort) bool {
 	return e.UID == t.UID && e.Zone == t.Zone && e.Addr == addr && e.BootMS == t.BootMS &&
 		e.Weight == t.Weight && e.Cell == t.Cell && e.State == t.PolicyState()
 }
@@ -42,14 +42,14 @@
 	index        map[policy.ServerID]int32
 	entries      []Entry
 	free         []int32 // indexes of unused entries
-	zones        words
+	zones        stringPool
 	incarnations uint64
-	looked       int // entries that Update visited, for tests
+	visited      int // entries that Update visited, for tests
 }
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
-	return &Directory{index: map[policy.ServerID]int32{}, zones: words{}}
+	return &Directory{index: map[policy.ServerID]int32{}, zones: stringPool{}}
 }
 
 // Len returns the number of servers.
@@ -83,7 +83,7 @@
 		seen = make([]bool, len(d.entries), len(d.entries)+len(l.Targets))
 	}
 	for i := range l.Targets {
-		at := d.take(&l.Targets[i], now, ended)
+		at := d.apply(&l.Targets[i], now, ended)
 		if whole && at >= 0 {
 			for int(at) >= len(seen) {
 				seen = append(seen, false)
@@ -92,28 +92,28 @@
 		}
 	}
 	for at := range seen {
-		d.looked++
+		d.visited++
 		if !seen[at] && d.entries[at].Incarnation > 0 {
-			d.drop(int32(at), ended)
+			d.remove(int32(at), ended)
 		}
 	}
 }
 
-// take applies one line and returns the index of the server's entry, or -1 if the server
+// apply applies one line and returns the index of the server's entry, or -1 if the server
 // is removed.
-func (d *Directory) take(t *Target, now time.Duration, ended func(policy.ServerID)) int32 {
-	d.looked++
+func (d *Directory) apply(t *Target, now time.Duration, ended func(policy.ServerID)) int32 {
+	d.visited++
 	id := ID(t.UID)
 	at, listed := d.index[id]
 	if t.State == Gone {
 		if listed && d.entries[at].UID == t.UID {
-			d.drop(at, ended)
+			d.remove(at, ended)
 		}
 		return -1
 	}
 	addr, _ := netip.ParseAddrPort(t.Endpoint) // dialing the zero address fails
 	if !listed {
-		at = d.room()
+		at = d.allocate()
 		d.index[id] = at
 	}
 	e := &d.entries[at]
@@ -127,12 +127,12 @@
 		e.Since = now
 		ended(id)
 	}
-	e.UID, e.Zone, e.Weight, e.Cell, e.State = t.UID, d.zones.share(t.Zone), t.Weight, t.Cell, state
+	e.UID, e.Zone, e.Weight, e.Cell, e.State = t.UID, d.zones.intern(t.Zone), t.Weight, t.Cell, state
 	return at
 }
 
-// room returns the index of an unused entry.
-func (d *Directory) room() int32 {
+// allocate returns the index of an unused entry.
+func (d *Directory) allocate() int32 {
 	if last := len(d.free) - 1; last >= 0 {
 		at := d.free[last]
 		d.free = d.free[:last]
@@ -142,7 +142,7 @@
 	return int32(len(d.entries) - 1)
 }
 
-func (d *Directory) drop(at int32, ended func(policy.ServerID)) {
+func (d *Directory) remove(at int32, ended func(policy.ServerID)) {
 	id := ID(d.entries[at].UID)
 	ended(id)
 	delete(d.index, id)
@@ -159,7 +159,7 @@
 	seen := make([]bool, len(d.entries))
 	out := l.Targets[:0]
 	for i := range l.Targets {
-		pause(i)
+		yieldEach(i)
 		t := l.Targets[i]
 		if t.State == Gone {
 			continue
@@ -169,12 +169,12 @@
 		if listed {
 			seen[at] = true
 		}
-		if !listed || !d.entries[at].same(&t, addr) {
+		if !listed || !d.entries[at].equals(&t, addr) {
 			out = append(out, t)
 		}
 	}
 	for at := range seen {
-		pause(at)
+		yieldEach(at)
 		if e := &d.entries[at]; !seen[at] && e.Incarnation > 0 {
 			out = append(out, Target{UID: e.UID, State: Gone})
 		}
@@ -189,8 +189,8 @@
 	slices.SortStableFunc(lines, func(a, b Target) int { return int(b.PolicyState()) - int(a.PolicyState()) })
 }
 
-// pause yields the processor to the event loop every yieldEvery steps.
-func pause(i int) {
+// yieldEach yields the processor to the event loop every yieldEvery steps.
+func yieldEach(i int) {
 	if i%yieldEvery == yieldEvery-1 {
 		runtime.Gosched()
 	}
--- a/internal/roster/directory_test.go
+++ b/internal/roster/directory_test.go
@@ -11,7 +11,7 @@
 	"valvering.example/valvering/policy"
 )
 
-func fleet(n int) *List {
+func listOf(n int) *List {
 	l := &List{Rev: 1, All: true}
 	for i := range n {
 		l.Targets = append(l.Targets, Target{UID: fmt.Sprintf("s-%08x", i+1), Endpoint: fmt.Sprintf("10.%d.%d.%d:80", i>>16, i>>8&255, i&255),
@@ -20,22 +20,22 @@
 	return l
 }
 
-func ignore(policy.ServerID) {}
+func ignoreEnded(policy.ServerID) {}
 
 // An update with changes visits one entry for each line, whatever the number of servers.
-func TestChangeCostsItsLines(t *testing.T) {
+func TestUpdateVisitsChangedLinesOnly(t *testing.T) {
 	for _, size := range []int{200, 2000, 56000} {
 		d := NewDirectory()
-		d.Update(fleet(size), true, 0, ignore)
+		d.Update(listOf(size), true, 0, ignoreEnded)
 		for _, lines := range []int{1, 100} {
-			changed := fleet(size).Targets[:lines]
+			changed := listOf(size).Targets[:lines]
 			for i := range changed {
 				changed[i].State = "DRAINING"
 			}
-			d.looked = 0
-			d.Update(&List{Rev: 2, Targets: changed}, false, 0, ignore)
-			if d.looked != lines {
-				t.Errorf("%d servers, %d lines: %d entries visited", size, lines, d.looked)
+			d.visited = 0
+			d.Update(&List{Rev: 2, Targets: changed}, false, 0, ignoreEnded)
+			if d.visited != lines {
+				t.Errorf("%d servers, %d lines: %d entries visited", size, lines, d.visited)
 			}
 		}
 	}
@@ -43,9 +43,9 @@
 
 // The changes that Difference returns lead to the same directory as the complete list.
 // Lines of removed and draining servers come first.
-func TestDifferenceLeadsToTheList(t *testing.T) {
+func TestDifferenceYieldsTheList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 11))
-	d, reference, all := NewDirectory(), map[string]Target{}, fleet(300).Targets
+	d, reference, all := NewDirectory(), map[string]Target{}, listOf(300).Targets
 	for round := range 60 {
 		next := &List{Rev: int64(round), All: true}
 		for _, line := range all {
@@ -72,7 +72,7 @@
 		}
 		for len(changes) > 0 {
 			part := changes[:min(7, len(changes))]
-			d.Update(&List{Rev: int64(round), Targets: part}, false, time.Second, ignore)
+			d.Update(&List{Rev: int64(round), Targets: part}, false, time.Second, ignoreEnded)
 			changes = changes[len(part):]
 		}
 		if d.Len() != len(reference) {
@@ -93,8 +93,8 @@
 
 // Update reports each server whose process ended or drains, and a new process gets a new
 // incarnation.
-func TestDirectoryTellsOfEnds(t *testing.T) {
-	one := fleet(1).Targets[0]
+func TestUpdateReportsEndedProcesses(t *testing.T) {
+	one := listOf(1).Targets[0]
 	with := func(change func(*Target)) *List {
 		line := one
 		change(&line)
@@ -116,7 +116,7 @@
 		"another's end": {&List{Targets: []Target{{UID: "s-0000001x", State: Gone}}}, false, false, true, false},
 	} {
 		d := NewDirectory()
-		d.Update(fleet(1), true, 0, ignore)
+		d.Update(listOf(1), true, 0, ignoreEnded)
 		before, _ := d.Find(1)
 		ended := false
 		d.Update(c.next, c.whole, time.Second, func(id policy.ServerID) { ended = ended || id == 1 })
@@ -134,15 +134,15 @@
 func BenchmarkDirectory(b *testing.B) {
 	const size, part = 56000, 256
 	d, e := NewDirectory(), Encoded{}
-	d.Update(fleet(size), true, 0, ignore)
-	lines := [2]*List{{Targets: fleet(part).Targets}, {Targets: fleet(part).Targets}}
+	d.Update(listOf(size), true, 0, ignoreEnded)
+	lines := [2]*List{{Targets: listOf(part).Targets}, {Targets: listOf(part).Targets}}
 	for i := range part {
 		lines[1].Targets[i].State = "DRAINING"
 	}
-	turn := 0
+	round := 0
 	update := func(n int) {
-		turn++
-		d.Update(&List{Targets: lines[turn%2].Targets[:n]}, false, 0, ignore)
+		round++
+		d.Update(&List{Targets: lines[round%2].Targets[:n]}, false, 0, ignoreEnded)
 	}
 	b.Run("line", func(b *testing.B) {
 		for b.Loop() {
@@ -161,7 +161,7 @@
 		}
 		b.ReportMetric(float64(len(e.Bytes))/size, "bytes/server")
 	})
-	same := fleet(size).Targets
+	same := listOf(size).Targets
 	b.Run("difference", func(b *testing.B) {
 		for b.Loop() {
 			d.Difference(&List{Targets: slices.Clone(same)})
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -47,8 +47,8 @@
 // also accepts names that differ in case, which may be unrelated fields.
 type fields map[string]json.RawMessage
 
-// take decodes one field. An absent or null field leaves the target unchanged.
-func (f fields) take(name string, to any) error {
+// decode decodes one field. An absent or null field leaves the target unchanged.
+func (f fields) decode(name string, to any) error {
 	if raw := f[name]; len(raw) > 0 {
 		if err := json.Unmarshal(raw, to); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
@@ -59,7 +59,7 @@
 
 // UnmarshalJSON decodes a list that is already in memory, so without limits.
 func (l *List) UnmarshalJSON(data []byte) error {
-	out, err := Decode(bytes.NewReader(data), Limits{Bytes: noBytes, Lines: math.MaxInt32})
+	out, err := Decode(bytes.NewReader(data), Limits{Bytes: unlimitedBytes, Lines: math.MaxInt32})
 	if err != nil {
 		return err
 	}
@@ -67,32 +67,32 @@
 	return nil
 }
 
-// read decodes a line by its exact field names and validates it.
-func (t *Target) read(raw []byte) error {
+// decode decodes a line by its exact field names and validates it.
+func (t *Target) decode(raw []byte) error {
 	var f fields
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return err
 	}
-	if err := errors.Join(f.take("uid", &t.UID), f.take("endpoint", &t.Endpoint), f.take("az", &t.Zone),
-		f.take("pod_group", &t.Cell), f.take("state", &t.State), f.take("capacity_hint", &t.Weight),
-		f.take("boot_ms", &t.BootMS)); err != nil {
+	if err := errors.Join(f.decode("uid", &t.UID), f.decode("endpoint", &t.Endpoint), f.decode("az", &t.Zone),
+		f.decode("pod_group", &t.Cell), f.decode("state", &t.State), f.decode("capacity_hint", &t.Weight),
+		f.decode("boot_ms", &t.BootMS)); err != nil {
 		return err
 	}
-	return t.check()
+	return t.validate()
 }
 
-// check returns the reason why a line is invalid, if any. It sets numbers that are
+// validate returns the reason why a line is invalid, if any. It sets numbers that are
 // out of range to 0.
-func (t *Target) check() error {
+func (t *Target) validate() error {
 	for _, v := range []*float64{&t.Weight, &t.BootMS} {
-		if !(*v >= 0 && *v <= mostFigure) { // also true for NaN
+		if !(*v >= 0 && *v <= maxNumber) { // also true for NaN
 			*v = 0 // unknown
 		}
 	}
 	if t.UID == "" {
 		return fmt.Errorf("uid: missing, endpoint %q", t.Endpoint)
 	}
-	if _, ok := states[t.State]; !ok {
+	if _, ok := statesByName[t.State]; !ok {
 		return fmt.Errorf("state: unknown value %q", t.State)
 	}
 	if t.State == Gone {
@@ -104,14 +104,14 @@
 	return nil
 }
 
-// mostFigure is the largest valid number. As Unix milliseconds it is in the year 2255,
+// maxNumber is the largest valid number. As Unix milliseconds it is in the year 2255,
 // which a time.Duration in nanoseconds can still represent.
-const mostFigure = 9e12
+const maxNumber = 9e12
 
 // Gone is the state of a server that was removed from the list.
 const Gone = "DELETED"
 
-var states = map[string]policy.State{"SERVING": policy.Running, "DRAINING": policy.Draining,
+var statesByName = map[string]policy.State{"SERVING": policy.Running, "DRAINING": policy.Draining,
 	Gone: policy.Removed}
 
 // ID returns the server's ID. It depends on the uid alone, since messages between
@@ -128,11 +128,11 @@
 }
 
 // PolicyState converts the state for package policy.
-func (t *Target) PolicyState() policy.State { return states[t.State] }
+func (t *Target) PolicyState() policy.State { return statesByName[t.State] }
 
 // Server converts a line for package policy. Its clock counts from the Unix epoch, so
 // the start time needs no offset.
 func (t *Target) Server() policy.Server {
-	return policy.Server{ID: ID(t.UID), Zone: wire.Word(t.Zone), Cell: t.Cell, State: states[t.State],
+	return policy.Server{ID: ID(t.UID), Zone: wire.Word(t.Zone), Cell: t.Cell, State: statesByName[t.State],
 		HasStart: t.BootMS > 0, Start: time.Duration(t.BootMS * float64(time.Millisecond)), Weight: t.Weight}
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -17,14 +17,14 @@
 	}
 }
 
-const goodLine = `{"uid":"s-00000001","endpoint":"127.0.0.1:1","az":"a","pod_group":3,"state":"SERVING","capacity_hint":1.5,"boot_ms":9}`
+const validLine = `{"uid":"s-00000001","endpoint":"127.0.0.1:1","az":"a","pod_group":3,"state":"SERVING","capacity_hint":1.5,"boot_ms":9}`
 
 // Lists are untrusted. Invalid lines are counted and don't affect the other lines.
-func TestBadLines(t *testing.T) {
+func TestInvalidLines(t *testing.T) {
 	want := Target{UID: "s-00000001", Endpoint: "127.0.0.1:1", Zone: "a", Cell: 3, State: "SERVING", Weight: 1.5, BootMS: 9}
 	for why, c := range map[string]struct {
 		from, to string
-		good     bool
+		valid    bool
 	}{
 		"no uid":              {`"s-00000001"`, `""`, false},
 		"uid null":            {`"s-00000001"`, `null`, false},
@@ -34,14 +34,15 @@
 		"cell of another":     {`"pod_group":3`, `"pod_group":"three"`, false},
 		"other names":         {`"pod_group":3`, `"pod_group":3,"UID":8,"State":"DRAINING","BOOT_MS":{},"endPoint":"x","more":[]`, true},
 	} {
-		line := strings.Replace(goodLine, c.from, c.to, 1)
+		line := strings.Replace(validLine, c.from, c.to, 1)
 		var l List
-		err := json.Unmarshal([]byte(`{"rev":4,"Rev":"x","ALL":7,"all":true,"targets":[`+line+`,`+goodLine+`,{"uid":"s-2","state":"DELETED"}]}`), &l)
-		if n := len(l.Targets); err != nil || l.Rev != 4 || !l.All || (n == 3) != c.good || l.Bad != 3-n || (l.BadWhy == nil) != c.good || l.Targets[0] != want {
+		err := json.Unmarshal([]byte(`{"rev":4,"Rev":"x","ALL":7,"all":true,"targets":[`+line+`,`+validLine+`,{"uid":"s-2","state":"DELETED"}]}`), &l)
+		if n := len(l.Targets); err != nil || l.Rev != 4 || !l.All || (n == 3) != c.valid ||
+			l.Bad != 3-n || (l.BadWhy == nil) != c.valid || l.Targets[0] != want {
 			t.Errorf("%s: %+v, %v", why, l, err)
 		}
 	}
-	line := strings.NewReplacer("1.5", "-1", ":9}", ":1e300}").Replace(goodLine)
+	line := strings.NewReplacer("1.5", "-1", ":9}", ":1e300}").Replace(validLine)
 	var l List
 	if err := json.Unmarshal([]byte(`{"targets":[`+line+`]}`), &l); err != nil || l.Targets[0].Weight != 0 || l.Targets[0].Server().HasStart {
 		t.Errorf("%+v, %v: invalid numbers were not replaced by 0", l, err)
@@ -55,7 +56,7 @@
 
 // Any list is rejected or converts to valid servers of package policy.
 func FuzzList(f *testing.F) {
-	f.Add([]byte(`{"rev":3,"all":true,"targets":[` + goodLine + `]}`))
+	f.Add([]byte(`{"rev":3,"all":true,"targets":[` + validLine + `]}`))
 	f.Add([]byte(`{"targets":[{"uid":"x","state":"DELETED","boot_ms":1e308}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var l List
--- a/internal/snapshot/clock.go
+++ b/internal/snapshot/clock.go
@@ -11,11 +11,11 @@
 type Moment struct {
 	Wall time.Time
 	Boot string        // the kernel's boot ID; empty: unknown
-	Up   time.Duration // uptime since that boot, in steps of upStep
+	Up   time.Duration // uptime since that boot, in steps of uptimeStep
 }
 
-// upStep is the resolution of the kernel's uptime.
-const upStep = 10 * time.Millisecond
+// uptimeStep is the resolution of the kernel's uptime.
+const uptimeStep = 10 * time.Millisecond
 
 // Now reads the clocks.
 func Now() Moment {
@@ -44,9 +44,9 @@
 	switch {
 	case m.Boot == "" || then.Boot == "":
 	case m.Boot == then.Boot:
-		d = min(d, m.Up-then.Up-upStep)
+		d = min(d, m.Up-then.Up-uptimeStep)
 	default:
-		d = min(d, m.Up-upStep)
+		d = min(d, m.Up-uptimeStep)
 	}
 	return max(0, d)
 }
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -8,7 +8,7 @@
 // failures.
 //
 // Files are untrusted. Decode returns a complete State or an error, and uses memory in
-// proportion to the size of the file, which is at most mostFile.
+// proportion to the size of the file, which is at most maxFileBytes.
 package snapshot
 
 import (
@@ -53,40 +53,40 @@
 
 const (
 	// Format of a file.
-	magic   = "valvsnap"
-	version = 1
-	trailer = 4 // bytes of the CRC-32C
+	magic        = "valvsnap"
+	version      = 1
+	trailerBytes = 4 // bytes of the CRC-32C
 
 	// Limits in bytes.
-	mostFile = 64 << 20 // 56,000 servers take 3 MB for the list and 3 MB for their health
-	mostName = 255
+	maxFileBytes = 64 << 20 // 56,000 servers take 3 MB for the list and 3 MB for their health
+	maxNameBytes = 255
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Kinds of sections. Decode ignores kinds that it doesn't know.
 const (
-	sectionTaken = iota + 1
-	sectionList  // the list as JSON, written by earlier versions
+	sectionTaken    = iota + 1
+	sectionJSONList // the list as JSON, written by earlier versions
 	sectionCurrent
 	sectionBefore
-	sectionLeft
+	sectionRolledBack
 	sectionServers
-	sectionStores // token buckets
-	sectionLines  // the list in its binary format
+	sectionTokens     // token buckets
+	sectionBinaryList // the list in its binary format
 )
 
 // Encode returns a file: magic, version, name, incarnation, sequence, length of the
 // sections, sections, CRC-32C of everything before.
 func Encode(s *State) ([]byte, error) {
-	if len(s.Name) > mostName {
+	if len(s.Name) > maxNameBytes {
 		return nil, fmt.Errorf("the name has %d bytes", len(s.Name))
 	}
-	lines, err := s.lines()
+	lines, err := s.binaryList()
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	w := writer{b: append(make([]byte, 0, 1<<16+len(lines)+len(s.Current.Raw)+len(s.Before.Raw)), magic...)}
+	w := encoder{b: append(make([]byte, 0, 1<<16+len(lines)+len(s.Current.Raw)+len(s.Before.Raw)), magic...)}
 	w.u16(version)
 	w.text(s.Name)
 	w.u64(s.Incarnation)
@@ -99,16 +99,16 @@
 			w.bool(s.Clean)
 		})
 		if len(lines) > 0 {
-			w.section(sectionLines, func() { w.b = append(w.b, lines...) })
+			w.section(sectionBinaryList, func() { w.b = append(w.b, lines...) })
 		}
 		w.section(sectionCurrent, func() { w.generation(&s.Current) })
 		if s.Before.Number > 0 {
 			w.section(sectionBefore, func() { w.generation(&s.Before) })
 		}
-		w.section(sectionLeft, func() { w.text(s.Left) })
+		w.section(sectionRolledBack, func() { w.text(s.Left) })
 		w.section(sectionServers, func() { w.servers(s.Memory.Servers) })
 		if s.Memory.Tokens != nil {
-			w.section(sectionStores, func() {
+			w.section(sectionTokens, func() {
 				for key, v := range s.Memory.Tokens {
 					w.u64(key)
 					w.f64(v)
@@ -116,14 +116,14 @@
 			})
 		}
 	})
-	if len(w.b) > mostFile-trailer {
+	if len(w.b) > maxFileBytes-trailerBytes {
 		return nil, fmt.Errorf("the snapshot has %d bytes", len(w.b))
 	}
 	return binary.BigEndian.AppendUint32(w.b, crc32.Checksum(w.b, castagnoli)), nil
 }
 
-// lines returns the list in its binary format.
-func (s *State) lines() ([]byte, error) {
+// binaryList returns the list in its binary format.
+func (s *State) binaryList() ([]byte, error) {
 	switch {
 	case s.Lines != nil:
 		return s.Lines(), nil
@@ -133,15 +133,15 @@
 	return nil, nil
 }
 
-// writer appends fields to b.
-type writer struct{ b []byte }
+// encoder appends fields to b.
+type encoder struct{ b []byte }
 
-func (w *writer) u16(v uint16)  { w.b = binary.BigEndian.AppendUint16(w.b, v) }
-func (w *writer) u32(v uint32)  { w.b = binary.BigEndian.AppendUint32(w.b, v) }
-func (w *writer) u64(v uint64)  { w.b = binary.BigEndian.AppendUint64(w.b, v) }
-func (w *writer) f64(v float64) { w.u64(math.Float64bits(v)) }
-func (w *writer) text(s string) { w.u16(uint16(len(s))); w.b = append(w.b, s...) }
-func (w *writer) bool(v bool) {
+func (w *encoder) u16(v uint16)  { w.b = binary.BigEndian.AppendUint16(w.b, v) }
+func (w *encoder) u32(v uint32)  { w.b = binary.BigEndian.AppendUint32(w.b, v) }
+func (w *encoder) u64(v uint64)  { w.b = binary.BigEndian.AppendUint64(w.b, v) }
+func (w *encoder) f64(v float64) { w.u64(math.Float64bits(v)) }
+func (w *encoder) text(s string) { w.u16(uint16(len(s))); w.b = append(w.b, s...) }
+func (w *encoder) bool(v bool) {
 	if v {
 		w.b = append(w.b, 1)
 	} else {
@@ -150,35 +150,35 @@
 }
 
 // sized writes a length and then the bytes that fill writes.
-func (w *writer) sized(fill func()) {
+func (w *encoder) sized(fill func()) {
 	at := len(w.b)
 	w.u32(0)
 	fill()
 	binary.BigEndian.PutUint32(w.b[at:], uint32(len(w.b)-at-4))
 }
 
-func (w *writer) section(kind uint16, fill func()) {
+func (w *encoder) section(kind uint16, fill func()) {
 	w.u16(kind)
 	w.sized(fill)
 }
 
-func (w *writer) generation(g *Generation) {
+func (w *encoder) generation(g *Generation) {
 	w.u64(g.Number)
 	w.u64(uint64(g.Time.UnixNano()))
 	w.text(g.Digest)
 	w.b = append(w.b, g.Raw...)
 }
 
-func (w *writer) servers(list []policy.ServerMemory) {
+func (w *encoder) servers(list []policy.ServerMemory) {
 	for i := range list {
-		k := &list[i]
-		w.u32(uint32(k.ID))
-		w.bool(k.HasStart)
-		w.u64(uint64(k.Start))
-		w.f64(k.Slow)
-		w.f64(k.Pace)
-		w.u16(uint16(len(k.Faults)))
-		for _, f := range k.Faults {
+		m := &list[i]
+		w.u32(uint32(m.ID))
+		w.bool(m.HasStart)
+		w.u64(uint64(m.Start))
+		w.f64(m.Slow)
+		w.f64(m.Pace)
+		w.u16(uint16(len(m.Faults)))
+		for _, f := range m.Faults {
 			w.text(f.Class)
 			w.f64(f.Errs)
 			w.u64(uint64(f.Bad))
@@ -188,33 +188,33 @@
 
 // Decode parses a file of the edge node with this name.
 func Decode(b []byte, name string) (*State, error) {
-	r := reader{b: b}
+	r := decoder{b: b}
 	if string(r.take(len(magic))) != magic {
 		return nil, fmt.Errorf("%w: no snapshot magic", ErrDamaged)
 	}
 	v := r.u16()
-	if r.bad || len(b) < trailer {
+	if r.invalid || len(b) < trailerBytes {
 		return nil, fmt.Errorf("%w: only %d bytes", ErrDamaged, len(b))
 	}
 	if v > version {
 		return nil, fmt.Errorf("%w: %d", ErrNewer, v) // a newer format may have another trailer
 	}
-	body := b[:len(b)-trailer]
+	body := b[:len(b)-trailerBytes]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(b[len(body):]) {
 		return nil, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
-	r.b = r.b[:len(r.b)-trailer]
+	r.b = r.b[:len(r.b)-trailerBytes]
 	s := &State{Name: r.text(), Incarnation: r.u64(), Sequence: r.u64()}
-	if int(r.u32()) != len(r.b) || r.bad || v != version {
+	if int(r.u32()) != len(r.b) || r.invalid || v != version {
 		return nil, fmt.Errorf("%w: length mismatch", ErrDamaged)
 	}
 	if s.Name != name {
 		return nil, fmt.Errorf("%w: %q", ErrForeign, s.Name)
 	}
 	for len(r.b) > 0 {
-		kind, part := r.u16(), reader{}
+		kind, part := r.u16(), decoder{}
 		part.b = r.take(int(r.u32()))
-		if r.bad || !s.read(kind, &part) {
+		if r.invalid || !s.read(kind, &part) {
 			return nil, fmt.Errorf("%w: invalid section %d", ErrDamaged, kind)
 		}
 	}
@@ -222,17 +222,17 @@
 }
 
 // read decodes one section and reports whether it is valid.
-func (s *State) read(kind uint16, r *reader) bool {
+func (s *State) read(kind uint16, r *decoder) bool {
 	switch kind {
 	case sectionTaken:
 		s.Taken = Moment{Wall: time.Unix(0, int64(r.u64())), Up: time.Duration(r.u64()), Boot: r.text()}
 		s.Clean = r.bool()
-	case sectionList:
+	case sectionJSONList:
 		if json.Unmarshal(r.b, &s.List) != nil || s.List != nil && s.List.Bad > 0 {
 			return false
 		}
 		return true
-	case sectionLines:
+	case sectionBinaryList:
 		var err error
 		s.List, err = roster.ParseBinary(r.b)
 		return err == nil
@@ -240,15 +240,15 @@
 		s.Current = r.generation()
 	case sectionBefore:
 		s.Before = r.generation()
-	case sectionLeft:
+	case sectionRolledBack:
 		s.Left = r.text()
 	case sectionServers:
-		for len(r.b) > 0 && !r.bad {
+		for len(r.b) > 0 && !r.invalid {
 			s.Memory.Servers = append(s.Memory.Servers, r.server())
 		}
-	case sectionStores:
+	case sectionTokens:
 		s.Memory.Tokens = make(map[uint64]float64, len(r.b)/16)
-		for len(r.b) > 0 && !r.bad {
+		for len(r.b) > 0 && !r.invalid {
 			key, v := r.u64(), r.f64()
 			if !(v >= 0) { // also true for NaN
 				return false
@@ -258,18 +258,18 @@
 	default:
 		return true
 	}
-	return !r.bad && len(r.b) == 0
+	return !r.invalid && len(r.b) == 0
 }
 
-// reader consumes fields from b. It sets bad if a field is incomplete or invalid.
-type reader struct {
-	b   []byte
-	bad bool
+// decoder consumes fields from b. It sets invalid if a field is incomplete or invalid.
+type decoder struct {
+	b       []byte
+	invalid bool
 }
 
-func (r *reader) take(n int) []byte {
-	if r.bad || n < 0 || n > len(r.b) {
-		r.bad, r.b = true, nil
+func (r *decoder) take(n int) []byte {
+	if r.invalid || n < 0 || n > len(r.b) {
+		r.invalid, r.b = true, nil
 		return nil
 	}
 	out := r.b[:n]
@@ -277,38 +277,38 @@
 	return out
 }
 
-func (r *reader) number(n int) (v uint64) {
+func (r *decoder) number(n int) (v uint64) {
 	for _, c := range r.take(n) {
 		v = v<<8 | uint64(c)
 	}
 	return v
 }
 
-func (r *reader) u16() uint16  { return uint16(r.number(2)) }
-func (r *reader) u32() uint32  { return uint32(r.number(4)) }
-func (r *reader) u64() uint64  { return r.number(8) }
-func (r *reader) f64() float64 { return math.Float64frombits(r.u64()) }
-func (r *reader) text() string { return string(r.take(int(r.u16()))) }
+func (r *decoder) u16() uint16  { return uint16(r.number(2)) }
+func (r *decoder) u32() uint32  { return uint32(r.number(4)) }
+func (r *decoder) u64() uint64  { return r.number(8) }
+func (r *decoder) f64() float64 { return math.Float64frombits(r.u64()) }
+func (r *decoder) text() string { return string(r.take(int(r.u16()))) }
 
-func (r *reader) bool() bool {
+func (r *decoder) bool() bool {
 	v := r.number(1)
-	r.bad = r.bad || v > 1
+	r.invalid = r.invalid || v > 1
 	return v == 1
 }
 
-func (r *reader) generation() Generation {
+func (r *decoder) generation() Generation {
 	g := Generation{Number: r.u64(), Time: time.Unix(0, int64(r.u64())), Digest: r.text()}
 	g.Raw = bytes.Clone(r.b)
 	r.b = nil
 	return g
 }
 
-func (r *reader) server() policy.ServerMemory {
-	k := policy.ServerMemory{ID: policy.ServerID(r.u32()), HasStart: r.bool(), Start: time.Duration(r.u64()),
+func (r *decoder) server() policy.ServerMemory {
+	m := policy.ServerMemory{ID: policy.ServerID(r.u32()), HasStart: r.bool(), Start: time.Duration(r.u64()),
 		Slow: r.f64(), Pace: r.f64()}
-	for n := r.u16(); n > 0 && !r.bad; n-- {
-		k.Faults = append(k.Faults, policy.FaultMemory{Class: r.text(), Errs: r.f64(),
+	for n := r.u16(); n > 0 && !r.invalid; n-- {
+		m.Faults = append(m.Faults, policy.FaultMemory{Class: r.text(), Errs: r.f64(),
 			Bad: time.Duration(r.u64())})
 	}
-	return k
+	return m
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -23,7 +23,7 @@
 	"valvering.example/valvering/policy"
 )
 
-func sample() *State {
+func sampleState() *State {
 	return &State{Name: "n3", Incarnation: 4, Sequence: 9, Clean: true,
 		Taken: Moment{Wall: time.Unix(1e9, 5), Boot: "b-1", Up: 77 * time.Second},
 		List: &roster.List{Rev: 41, All: true, Targets: []roster.Target{
@@ -47,15 +47,15 @@
 	return b
 }
 
-// sealed replaces the checksum by the correct one after a test has changed the data.
-func sealed(b []byte) []byte {
-	b = append([]byte(nil), b[:len(b)-trailer]...)
+// withChecksum replaces the checksum by the correct one after a test has changed the data.
+func withChecksum(b []byte) []byte {
+	b = append([]byte(nil), b[:len(b)-trailerBytes]...)
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
 func TestRoundTrip(t *testing.T) {
 	empty := &State{Name: "x", Taken: Moment{Wall: time.Unix(0, 0)}, Current: Generation{Number: 1, Digest: "d", Time: time.Unix(1, 0), Raw: []byte{1}}}
-	for _, s := range []*State{sample(), empty} {
+	for _, s := range []*State{sampleState(), empty} {
 		got, err := Decode(encoded(t, s), s.Name)
 		if err != nil || !reflect.DeepEqual(got, s) {
 			t.Errorf("%v\n got %+v\nwant %+v", err, got, s)
@@ -68,7 +68,7 @@
 
 // Decode detects a file that is truncated at any byte or has any bit flipped.
 func TestDamage(t *testing.T) {
-	b := encoded(t, sample())
+	b := encoded(t, sampleState())
 	for n := range b {
 		if _, err := Decode(b[:n], "n3"); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
 			t.Fatalf("cut at %d: %v", n, err)
@@ -87,49 +87,50 @@
 }
 
 func TestForeignAndNewer(t *testing.T) {
-	b := encoded(t, sample())
+	b := encoded(t, sampleState())
 	if _, err := Decode(b, "n4"); !errors.Is(err, ErrForeign) {
 		t.Error(err)
 	}
 	newer := append([]byte(nil), b...)
 	newer[len(magic)+1] = version + 1
-	if _, err := Decode(sealed(newer), "n3"); !errors.Is(err, ErrNewer) {
+	if _, err := Decode(withChecksum(newer), "n3"); !errors.Is(err, ErrNewer) {
 		t.Error(err)
 	}
 	older := append([]byte(nil), b...)
 	older[len(magic)+1] = 0
-	if _, err := Decode(sealed(older), "n3"); !errors.Is(err, ErrDamaged) {
+	if _, err := Decode(withChecksum(older), "n3"); !errors.Is(err, ErrDamaged) {
 		t.Error(err)
 	}
 }
 
 // Decode ignores a section that a later version of this program adds.
 func TestUnknownSection(t *testing.T) {
-	w := writer{b: []byte(magic)}
+	w := encoder{b: []byte(magic)}
 	w.u16(version)
 	w.text("n3")
 	w.u64(1)
 	w.u64(2)
 	w.sized(func() {
 		w.section(999, func() { w.text("what is to come") })
-		w.section(sectionLeft, func() { w.text("d") })
+		w.section(sectionRolledBack, func() { w.text("d") })
 	})
-	if s, err := Decode(sealed(append(w.b, 0, 0, 0, 0)), "n3"); err != nil || s.Left != "d" || s.Sequence != 2 {
+	if s, err := Decode(withChecksum(append(w.b, 0, 0, 0, 0)), "n3"); err != nil ||
+		s.Left != "d" || s.Sequence != 2 {
 		t.Error(s, err)
 	}
 }
 
 // Lengths far beyond the end of the file cost neither memory nor time, even if the
 // checksum is correct.
-func TestClaims(t *testing.T) {
-	b := encoded(t, sample())
+func TestOversizeLengths(t *testing.T) {
+	b := encoded(t, sampleState())
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	refused := 0
-	for i := len(magic); i+4 <= len(b)-trailer; i++ {
+	for i := len(magic); i+4 <= len(b)-trailerBytes; i++ {
 		c := append([]byte(nil), b...)
 		binary.BigEndian.PutUint32(c[i:], math.MaxUint32)
-		if s, err := Decode(sealed(c), "n3"); err != nil {
+		if s, err := Decode(withChecksum(c), "n3"); err != nil {
 			refused++
 		} else if len(s.Memory.Servers) > 100 || len(s.Memory.Tokens) > 100 {
 			t.Fatalf("length at %d accepted", i)
@@ -142,15 +143,15 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	b := encoded(f, sample())
+	b := encoded(f, sampleState())
 	f.Add(b)
 	f.Add(b[:len(b)/2])
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) < trailer {
+		if len(b) < trailerBytes {
 			b = append(b, 0, 0, 0, 0)
 		}
-		for _, c := range [][]byte{b, sealed(b)} { // with a correct checksum too
+		for _, c := range [][]byte{b, withChecksum(b)} { // with a correct checksum too
 			s, err := Decode(c, "n3")
 			if err != nil {
 				if !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) && !errors.Is(err, ErrForeign) {
@@ -176,11 +177,11 @@
 		now  Moment
 		want time.Duration
 	}{
-		{"a second", at(time.Second, 61*time.Second+upStep, "b"), time.Second},
+		{"a second", at(time.Second, 61*time.Second+uptimeStep, "b"), time.Second},
 		{"wall clock set back", at(-time.Hour, 61*time.Second, "b"), 0},
-		{"wall clock set ahead", at(time.Hour, 61*time.Second+upStep, "b"), time.Second},
+		{"wall clock set ahead", at(time.Hour, 61*time.Second+uptimeStep, "b"), time.Second},
 		{"kernel's clock back", at(time.Second, 0, "b"), 0},
-		{"after a power loss", at(time.Hour, 20*time.Second+upStep, "c"), 20 * time.Second},
+		{"after a power loss", at(time.Hour, 20*time.Second+uptimeStep, "c"), 20 * time.Second},
 		{"no kernel's clock", at(3*time.Second, 0, ""), 3 * time.Second},
 	} {
 		if got := c.now.Since(then); got != c.want {
@@ -198,13 +199,13 @@
 type disk struct {
 	rng     *rand.Rand
 	names   map[string]*inode
-	lasting map[string]*inode         // names that survive a crash
+	durable map[string]*inode         // names that survive a crash
 	pending []func(map[string]*inode) // changes of names since the last sync
 
-	steps   int    // calls so far
-	failAt  int    // the call that fails; 0: none
-	crashed bool   // all calls after failAt fail too
-	lax     string // injected fault: "file" or "names" are not synced
+	steps    int    // calls so far
+	failAt   int    // the call that fails; 0: none
+	crashed  bool   // all calls after failAt fail too
+	skipSync string // injected fault: "file" or "names" are not synced
 }
 
 type inode struct {
@@ -223,7 +224,7 @@
 	return nil
 }
 
-func (d *disk) name(change func(map[string]*inode)) {
+func (d *disk) changeNames(change func(map[string]*inode)) {
 	change(d.names)
 	d.pending = append(d.pending, change)
 }
@@ -243,7 +244,7 @@
 	n := d.names[name]
 	if n == nil {
 		n = &inode{}
-		d.name(func(m map[string]*inode) { m[name] = n })
+		d.changeNames(func(m map[string]*inode) { m[name] = n })
 	}
 	n.data, n.synced = nil, 0
 	return &handle{d, n}, nil
@@ -254,7 +255,7 @@
 		return err
 	}
 	n := d.names[from]
-	d.name(func(m map[string]*inode) {
+	d.changeNames(func(m map[string]*inode) {
 		if m[from] == n {
 			delete(m, from)
 		}
@@ -267,17 +268,17 @@
 	if err := d.step(); err != nil {
 		return err
 	}
-	if d.lax != "names" {
-		d.settle(func() bool { return true })
+	if d.skipSync != "names" {
+		d.commitNames(func() bool { return true })
 	}
 	return nil
 }
 
-// settle makes the pending changes of names durable that keep selects.
-func (d *disk) settle(keep func() bool) {
+// commitNames makes the pending changes of names durable that selected chooses.
+func (d *disk) commitNames(selected func() bool) {
 	for _, change := range d.pending {
-		if keep() {
-			change(d.lasting)
+		if selected() {
+			change(d.durable)
 		}
 	}
 	d.pending = nil
@@ -302,7 +303,7 @@
 	if err := h.d.step(); err != nil {
 		return err
 	}
-	if h.d.lax != "file" {
+	if h.d.skipSync != "file" {
 		h.n.synced = len(h.n.data)
 	}
 	return nil
@@ -312,29 +313,30 @@
 
 // crash returns the disk as the next start finds it.
 func (d *disk) crash() *disk {
-	d.settle(func() bool { return d.rng.IntN(2) == 0 })
-	next := &disk{rng: d.rng, names: map[string]*inode{}, lasting: map[string]*inode{}, lax: d.lax}
+	d.commitNames(func() bool { return d.rng.IntN(2) == 0 })
+	next := &disk{rng: d.rng, names: map[string]*inode{}, durable: map[string]*inode{}, skipSync: d.skipSync}
 	kept := map[*inode]*inode{}
-	for name, n := range d.lasting {
+	for name, n := range d.durable {
 		if kept[n] == nil {
 			size := n.synced + d.rng.IntN(len(n.data)-n.synced+1)
 			kept[n] = &inode{data: append([]byte(nil), n.data[:size]...), synced: size}
 		}
-		next.names[name], next.lasting[name] = kept[n], kept[n]
+		next.names[name], next.durable[name] = kept[n], kept[n]
 	}
 	return next
 }
 
-func newDisk(seed uint64, lax string) *disk {
-	return &disk{rng: rand.New(rand.NewPCG(seed, 1)), names: map[string]*inode{}, lasting: map[string]*inode{}, lax: lax}
+func newDisk(seed uint64, skipSync string) *disk {
+	return &disk{rng: rand.New(rand.NewPCG(seed, 1)), names: map[string]*inode{},
+		durable: map[string]*inode{}, skipSync: skipSync}
 }
 
-// outages writes snapshots to a disk that crashes or returns an error at a random step,
+// simulateOutages writes snapshots to a disk that crashes or returns an error at a random step,
 // over several starts. At each start it checks that the directory holds the last
 // acknowledged state or the one that was being written.
-func outages(seed uint64, lax string) error {
-	d := newDisk(seed, lax)
-	acked, tried := uint64(0), uint64(0) // numbers of the states
+func simulateOutages(seed uint64, skipSync string) error {
+	d := newDisk(seed, skipSync)
+	acknowledged, attempted := uint64(0), uint64(0) // numbers of the states
 	for life := range 6 {
 		s, found := Open(d, "n3")
 		got := uint64(0)
@@ -344,24 +346,26 @@
 				return fmt.Errorf("life %d: state %d holds %q", life, got, found.State.Current.Raw)
 			}
 		}
-		if got != acked && got != tried {
-			return fmt.Errorf("life %d: found %d, acknowledged %d, being written %d (%v)", life, got, acked, tried, found.Problems)
+		if got != acknowledged && got != attempted {
+			return fmt.Errorf("life %d: found %d, acknowledged %d, being written %d (%v)",
+				life, got, acknowledged, attempted, found.Problems)
 		}
-		if found.Complete && got < acked {
-			return fmt.Errorf("life %d: %d is reported as the last, %d was acknowledged", life, got, acked)
+		if found.Complete && got < acknowledged {
+			return fmt.Errorf("life %d: %d is reported as the last, %d was acknowledged",
+				life, got, acknowledged)
 		}
-		acked = got
-		if tried < got {
-			tried = got
+		acknowledged = got
+		if attempted < got {
+			attempted = got
 		}
-		next := max(acked, tried)
+		next := max(acknowledged, attempted)
 		d.failAt, d.crashed = d.steps+1+d.rng.IntN(30), d.rng.IntN(2) == 0
 		for range 6 {
 			next++
-			tried = next
+			attempted = next
 			_, err := s.Write(&State{Current: Generation{Number: next, Time: time.Unix(1, 0), Raw: fmt.Append(nil, next)}})
 			if err == nil {
-				acked = next
+				acknowledged = next
 			} else if d.crashed {
 				break
 			}
@@ -373,7 +377,7 @@
 
 func TestCrashAtEveryStep(t *testing.T) {
 	for seed := range uint64(5000) {
-		if err := outages(seed, ""); err != nil {
+		if err := simulateOutages(seed, ""); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
@@ -381,13 +385,13 @@
 
 // The disk model detects a Store that omits a sync.
 func TestModelCatchesMissingSyncs(t *testing.T) {
-	for _, lax := range []string{"file", "names"} {
+	for _, skipSync := range []string{"file", "names"} {
 		caught := false
 		for seed := range uint64(2000) {
-			caught = caught || outages(seed, lax) != nil
+			caught = caught || simulateOutages(seed, skipSync) != nil
 		}
 		if !caught {
-			t.Errorf("the missing sync of %s was not detected", lax)
+			t.Errorf("the missing sync of %s was not detected", skipSync)
 		}
 	}
 }
@@ -410,19 +414,19 @@
 			t.Errorf("after %d: %+v", n+1, found)
 		}
 	}
-	newest, other := slot(3), slot(2)
+	newest, other := slotFile(3), slotFile(2)
 	whole := d.names[newest].data
 	for why, spoil := range map[string]func(){
 		"the newest damaged": func() { d.names[newest] = &inode{data: whole[:9]} },
 		"the newest lost":    func() { delete(d.names, newest) },
 		"the other damaged":  func() { d.names[newest], d.names[other] = &inode{data: whole}, &inode{data: []byte("x")} },
 	} {
-		was := map[string]*inode{newest: d.names[newest], other: d.names[other]}
+		original := map[string]*inode{newest: d.names[newest], other: d.names[other]}
 		spoil()
 		if _, found := Open(d, "n3"); found.Complete || found.State == nil {
 			t.Errorf("%s: %+v", why, found)
 		}
-		d.names[newest], d.names[other] = was[newest], was[other]
+		d.names[newest], d.names[other] = original[newest], original[other]
 	}
 	if _, found := Open(d, "other"); found.State != nil || len(found.Problems) != 2 {
 		t.Errorf("%+v for another edge node", found)
@@ -455,21 +459,21 @@
 	}
 }
 
-// gate is a disk that blocks each write until the test closes a channel.
-type gate struct {
+// blockedDisk is a disk that blocks each write until the test closes a channel.
+type blockedDisk struct {
 	*disk
-	go_ chan struct{}
+	release chan struct{}
 }
 
-func (g gate) Create(name string) (File, error) {
-	<-g.go_
+func (g blockedDisk) Create(name string) (File, error) {
+	<-g.release
 	return g.disk.Create(name)
 }
 
 // Offer doesn't block on a slow disk: the newest state is written, and dropped states are
 // counted. Failed writes are counted too.
 func TestWriterNeverWaits(t *testing.T) {
-	g := gate{newDisk(1, ""), make(chan struct{})}
+	g := blockedDisk{newDisk(1, ""), make(chan struct{})}
 	s, _ := Open(g, "n3")
 	w := NewWriter(s)
 	const n = 100
@@ -481,7 +485,7 @@
 	if w.Close(ctx) {
 		t.Error("Close reports success while the disk blocks")
 	}
-	close(g.go_)
+	close(g.release)
 	<-w.done
 	c := w.Counts()
 	if _, found := Open(g.disk, "n3"); found.State.Current.Number != n || c.Dropped < n-3 || c.Written+c.Dropped != n {
@@ -537,14 +541,14 @@
 	if found.State != nil || len(found.Problems) > 0 {
 		t.Errorf("%+v", found)
 	}
-	if _, err := s.Write(sample()); err != nil {
+	if _, err := s.Write(sampleState()); err != nil {
 		t.Fatal(err)
 	}
 	_, found = Open(d, "n3")
 	if found.State == nil || found.State.Current.Number != 3 || found.State.Sequence != 1 || found.State.Incarnation != 1 {
 		t.Errorf("%+v", found)
 	}
-	if err := os.Mkdir(filepath.Join(path, slot(0)), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(path, slotFile(0)), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, found := Open(d, "n3"); found.State == nil || found.Complete || len(found.Problems) != 1 {
@@ -568,24 +572,25 @@
 
 // Decode still reads the list as JSON, as earlier versions wrote it. A list that is passed
 // in its binary format is decoded unchanged.
-func TestBothFormsOfTheList(t *testing.T) {
-	want := sample().List
+func TestListFormats(t *testing.T) {
+	want := sampleState().List
 	raw, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := writer{b: []byte(magic)}
+	w := encoder{b: []byte(magic)}
 	w.u16(version)
 	w.text("n3")
 	w.u64(1)
 	w.u64(2)
-	w.sized(func() { w.section(sectionList, func() { w.b = append(w.b, raw...) }) })
+	w.sized(func() { w.section(sectionJSONList, func() { w.b = append(w.b, raw...) }) })
 	lines, err := want.AppendBinary(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	handed := &State{Name: "n3", Lines: func() []byte { return lines }}
-	for name, b := range map[string][]byte{"JSON": sealed(append(w.b, 0, 0, 0, 0)), "binary": encoded(t, handed)} {
+	for name, b := range map[string][]byte{"JSON": withChecksum(append(w.b, 0, 0, 0, 0)),
+		"binary": encoded(t, handed)} {
 		if s, err := Decode(b, "n3"); err != nil || !reflect.DeepEqual(s.List, want) {
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -24,12 +24,12 @@
 	Sync() error // makes earlier writes durable
 }
 
-// temporary is the file that a snapshot is written to before it is renamed to its slot.
-const temporary = "snapshot.tmp"
+// tempFile is the file that a snapshot is written to before it is renamed to its slot.
+const tempFile = "snapshot.tmp"
 
-// slot returns the file of a snapshot. Snapshots alternate between two slots, so the
+// slotFile returns the file of a snapshot. Snapshots alternate between two slots, so the
 // previous one stays intact while the next one is written.
-func slot(sequence uint64) string { return fmt.Sprintf("snapshot-%d", sequence%2) }
+func slotFile(sequence uint64) string { return fmt.Sprintf("snapshot-%d", sequence%2) }
 
 // ErrInUse is returned for a directory that another process writes to.
 var ErrInUse = errors.New("another process writes its snapshots there")
@@ -56,7 +56,7 @@
 	s, f := &Store{fs: dir, name: name}, Found{}
 	absent := 0
 	for i := range uint64(2) {
-		b, err := dir.Read(slot(i))
+		b, err := dir.Read(slotFile(i))
 		var st *State
 		if err == nil {
 			st, err = Decode(b, name)
@@ -65,7 +65,7 @@
 		case errors.Is(err, fs.ErrNotExist):
 			absent++
 		case err != nil:
-			f.Problems = append(f.Problems, fmt.Sprintf("%s: %v", slot(i), err))
+			f.Problems = append(f.Problems, fmt.Sprintf("%s: %v", slotFile(i), err))
 		case f.State == nil || st.Sequence > f.State.Sequence:
 			f.State = st
 		}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("encode: %w", err)
 	}
-	f, err := s.fs.Create(temporary)
+	f, err := s.fs.Create(tempFile)
 	if err != nil {
 		return 0, fmt.Errorf("create: %w", err)
 	}
@@ -104,7 +104,7 @@
 	if err := f.Close(); err != nil {
 		return 0, fmt.Errorf("close: %w", err)
 	}
-	if err := s.fs.Rename(temporary, slot(out.Sequence)); err != nil {
+	if err := s.fs.Rename(tempFile, slotFile(out.Sequence)); err != nil {
 		return 0, fmt.Errorf("rename: %w", err)
 	}
 	// If this fails, the rename may be durable or not. The sequence isn't advanced, so
@@ -162,9 +162,9 @@
 	if info, err := f.Stat(); err == nil && !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%w: not a regular file", ErrDamaged)
 	}
-	b, err := io.ReadAll(io.LimitReader(f, mostFile+1))
-	if err == nil && len(b) > mostFile {
-		err = fmt.Errorf("%w: more than %d bytes", ErrDamaged, mostFile)
+	b, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(b) > maxFileBytes {
+		err = fmt.Errorf("%w: more than %d bytes", ErrDamaged, maxFileBytes)
 	}
 	return b, err
 }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -19,10 +19,10 @@
 
 // Writer writes states in its own goroutine.
 type Writer struct {
-	store *Store
-	box   chan *State   // holds the state to write next
-	done  chan struct{} // closed when the goroutine has ended
-	first chan struct{} // closed when the first write has ended
+	store     *Store
+	pending   chan *State   // holds the state to write next
+	done      chan struct{} // closed when the goroutine has ended
+	firstDone chan struct{} // closed when the first write has ended
 
 	mu     sync.Mutex
 	counts Counts
@@ -30,7 +30,8 @@
 
 // NewWriter starts a writer. Close stops it.
 func NewWriter(s *Store) *Writer {
-	w := &Writer{store: s, box: make(chan *State, 1), done: make(chan struct{}), first: make(chan struct{})}
+	w := &Writer{store: s, pending: make(chan *State, 1), done: make(chan struct{}),
+		firstDone: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -40,20 +41,20 @@
 // goroutine may call Offer.
 func (w *Writer) Offer(s *State) {
 	select {
-	case <-w.box:
+	case <-w.pending:
 		w.mu.Lock()
 		w.counts.Dropped++
 		w.mu.Unlock()
 	default:
 	}
-	w.box <- s
+	w.pending <- s
 }
 
 // First waits until the first write has ended or ctx is done. It reports whether a
 // snapshot was written.
 func (w *Writer) First(ctx context.Context) bool {
 	select {
-	case <-w.first:
+	case <-w.firstDone:
 		return w.Counts().Written > 0
 	case <-ctx.Done():
 		return false
@@ -70,7 +71,7 @@
 // Close waits until the last offered state is written or ctx is done. It reports whether
 // the last write succeeded. Offer must not be called any more.
 func (w *Writer) Close(ctx context.Context) bool {
-	close(w.box)
+	close(w.pending)
 	select {
 	case <-w.done:
 		return w.Counts().Error == ""
@@ -82,10 +83,10 @@
 func (w *Writer) run() {
 	defer close(w.done)
 	var first sync.Once
-	for s := range w.box {
+	for s := range w.pending {
 		n, err := w.store.Write(s)
 		w.mu.Lock()
-		was := w.counts.Error
+		previousErr := w.counts.Error
 		if w.counts.Error = ""; err != nil {
 			w.counts.Failed++
 			w.counts.Error = err.Error()
@@ -96,11 +97,11 @@
 		}
 		failed := w.counts.Failed
 		w.mu.Unlock()
-		first.Do(func() { close(w.first) })
+		first.Do(func() { close(w.firstDone) })
 		switch {
-		case err != nil && was == "":
+		case err != nil && previousErr == "":
 			slog.Error("snapshot not written; the previous one is unchanged", "err", err, "failed", failed)
-		case err == nil && was != "":
+		case err == nil && previousErr != "":
 			slog.Info("snapshots are written again", "failed", failed)
 		}
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -14,12 +14,12 @@
 // slow machine needs, so it only determines how long a failing test takes.
 const Patience = 30 * time.Second
 
-const look = 2 * time.Millisecond
+const pollInterval = 2 * time.Millisecond
 
 // Eventually polls a condition until it is true, and fails the test after Patience.
 func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(look) {
+	for end := time.Now().Add(Patience); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for: %s", what)
 		}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -41,14 +41,14 @@
 
 // Decoder reads batches from a stream.
 type Decoder struct {
-	r      *bufio.Reader
-	line   int
-	tables map[int][]policy.Server // server lists by their numbers in TABLE lines
+	r     *bufio.Reader
+	line  int
+	lists map[int][]policy.Server // server lists by their numbers in TABLE lines
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{r: bufio.NewReaderSize(r, 1<<16), tables: map[int][]policy.Server{}}
+	return &Decoder{r: bufio.NewReaderSize(r, 1<<16), lists: map[int][]policy.Server{}}
 }
 
 // Line returns the number of the last line read.
@@ -115,7 +115,7 @@
 	f := parser{words: strings.Split(s, " ")}
 	verb := f.text()
 	if verb == "TABLE" {
-		return Item{}, false, d.table(&f)
+		return Item{}, false, d.list(&f)
 	}
 	it := Item{Line: d.line}
 	it.Node = f.text()
@@ -123,7 +123,7 @@
 	case "CONFIGURE":
 		c := Configure{Seed: f.uint(64)}
 		if f.err == nil {
-			c.Settings, f.err = settings(f.words)
+			c.Settings, f.err = parseSettings(f.words)
 			f.words = nil
 		}
 		it.Event = c
@@ -133,15 +133,15 @@
 		kind, known := memberKinds[f.text()]
 		f.skip() // the list's version
 		m := policy.Members{Kind: kind}
-		page := f.text()
+		number := f.text()
 		if f.err == nil && !known {
 			return it, false, d.fail("MEMBERSHIP: unknown kind")
 		}
 		if f.err == nil && kind != policy.AskFailed {
-			n, err := strconv.Atoi(page)
-			list, have := d.tables[n]
+			n, err := strconv.Atoi(number)
+			list, have := d.lists[n]
 			if err != nil || !have {
-				return it, false, d.fail("MEMBERSHIP: no list %q", clip(page))
+				return it, false, d.fail("MEMBERSHIP: no list %q", clip(number))
 			}
 			m.Servers = list
 		}
@@ -164,7 +164,7 @@
 		o.Over = f.bool()
 		o.Actual = f.num()
 		o.Code = f.code()
-		o.Load = f.row()
+		o.Load = f.numbers()
 		it.Event = o
 	case "LAPSED":
 		it.Event = policy.Gone{ID: f.id()}
@@ -176,7 +176,7 @@
 		f.server()
 		f.code()
 		f.ms()
-		f.row()
+		f.numbers()
 	case "LEDGER_REPLY":
 		f.skip()
 		f.code()
@@ -202,8 +202,8 @@
 	"UNAVAILABLE": policy.ConnectFailed, "ABORTED": policy.Reset, "CANCELLED": policy.Cancelled,
 	"TOO_LATE": policy.Moot}
 
-func (d *Decoder) table(f *parser) error {
-	page, n := f.int(), f.int()
+func (d *Decoder) list(f *parser) error {
+	number, n := f.int(), f.int()
 	if err := f.end(); err != nil {
 		return d.fail("TABLE: %v", err)
 	}
@@ -234,7 +234,7 @@
 		}
 		list = append(list, sv)
 	}
-	d.tables[page] = list
+	d.lists[number] = list
 	return nil
 }
 
@@ -246,7 +246,7 @@
 
 func (p *parser) text() string {
 	if len(p.words) == 0 {
-		p.note("too few fields")
+		p.fail("too few fields")
 		return ""
 	}
 	w := p.words[0]
@@ -256,7 +256,7 @@
 
 func (p *parser) skip() { p.text() }
 
-func (p *parser) note(format string, args ...any) {
+func (p *parser) fail(format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf(format, args...)
 	}
@@ -264,7 +264,7 @@
 
 func (p *parser) end() error {
 	if len(p.words) > 0 {
-		p.note("too many fields")
+		p.fail("too many fields")
 	}
 	return p.err
 }
@@ -276,7 +276,7 @@
 	}
 	v, err := strconv.ParseFloat(w, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.note("%q is not a number", clip(w))
+		p.fail("%q is not a number", clip(w))
 		return 0
 	}
 	return v
@@ -294,7 +294,7 @@
 	w := p.text()
 	v, err := strconv.ParseUint(w, 10, bits)
 	if err != nil {
-		p.note("%q is not an unsigned integer", clip(w))
+		p.fail("%q is not an unsigned integer", clip(w))
 	}
 	return v
 }
@@ -305,7 +305,7 @@
 	w := p.text()
 	v, err := strconv.ParseUint(w, 16, 64)
 	if err != nil || len(w) != 16 {
-		p.note("%q is not a request ID", clip(w))
+		p.fail("%q is not a request ID", clip(w))
 	}
 	return policy.RequestID(v)
 }
@@ -316,23 +316,23 @@
 	w := p.text()
 	c, known := codes[w]
 	if !known {
-		p.note("unknown result code %q", clip(w))
+		p.fail("unknown result code %q", clip(w))
 	}
 	return c
 }
 
-func (p *parser) row() []float64 {
+func (p *parser) numbers() []float64 {
 	w := p.text()
 	if w == "-" || w == "" {
 		return nil
 	}
-	row := parser{words: strings.Split(w, ",")}
+	list := parser{words: strings.Split(w, ",")}
 	var out []float64
-	for len(row.words) > 0 {
-		out = append(out, row.num())
+	for len(list.words) > 0 {
+		out = append(out, list.num())
 	}
-	if row.err != nil {
-		p.note("%v", row.err)
+	if list.err != nil {
+		p.fail("%v", list.err)
 	}
 	return out
 }
@@ -344,7 +344,7 @@
 	}
 	b, err := base64.StdEncoding.DecodeString(w)
 	if err != nil {
-		p.note("invalid base64")
+		p.fail("invalid base64")
 	}
 	return b
 }
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -38,7 +38,7 @@
 
 // Settings converts the facts. The error joins all faults, each of which begins with its
 // key.
-func (f Facts) Settings() (policy.Settings, error) { return settings(f.pairs) }
+func (f Facts) Settings() (policy.Settings, error) { return parseSettings(f.pairs) }
 
 // Pairs returns the path=value pairs in sorted order.
 func (f Facts) Pairs() []string { return slices.Sorted(slices.Values(f.pairs)) }
--- a/internal/wire/json_test.go
+++ b/internal/wire/json_test.go
@@ -10,7 +10,7 @@
 // Nested JSON and the simulator's pairs must give the same settings. Otherwise the edge node
 // and the simulator would decide differently.
 func TestNestedSettingsAreThePairs(t *testing.T) {
-	pairs, err := settings(strings.Split("me=1 balancers=3 zone=north_hall tick_ms=4.0 caps.cancel=true caps.peers=true "+
+	pairs, err := parseSettings(strings.Split("me=1 balancers=3 zone=north_hall tick_ms=4.0 caps.cancel=true caps.peers=true "+
 		"caps.retry_after=true caps.max_retry_after_ms=2000.0 report.names=cpu,rps weight_kind=nominal discovery=push "+
 		"rules.cold_share=0.21 family_info.mail_per_s=60 classes.count=2 classes.0.name=a classes.0.aim_ms=400.0 "+
 		"classes.0.semantics=repeatable classes.1.name=b classes.1.semantics=by_key classes.1.group=cell "+
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -19,15 +19,15 @@
 }
 
 const (
-	mostFigure = 1e12 // largest number; larger ones may overflow the fields that hold them
-	mostTables = 200  // classes or plans; messages store their indexes in one byte
+	maxNumber  = 1e12 // largest number; larger ones may overflow the fields that hold them
+	maxEntries = 200  // classes or plans; messages store their indexes in one byte
 )
 
 func (f *facts) fault(key, format string, args ...any) {
 	f.errs = append(f.errs, fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...)))
 }
 
-func (f *facts) num(key string) float64 {
+func (f *facts) number(key string) float64 {
 	w, have := f.m[key]
 	if !have {
 		return 0
@@ -37,7 +37,7 @@
 	switch {
 	case p.err != nil:
 		f.fault(key, "%v", p.err)
-	case math.Abs(v) > mostFigure:
+	case math.Abs(v) > maxNumber:
 		f.fault(key, "%g is out of range", v)
 		return 0
 	}
@@ -45,14 +45,14 @@
 }
 
 func (f *facts) ms(key string) time.Duration {
-	v := f.num(key)
+	v := f.number(key)
 	if v < 0 {
 		f.fault(key, "negative")
 	}
 	return duration(v)
 }
 
-func (f *facts) int(key string) int { return int(f.num(key)) }
+func (f *facts) int(key string) int { return int(f.number(key)) }
 
 func (f *facts) bool(key string) bool {
 	switch w := f.m[key]; w {
@@ -71,7 +71,7 @@
 var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll,
 	"zone": policy.GroupZone, "cell": policy.GroupCell}
 
-func settings(pairs []string) (policy.Settings, error) {
+func parseSettings(pairs []string) (policy.Settings, error) {
 	f := facts{m: make(map[string]string, len(pairs))}
 	for _, p := range pairs {
 		if p == "" {
@@ -87,12 +87,12 @@
 		Me: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
 		Resolution: f.ms("tick_ms"), MaxAttempts: f.int("caps.max_attempts"),
 		CanCancel: f.bool("caps.cancel"), CanTell: f.bool("caps.peers"),
-		DatagramsPerSecond: f.num("family_info.mail_per_s"), LargestUnits: f.num("family_info.largest"),
+		DatagramsPerSecond: f.number("family_info.mail_per_s"), LargestUnits: f.number("family_info.largest"),
 		MustAsk:       f.m["discovery"] == "ask",
 		SizeKnown:     f.m["weight_kind"] == "nominal" || f.m["weight_kind"] == "rough",
-		CrossZoneCost: f.num("charges.cross_zone"),
-		AnswerSlack:   f.ms("rules.answer_slack_ms"), ColdShare: f.num("rules.cold_share"),
-		WarmWithin: f.ms("rules.warm_within_ms"), FallMultiple: f.num("rules.fall_multiple"),
+		CrossZoneCost: f.number("charges.cross_zone"),
+		AnswerSlack:   f.ms("rules.answer_slack_ms"), ColdShare: f.number("rules.cold_share"),
+		WarmWithin: f.ms("rules.warm_within_ms"), FallMultiple: f.number("rules.fall_multiple"),
 		FallTime: f.ms("rules.fall_ms"),
 	}
 	if f.bool("caps.retry_after") {
@@ -103,20 +103,20 @@
 	}
 	count := func(key string) int {
 		n := f.int(key)
-		if n < 0 || n > mostTables {
-			f.fault(key, "%d is not from 0 to %d", n, mostTables)
+		if n < 0 || n > maxEntries {
+			f.fault(key, "%d is not from 0 to %d", n, maxEntries)
 			return 0
 		}
 		return n
 	}
 	for i := range count("classes.count") {
 		k := "classes." + strconv.Itoa(i) + "."
-		effect, known := effects[f.m[k+"semantics"]]
-		group, grouped := groups[f.m[k+"group"]]
-		if !known {
+		effect, effectKnown := effects[f.m[k+"semantics"]]
+		group, groupKnown := groups[f.m[k+"group"]]
+		if !effectKnown {
 			f.fault(k+"semantics", "unknown value %q", clip(f.m[k+"semantics"]))
 		}
-		if !grouped {
+		if !groupKnown {
 			f.fault(k+"group", "unknown value %q", clip(f.m[k+"group"]))
 		}
 		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], Aim: f.ms(k + "aim_ms"),
@@ -125,10 +125,10 @@
 	}
 	for i := range count("plans.count") {
 		k := "plans." + strconv.Itoa(i) + "."
-		s.Plans = append(s.Plans, policy.Plan{Name: f.m[k+"name"], Rate: f.num(k + "rate"),
-			Burst: f.num(k + "store_size"), Open: f.int(k + "parallel"),
-			BeyondEarns: f.num(k + "beyond_earns"), BeyondCosts: f.num(k + "beyond_costs"),
-			HardRate: f.num(k + "hard_rate"), HardBurst: f.num(k + "hard_burst")})
+		s.Plans = append(s.Plans, policy.Plan{Name: f.m[k+"name"], Rate: f.number(k + "rate"),
+			Burst: f.number(k + "store_size"), Open: f.int(k + "parallel"),
+			BeyondEarns: f.number(k + "beyond_earns"), BeyondCosts: f.number(k + "beyond_costs"),
+			HardRate: f.number(k + "hard_rate"), HardBurst: f.number(k + "hard_burst")})
 	}
 	return s, errors.Join(f.errs...)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, err := settings(strings.Split("me=1 balancers=3 zone=b tick_ms=2.0 caps.retry_after=true "+
+	s, err := parseSettings(strings.Split("me=1 balancers=3 zone=b tick_ms=2.0 caps.retry_after=true "+
 		"caps.max_retry_after_ms=500 report.names=active,waiting weight_kind=nominal discovery=ask "+
 		"classes.count=1 classes.0.name=c classes.0.aim_ms=80.5 classes.0.semantics=by_key "+
 		"classes.0.group=cell plans.count=1 plans.0.name=p plans.0.rate=0.7 plans.0.parallel=2 new.key=1", " "))
