--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -114,8 +114,8 @@
 	"me", "caps.max_attempts", "classes.0.aim_ms", "classes.count", "plans.0.rate", "0", "count", "x y", "\u00e9", "__proto__"}
 
 // randomValue returns a random JSON value.
-func randomValue(rng *rand.Rand, deep int) any {
-	switch rng.IntN(9 - deep) {
+func randomValue(rng *rand.Rand, depth int) any {
+	switch rng.IntN(9 - depth) {
 	case 0:
 		return nil
 	case 1:
@@ -129,13 +129,13 @@
 	case 5:
 		return []any{"nightly", "a"}
 	case 6:
-		return []any{randomValue(rng, deep+1), randomValue(rng, deep+1)}
+		return []any{randomValue(rng, depth+1), randomValue(rng, depth+1)}
 	}
-	if deep == 2 {
+	if depth == 2 {
 		return 7
 	}
-	return map[string]any{foreign[rng.IntN(len(foreign))]: randomValue(rng, deep+1),
-		"listen": randomValue(rng, deep+1)}
+	return map[string]any{foreign[rng.IntN(len(foreign))]: randomValue(rng, depth+1),
+		"listen": randomValue(rng, depth+1)}
 }
 
 // addUnknownFields adds random fields with unused names to all objects in a value. The name "me" is
@@ -425,7 +425,7 @@
 		name            string
 		file            string
 		current, before Kept
-		left            string
+		rolledBack      string
 		number          uint64 // in force; 0: the start fails
 		port            string // of discovery
 		previous        uint64 // previous generation; 0: none
@@ -448,7 +448,7 @@
 			t.Fatal(err)
 		}
 		src := Source{func(key string) string { return map[string]string{"GW_CONFIG": path}[key] }}
-		h, notes, err := Resume(src.Load(), c.current, c.before, c.left, time.Unix(99, 0))
+		h, notes, err := Resume(src.Load(), c.current, c.before, c.rolledBack, time.Unix(99, 0))
 		if (err != nil) != (c.number == 0) {
 			t.Errorf("%s: %v", c.name, err)
 		}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -160,13 +160,13 @@
 	faults Faults
 }
 
-func (p *parser) fault(field, format string, args ...any) {
+func (p *parser) addFault(field, format string, args ...any) {
 	p.faults = append(p.faults, Fault{field, fmt.Sprintf(format, args...)})
 }
 
 func (p *parser) require(ok bool, field, format string, args ...any) {
 	if !ok {
-		p.fault(field, format, args...)
+		p.addFault(field, format, args...)
 	}
 }
 
@@ -180,9 +180,9 @@
 		var typeErr *json.UnmarshalTypeError
 		if errors.As(err, &typeErr) {
 			name = strings.TrimSuffix(name+"."+typeErr.Field, ".")
-			p.fault(name, "unexpected JSON %s", typeErr.Value)
+			p.addFault(name, "unexpected JSON %s", typeErr.Value)
 		} else {
-			p.fault(name, "%v", err)
+			p.addFault(name, "%v", err)
 		}
 		return false
 	}
@@ -200,7 +200,7 @@
 // addFaults adds the faults of a nested parser under the name of its field.
 func (p *parser) addFaults(nested *parser, name string) {
 	for _, f := range nested.faults {
-		p.fault(name+"."+f.Field, "%s", f.What)
+		p.addFault(name+"."+f.Field, "%s", f.What)
 	}
 }
 
@@ -258,7 +258,7 @@
 	}
 	for _, a := range [][2]string{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(a[1]); err != nil {
-			p.fault(a[0], "%v", err)
+			p.addFault(a[0], "%v", err)
 		}
 	}
 	p.knownList(c)
@@ -296,12 +296,12 @@
 func (p *parser) settings(c *File) bool {
 	raw, have := p.fields["settings"]
 	if !have {
-		p.fault("settings", "none")
+		p.addFault("settings", "none")
 		return false
 	}
 	facts, err := wire.FactsFromJSON(raw)
 	if err != nil {
-		p.fault("settings", "%s", strings.TrimPrefix(err.Error(), "settings: "))
+		p.addFault("settings", "%s", strings.TrimPrefix(err.Error(), "settings: "))
 		return false
 	}
 	before := len(p.faults)
@@ -337,7 +337,7 @@
 	}
 	for _, e := range list {
 		field, what, _ := strings.Cut(e.Error(), ": ")
-		p.fault("settings."+field, "%s", what)
+		p.addFault("settings."+field, "%s", what)
 	}
 }
 
@@ -393,7 +393,7 @@
 	for i, text := range list {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			p.fault(fmt.Sprintf("peers[%d]", i), "%v", err)
+			p.addFault(fmt.Sprintf("peers[%d]", i), "%v", err)
 		}
 		p.require(err != nil || !seen[a], fmt.Sprintf("peers[%d]", i), "%s is a duplicate", text)
 		seen[a] = true
@@ -404,12 +404,12 @@
 	if peersAll != "" {
 		a, err := netip.ParseAddrPort(peersAll)
 		if err != nil {
-			p.fault("peers_all", "%v", err)
+			p.addFault("peers_all", "%v", err)
 		}
 		c.PeersAll = a
 	}
 	if _, err := netip.ParseAddrPort(c.PeerListen); err != nil {
-		p.fault("peer_listen", "%v", err)
+		p.addFault("peer_listen", "%v", err)
 	}
 }
 
--- a/internal/config/history.go
+++ b/internal/config/history.go
@@ -229,29 +229,29 @@
 // the layout of the whole fleet depend on these fields.
 func fixedFieldFaults(a, b *File) Faults {
 	var out Faults
-	same := func(ok bool, field string, from, to any) {
+	require := func(ok bool, field string, from, to any) {
 		if !ok {
 			out = append(out, Fault{field,
 				fmt.Sprintf("can't change without a restart (from %v to %v)", from, to)})
 		}
 	}
-	same(a.Name == b.Name, "name", a.Name, b.Name)
-	same(a.Listen == b.Listen, "listen", a.Listen, b.Listen)
-	same(a.PeerListen == b.PeerListen, "peer_listen", a.PeerListen, b.PeerListen)
-	same(slices.Equal(a.Peers, b.Peers), "peers", fmt.Sprintf("%d addresses", len(a.Peers)), "others")
-	same(a.PeersAll == b.PeersAll, "peers_all", a.PeersAll, b.PeersAll)
-	same(a.Admin == b.Admin, ownObject+".admin", a.Admin, b.Admin)
-	same(slices.Equal(a.Duties, b.Duties), ownObject+".duties", a.Duties, b.Duties)
-	same(a.StateDir == b.StateDir, ownObject+".state_dir", a.StateDir, b.StateDir)
+	require(a.Name == b.Name, "name", a.Name, b.Name)
+	require(a.Listen == b.Listen, "listen", a.Listen, b.Listen)
+	require(a.PeerListen == b.PeerListen, "peer_listen", a.PeerListen, b.PeerListen)
+	require(slices.Equal(a.Peers, b.Peers), "peers", fmt.Sprintf("%d addresses", len(a.Peers)), "others")
+	require(a.PeersAll == b.PeersAll, "peers_all", a.PeersAll, b.PeersAll)
+	require(a.Admin == b.Admin, ownObject+".admin", a.Admin, b.Admin)
+	require(slices.Equal(a.Duties, b.Duties), ownObject+".duties", a.Duties, b.Duties)
+	require(a.StateDir == b.StateDir, ownObject+".state_dir", a.StateDir, b.StateDir)
 	s, t := &a.Settings, &b.Settings
-	same(s.Me == t.Me, "settings.me", s.Me, t.Me)
-	same(s.Gateways == t.Gateways, "settings.balancers", s.Gateways, t.Gateways)
-	same(s.Zone == t.Zone, "settings.zone", s.Zone, t.Zone)
-	same(s.Resolution == t.Resolution, "settings.tick_ms", s.Resolution, t.Resolution)
-	same(s.MustAsk == t.MustAsk, "settings.discovery", s.MustAsk, t.MustAsk)
-	same(s.CanTell == t.CanTell, "settings.caps.peers", s.CanTell, t.CanTell)
-	same(s.DatagramsPerSecond == t.DatagramsPerSecond, "settings.family_info.mail_per_s",
+	require(s.Me == t.Me, "settings.me", s.Me, t.Me)
+	require(s.Gateways == t.Gateways, "settings.balancers", s.Gateways, t.Gateways)
+	require(s.Zone == t.Zone, "settings.zone", s.Zone, t.Zone)
+	require(s.Resolution == t.Resolution, "settings.tick_ms", s.Resolution, t.Resolution)
+	require(s.MustAsk == t.MustAsk, "settings.discovery", s.MustAsk, t.MustAsk)
+	require(s.CanTell == t.CanTell, "settings.caps.peers", s.CanTell, t.CanTell)
+	require(s.DatagramsPerSecond == t.DatagramsPerSecond, "settings.family_info.mail_per_s",
 		s.DatagramsPerSecond, t.DatagramsPerSecond)
-	same(slices.Equal(s.ReportNames, t.ReportNames), "settings.report.names", s.ReportNames, t.ReportNames)
+	require(slices.Equal(s.ReportNames, t.ReportNames), "settings.report.names", s.ReportNames, t.ReportNames)
 	return out
 }
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -84,9 +84,9 @@
 	a, err := netip.ParseAddrPort(text)
 	switch {
 	case err != nil:
-		p.fault(name, "%v", err)
+		p.addFault(name, "%v", err)
 	case !a.Addr().IsLoopback():
-		p.fault(name, "%s is not a loopback address", text)
+		p.addFault(name, "%s is not a loopback address", text)
 	default:
 		c.Admin = a
 	}
@@ -97,9 +97,9 @@
 	switch {
 	case !p.field(name, &dir), dir == "":
 	case !filepath.IsAbs(dir):
-		p.fault(name, "%q is not an absolute path", dir)
+		p.addFault(name, "%q is not an absolute path", dir)
 	case c.Name == "":
-		p.fault(name, "it needs the field name, which is empty")
+		p.addFault(name, "it needs the field name, which is empty")
 	default:
 		c.StateDir = dir
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -168,10 +168,10 @@
 // New returns the state of an edge node that starts now. The wall clock, read once at
 // the start and advanced by the local clock, is a lower bound of ballots. It keeps tokens
 // increasing if all voters restart and forget the highest ballot.
-func New(set Settings, me int, voters []int, seed uint64, now time.Duration, wallMS uint64) *Duty {
-	d := &Duty{settings: set, id: Digest(set.Name), me: me, voters: voters,
+func New(settings Settings, me int, voters []int, seed uint64, now time.Duration, wallMS uint64) *Duty {
+	d := &Duty{settings: settings, id: Digest(settings.Name), me: me, voters: voters,
 		rng:     rand.New(rand.NewPCG(seed, uint64(me))),
-		started: now, startWallMS: wallMS, activeAt: now + set.Term,
+		started: now, startWallMS: wallMS, activeAt: now + settings.Term,
 		approvals: map[int]bool{}, conflicts: map[int]bool{}}
 	// Without jitter, edge nodes that start together would collide.
 	d.nextRound = d.activeAt + d.jitter(roundTimeout)
@@ -182,8 +182,8 @@
 	return time.Duration(d.rng.Int64N(int64(limit) + 1))
 }
 
-// leaseDuration returns how long a lease lasts by the holder's clock, from the start of its round.
-// It is shorter than the term because the holder's clock may be slow and the voters'
+// leaseDuration returns how long a lease lasts by the holder's clock, from the start of its
+// round. It is shorter than the term because the holder's clock may be slow and the voters'
 // clocks fast.
 func (d *Duty) leaseDuration() time.Duration {
 	return time.Duration(float64(d.settings.Term) * (1 - d.settings.Drift) / (1 + d.settings.Drift))
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -154,7 +154,7 @@
 		if w.rng.Float64() < w.loss || w.isCut(from, o.To) {
 			continue
 		}
-		for again := true; again; again = w.rng.IntN(20) == 0 {
+		for duplicate := true; duplicate; duplicate = w.rng.IntN(20) == 0 {
 			w.inFlight = append(w.inFlight, delivery{w.now + ms + time.Duration(w.rng.Int64N(int64(w.maxDelay))),
 				from, o.To, o.Msg})
 		}
@@ -164,13 +164,13 @@
 // step advances the time by a millisecond and checks the holders.
 func (w *world) step() error {
 	w.now += ms
-	var rest []delivery
-	due := w.inFlight
+	var delayed []delivery
+	arriving := w.inFlight
 	w.inFlight = nil
-	for _, l := range due {
+	for _, l := range arriving {
 		switch n := w.nodes[l.to]; {
 		case l.at > w.now:
-			rest = append(rest, l)
+			delayed = append(delayed, l)
 		case n.restartAt > 0:
 		case n.pausedUntil > w.now:
 			n.inbox = append(n.inbox, l)
@@ -178,7 +178,7 @@
 			w.deliver(l)
 		}
 	}
-	w.inFlight = append(rest, w.inFlight...)
+	w.inFlight = append(delayed, w.inFlight...)
 	for i, n := range w.nodes {
 		if n.restartAt > 0 {
 			if w.now >= n.restartAt {
@@ -260,9 +260,9 @@
 		n.pausedUntil = w.now + time.Duration(w.rng.Int64N(int64(5*time.Second)))
 	case 4: // a network partition, perhaps in one direction only
 		side := w.rng.IntN(1 << len(w.nodes))
-		one := w.rng.IntN(2) == 0
+		oneWay := w.rng.IntN(2) == 0
 		w.isCut = func(from, to int) bool {
-			return side>>from&1 == 1 && side>>to&1 == 0 || !one && side>>from&1 == 0 && side>>to&1 == 1
+			return side>>from&1 == 1 && side>>to&1 == 0 || !oneWay && side>>from&1 == 0 && side>>to&1 == 1
 		}
 	case 5:
 		w.isCut = func(int, int) bool { return false }
@@ -277,7 +277,7 @@
 }
 
 // simulate runs a world for 25 seconds with random faults and returns the number of leases.
-func simulate(seed uint64, inject func(*world)) (holdings int, err error) {
+func simulate(seed uint64, inject func(*world)) (leases int, err error) {
 	w := newWorld(seed, 3+2*int(seed%2))
 	if inject != nil {
 		inject(w)
@@ -299,16 +299,16 @@
 
 // Under random faults, two nodes never hold the duty at the same time, and tokens increase.
 func TestNeverTwo(t *testing.T) {
-	seeds, held := *manySeeds, 0
+	seeds, leases := *manySeeds, 0
 	for seed := range seeds {
 		n, err := simulate(seed, nil)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		held += n
+		leases += n
 	}
-	if held < int(seeds) {
-		t.Errorf("only %d leases in %d worlds: too few for the test", held, seeds)
+	if leases < int(seeds) {
+		t.Errorf("only %d leases in %d worlds: too few for the test", leases, seeds)
 	}
 }
 
--- a/internal/roster/binary_test.go
+++ b/internal/roster/binary_test.go
@@ -113,12 +113,12 @@
 		if err != nil {
 			return
 		}
-		again, err := l.AppendBinary(nil)
+		encoded, err := l.AppendBinary(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if twice, err := ParseBinary(again); err != nil || !reflect.DeepEqual(twice, l) {
-			t.Fatalf("%v\n got %+v\nwant %+v", err, twice, l)
+		if decoded, err := ParseBinary(encoded); err != nil || !reflect.DeepEqual(decoded, l) {
+			t.Fatalf("%v\n got %+v\nwant %+v", err, decoded, l)
 		}
 	})
 }
--- a/internal/roster/decode.go
+++ b/internal/roster/decode.go
@@ -98,7 +98,8 @@
 // invalid. The error names the line, if there is one.
 func Decode(from io.Reader, limits Limits) (*List, error) {
 	d := decoder{json: json.NewDecoder(&limitedReader{from: from, remaining: limits.Bytes}),
-		maxLines: limits.Lines, pool: stringPool{}, lastLine: map[policy.ServerID]int32{}, list: List{Targets: []Target{}}}
+		maxLines: limits.Lines, pool: stringPool{}, lastLine: map[policy.ServerID]int32{},
+		list: List{Targets: []Target{}}}
 	if err := d.object(); err != nil {
 		return nil, noEarlyEOF(err)
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -337,22 +337,22 @@
 func simulateOutages(seed uint64, skipSync string) error {
 	d := newDisk(seed, skipSync)
 	acknowledged, attempted := uint64(0), uint64(0) // numbers of the states
-	for life := range 6 {
+	for start := range 6 {
 		s, found := Open(d, "n3")
 		got := uint64(0)
 		if found.State != nil {
 			got = found.State.Current.Number
 			if want := fmt.Sprint(got); string(found.State.Current.Raw) != want {
-				return fmt.Errorf("life %d: state %d holds %q", life, got, found.State.Current.Raw)
+				return fmt.Errorf("start %d: state %d holds %q", start, got, found.State.Current.Raw)
 			}
 		}
 		if got != acknowledged && got != attempted {
-			return fmt.Errorf("life %d: found %d, acknowledged %d, being written %d (%v)",
-				life, got, acknowledged, attempted, found.Problems)
+			return fmt.Errorf("start %d: found %d, acknowledged %d, being written %d (%v)",
+				start, got, acknowledged, attempted, found.Problems)
 		}
 		if found.Complete && got < acknowledged {
-			return fmt.Errorf("life %d: %d is reported as the last, %d was acknowledged",
-				life, got, acknowledged)
+			return fmt.Errorf("start %d: %d is reported as the last, %d was acknowledged",
+				start, got, acknowledged)
 		}
 		acknowledged = got
 		if attempted < got {
@@ -415,14 +415,17 @@
 		}
 	}
 	newest, other := slotFile(3), slotFile(2)
-	whole := d.names[newest].data
-	for why, spoil := range map[string]func(){
-		"the newest damaged": func() { d.names[newest] = &inode{data: whole[:9]} },
+	intact := d.names[newest].data
+	for why, damage := range map[string]func(){
+		"the newest damaged": func() { d.names[newest] = &inode{data: intact[:9]} },
 		"the newest lost":    func() { delete(d.names, newest) },
-		"the other damaged":  func() { d.names[newest], d.names[other] = &inode{data: whole}, &inode{data: []byte("x")} },
+		"the other damaged": func() {
+			d.names[newest], d.names[other] = &inode{data: intact},
+				&inode{data: []byte("x")}
+		},
 	} {
 		original := map[string]*inode{newest: d.names[newest], other: d.names[other]}
-		spoil()
+		damage()
 		if _, found := Open(d, "n3"); found.Complete || found.State == nil {
 			t.Errorf("%s: %+v", why, found)
 		}
@@ -588,9 +591,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	handed := &State{Name: "n3", Lines: func() []byte { return lines }}
+	fromBytes := &State{Name: "n3", Lines: func() []byte { return lines }}
 	for name, b := range map[string][]byte{"JSON": withChecksum(append(w.b, 0, 0, 0, 0)),
-		"binary": encoded(t, handed)} {
+		"binary": encoded(t, fromBytes)} {
 		if s, err := Decode(b, "n3"); err != nil || !reflect.DeepEqual(s.List, want) {
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -23,7 +23,7 @@
 	maxEntries = 200  // classes or plans; messages store their indexes in one byte
 )
 
-func (f *facts) fault(key, format string, args ...any) {
+func (f *facts) addFault(key, format string, args ...any) {
 	f.errs = append(f.errs, fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...)))
 }
 
@@ -36,9 +36,9 @@
 	v := p.num()
 	switch {
 	case p.err != nil:
-		f.fault(key, "%v", p.err)
+		f.addFault(key, "%v", p.err)
 	case math.Abs(v) > maxNumber:
-		f.fault(key, "%g is out of range", v)
+		f.addFault(key, "%g is out of range", v)
 		return 0
 	}
 	return v
@@ -47,7 +47,7 @@
 func (f *facts) ms(key string) time.Duration {
 	v := f.number(key)
 	if v < 0 {
-		f.fault(key, "negative")
+		f.addFault(key, "negative")
 	}
 	return duration(v)
 }
@@ -60,7 +60,7 @@
 		return true
 	case "", "-", "false", "0":
 	default:
-		f.fault(key, "%q is not a boolean", clip(w))
+		f.addFault(key, "%q is not a boolean", clip(w))
 	}
 	return false
 }
@@ -104,7 +104,7 @@
 	count := func(key string) int {
 		n := f.int(key)
 		if n < 0 || n > maxEntries {
-			f.fault(key, "%d is not from 0 to %d", n, maxEntries)
+			f.addFault(key, "%d is not from 0 to %d", n, maxEntries)
 			return 0
 		}
 		return n
@@ -114,10 +114,10 @@
 		effect, effectKnown := effects[f.m[k+"semantics"]]
 		group, groupKnown := groups[f.m[k+"group"]]
 		if !effectKnown {
-			f.fault(k+"semantics", "unknown value %q", clip(f.m[k+"semantics"]))
+			f.addFault(k+"semantics", "unknown value %q", clip(f.m[k+"semantics"]))
 		}
 		if !groupKnown {
-			f.fault(k+"group", "unknown value %q", clip(f.m[k+"group"]))
+			f.addFault(k+"group", "unknown value %q", clip(f.m[k+"group"]))
 		}
 		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], Aim: f.ms(k + "aim_ms"),
 			Deadline: f.ms(k + "hard_limit_ms"), Effect: effect, Group: group,
