--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-func set() Settings { return Settings{Name: "checks", Term: 3 * time.Second, Drift: 0.01} }
+func testSettings() Settings { return Settings{Name: "checks", Term: 3 * time.Second, Drift: 0.01} }
 
 func TestWire(t *testing.T) {
 	m := Message{Promise, 1, 2, 3, 4}
@@ -21,12 +21,12 @@
 	}
 	for n := range b {
 		if _, ok := Decode(b[:n]); ok {
-			t.Errorf("%d bytes passed", n)
+			t.Errorf("%d bytes were accepted", n)
 		}
 	}
 	for _, bad := range [][]byte{append(b, 0), append([]byte{3}, b[1:]...), append([]byte{Version, 0}, b[2:]...), append([]byte{Version, 9}, b[2:]...)} {
 		if _, ok := Decode(bad); ok {
-			t.Errorf("%x passed", bad)
+			t.Errorf("%x was accepted", bad)
 		}
 	}
 }
@@ -39,9 +39,9 @@
 			return
 		}
 		if string(m.Append(nil)) != string(b) {
-			t.Fatalf("%x read as %+v", b, m)
+			t.Fatalf("%x decoded as %+v", b, m)
 		}
-		d := New(set(), 0, Voters("checks", 5), 1, 0, 0)
+		d := New(testSettings(), 0, Voters("checks", 5), 1, 0, 0)
 		for _, now := range []time.Duration{0, time.Minute} {
 			for from := range 7 {
 				d.Handle(now, from, m)
@@ -51,7 +51,8 @@
 	})
 }
 
-// The voters are the same at all, an odd number, and spread over the fleet.
+// Voters returns the same odd number of voters for each call and spreads duties over the
+// fleet.
 func TestVoters(t *testing.T) {
 	for n, want := range map[int]int{1: 1, 2: 1, 3: 3, 4: 3, 5: 5, 300: 5} {
 		if v := Voters("a", n); len(v) != want || !slices.Equal(v, Voters("a", n)) {
@@ -63,7 +64,7 @@
 		v := Voters(fmt.Sprint("duty", i), 300)
 		slices.Sort(v)
 		if len(slices.Compact(v)) != 5 {
-			t.Fatalf("one twice: %v", v)
+			t.Fatalf("duplicate voter: %v", v)
 		}
 		for _, x := range v {
 			count[x]++
@@ -76,71 +77,73 @@
 	}
 }
 
-// world plays voters whose clocks drift over a network that loses, delays and
-// repeats, in steps of a true millisecond.
+// world simulates voters with drifting clocks and a network that loses, delays and
+// duplicates messages, in steps of a millisecond of true time.
 type world struct {
-	rng    *rand.Rand
-	set    Settings
-	nodes  []*node
-	mail   []letter
-	now    time.Duration // true time
-	loss   float64
-	late   time.Duration // most
-	cut    func(from, to int) bool
-	msgs   int
-	tokens []uint64 // of the holdings, in their order
-	last   int      // who held last; -1: nobody yet
+	rng      *rand.Rand
+	settings Settings
+	nodes    []*process
+	inFlight []delivery
+	now      time.Duration // true time
+	loss     float64
+	maxDelay time.Duration // maximal delay of a message
+	isCut    func(from, to int) bool
+	msgs     int
+	tokens   []uint64 // of the leases, in order
+	last     int      // the last holder; -1: none yet
 
-	forget bool // planted: a voter that starts anew takes part at once
-	sloppy bool // planted: a holder counts from the grant's arrival
+	skipWait         bool // injected fault: a voter takes part right after a restart
+	countFromArrival bool // injected fault: a holder measures the term from the arrival of the grant
 }
 
-type node struct {
+type process struct {
 	*Duty
-	rate   float64
-	offset time.Duration
-	next   time.Duration // by its clock
-	asleep time.Duration // true time until which it stands still
-	dead   time.Duration // true time until which it does not run; 0: it runs
-	box    []letter      // what came while it stood still
+	rate        float64
+	offset      time.Duration
+	next        time.Duration // time of the next tick, by the local clock
+	pausedUntil time.Duration // true time until which the process is paused
+	restartAt   time.Duration // true time of the next start; 0: running
+	inbox       []delivery    // messages that arrived during a pause
 }
 
-type letter struct {
+type delivery struct {
 	at       time.Duration
 	from, to int
 	m        Message
 }
 
-func (n *node) clock(true_ time.Duration) time.Duration {
-	return n.offset + time.Duration(float64(true_)*n.rate)
+func (n *process) clock(trueTime time.Duration) time.Duration {
+	return n.offset + time.Duration(float64(trueTime)*n.rate)
 }
 
 func newWorld(seed uint64, voters int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 11)), set: set(), last: -1, cut: func(int, int) bool { return false }, late: 40 * ms}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 11)), settings: testSettings(), last: -1,
+		isCut: func(int, int) bool { return false }, maxDelay: 40 * ms}
 	for range voters {
-		n := &node{rate: 1 + w.set.Drift*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Int64N(int64(time.Hour)))}
+		n := &process{rate: 1 + w.settings.Drift*(2*w.rng.Float64()-1),
+			offset: time.Duration(w.rng.Int64N(int64(time.Hour)))}
 		w.nodes = append(w.nodes, n)
 	}
 	for i, n := range w.nodes {
-		w.boot(i)
-		if w.rng.IntN(2) == 0 { // they have been up for long
-			n.awake = 0
-			n.retry = n.clock(0) + n.jitter(replyWait)
+		w.restart(i)
+		if w.rng.IntN(2) == 0 { // half of the voters started more than a term ago
+			n.activeAt = 0
+			n.nextRound = n.clock(0) + n.jitter(roundTimeout)
 		}
 	}
 	return w
 }
 
-func (w *world) boot(i int) {
+func (w *world) restart(i int) {
 	n := w.nodes[i]
 	voters := make([]int, len(w.nodes))
 	for k := range voters {
 		voters[k] = k
 	}
 	local := n.clock(w.now)
-	n.Duty = New(w.set, i, voters, w.rng.Uint64(), local, uint64(w.now/ms)+1000)
-	if w.forget {
-		n.awake = local
+	n.Duty = New(w.settings, i, voters, w.rng.Uint64(), local, uint64(w.now/ms)+1000)
+	if w.skipWait {
+		n.activeAt = local
 	}
 	n.next = local
 }
@@ -148,47 +151,48 @@
 func (w *world) send(from int, out []Out) {
 	for _, o := range out {
 		w.msgs++
-		if w.rng.Float64() < w.loss || w.cut(from, o.To) {
+		if w.rng.Float64() < w.loss || w.isCut(from, o.To) {
 			continue
 		}
-		for again := true; again; again = w.rng.IntN(20) == 0 {
-			w.mail = append(w.mail, letter{w.now + ms + time.Duration(w.rng.Int64N(int64(w.late))), from, o.To, o.Msg})
+		for duplicate := true; duplicate; duplicate = w.rng.IntN(20) == 0 {
+			w.inFlight = append(w.inFlight, delivery{w.now + ms + time.Duration(w.rng.Int64N(int64(w.maxDelay))),
+				from, o.To, o.Msg})
 		}
 	}
 }
 
-// step lets a millisecond go by and checks that no two hold the duty.
+// step advances the time by a millisecond and checks the holders.
 func (w *world) step() error {
 	w.now += ms
-	var rest []letter
-	due := w.mail
-	w.mail = nil
-	for _, l := range due {
+	var delayed []delivery
+	arriving := w.inFlight
+	w.inFlight = nil
+	for _, l := range arriving {
 		switch n := w.nodes[l.to]; {
 		case l.at > w.now:
-			rest = append(rest, l)
-		case n.dead > 0:
-		case n.asleep > w.now:
-			n.box = append(n.box, l)
+			delayed = append(delayed, l)
+		case n.restartAt > 0:
+		case n.pausedUntil > w.now:
+			n.inbox = append(n.inbox, l)
 		default:
 			w.deliver(l)
 		}
 	}
-	w.mail = append(rest, w.mail...)
+	w.inFlight = append(delayed, w.inFlight...)
 	for i, n := range w.nodes {
-		if n.dead > 0 {
-			if w.now >= n.dead {
-				n.dead = 0
-				w.boot(i)
+		if n.restartAt > 0 {
+			if w.now >= n.restartAt {
+				n.restartAt = 0
+				w.restart(i)
 			}
 			continue
 		}
-		if n.asleep > w.now {
+		if n.pausedUntil > w.now {
 			continue
 		}
-		box := n.box
-		n.box = nil
-		for _, l := range box {
+		messages := n.inbox
+		n.inbox = nil
+		for _, l := range messages {
 			w.deliver(l)
 		}
 		if local := n.clock(w.now); local >= n.next {
@@ -200,26 +204,26 @@
 	return w.check()
 }
 
-func (w *world) deliver(l letter) {
+func (w *world) deliver(l delivery) {
 	n := w.nodes[l.to]
 	local := n.clock(w.now)
-	before := n.ends
+	before := n.leaseEnd
 	w.send(l.to, n.Handle(local, l.from, l.m))
-	if w.sloppy && n.ends != before {
-		n.ends = local + w.set.Term
+	if w.countFromArrival && n.leaseEnd != before {
+		n.leaseEnd = local + w.settings.Term
 	}
-	n.next = min(n.next, max(n.retry, local+ms))
+	n.next = min(n.next, max(n.nextRound, local+ms))
 	if n.phase != 0 {
-		n.next = min(n.next, n.asked+replyWait)
+		n.next = min(n.next, n.roundStart+roundTimeout)
 	}
 }
 
-// check looks at all who would act now. One that stands still does not act; it asks
-// Holds again when it wakes.
+// check returns an error if two nodes hold the duty or a token decreases. It ignores paused
+// nodes: they don't act, and call Holds again after the pause.
 func (w *world) check() error {
 	holder := -1
 	for i, n := range w.nodes {
-		if n.dead > 0 || n.asleep > w.now {
+		if n.restartAt > 0 || n.pausedUntil > w.now {
 			continue
 		}
 		token, ok := n.Holds(n.clock(w.now))
@@ -241,47 +245,48 @@
 	return nil
 }
 
-// trouble does to the world whatever may happen.
-func (w *world) trouble() {
+// injectFault injects a random fault.
+func (w *world) injectFault() {
 	i := w.rng.IntN(len(w.nodes))
 	n := w.nodes[i]
-	if n.dead > 0 {
+	if n.restartAt > 0 {
 		return
 	}
 	switch w.rng.IntN(8) {
-	case 0, 1: // killed, and back soon
-		n.dead, n.asleep, n.box = w.now+time.Duration(w.rng.Int64N(int64(2*time.Second)))+ms, 0, nil
-	case 2, 3: // stands still, perhaps for longer than its lease
-		n.asleep = w.now + time.Duration(w.rng.Int64N(int64(5*time.Second)))
-	case 4: // a cut, perhaps of one way only
+	case 0, 1: // killed, restarts soon
+		n.restartAt, n.pausedUntil, n.inbox = w.now+time.Duration(w.rng.Int64N(int64(2*time.Second)))+ms,
+			0, nil
+	case 2, 3: // paused, perhaps for longer than its lease
+		n.pausedUntil = w.now + time.Duration(w.rng.Int64N(int64(5*time.Second)))
+	case 4: // a network partition, perhaps in one direction only
 		side := w.rng.IntN(1 << len(w.nodes))
-		one := w.rng.IntN(2) == 0
-		w.cut = func(from, to int) bool {
-			return side>>from&1 == 1 && side>>to&1 == 0 || !one && side>>from&1 == 0 && side>>to&1 == 1
+		oneWay := w.rng.IntN(2) == 0
+		w.isCut = func(from, to int) bool {
+			return side>>from&1 == 1 && side>>to&1 == 0 || !oneWay && side>>from&1 == 0 && side>>to&1 == 1
 		}
 	case 5:
-		w.cut = func(int, int) bool { return false }
+		w.isCut = func(int, int) bool { return false }
 	case 6:
 		w.loss = w.rng.Float64() * 0.3
-	case 7: // a planned stop
-		if n.asleep <= w.now {
+	case 7: // shutdown
+		if n.pausedUntil <= w.now {
 			w.send(i, n.Leave(n.clock(w.now)))
-			n.dead = w.now + time.Duration(w.rng.Int64N(int64(time.Second))) + ms
+			n.restartAt = w.now + time.Duration(w.rng.Int64N(int64(time.Second))) + ms
 		}
 	}
 }
 
-// play runs a world for a while of trouble; it tells how often the duty was held.
-func play(seed uint64, plant func(*world)) (holdings int, err error) {
+// simulate runs a world for 25 seconds with random faults and returns the number of leases.
+func simulate(seed uint64, inject func(*world)) (leases int, err error) {
 	w := newWorld(seed, 3+2*int(seed%2))
-	if plant != nil {
-		plant(w)
+	if inject != nil {
+		inject(w)
 	}
-	w.late = time.Duration(1+w.rng.IntN(150)) * ms
-	calm := 500 + w.rng.IntN(4000) // milliseconds between two troubles, on average
+	w.maxDelay = time.Duration(1+w.rng.IntN(150)) * ms
+	faultInterval := 500 + w.rng.IntN(4000) // average milliseconds between faults
 	for range 25000 {
-		if w.rng.IntN(calm) == 0 {
-			w.trouble()
+		if w.rng.IntN(faultInterval) == 0 {
+			w.injectFault()
 		}
 		if err := w.step(); err != nil {
 			return 0, err
@@ -292,62 +297,62 @@
 
 var manySeeds = flag.Uint64("seeds", 400, "worlds that TestNeverTwo plays")
 
-// Never two at once, and tokens that grow, whatever happens.
+// Under random faults, two nodes never hold the duty at the same time, and tokens increase.
 func TestNeverTwo(t *testing.T) {
-	seeds, held := *manySeeds, 0
+	seeds, leases := *manySeeds, 0
 	for seed := range seeds {
-		n, err := play(seed, nil)
+		n, err := simulate(seed, nil)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		held += n
+		leases += n
 	}
-	if held < int(seeds) {
-		t.Errorf("held %d times in %d worlds: too seldom to tell", held, seeds)
+	if leases < int(seeds) {
+		t.Errorf("only %d leases in %d worlds: too few for the test", leases, seeds)
 	}
 }
 
-// The model sees a voter that forgets without waiting, and a holder that counts its
-// lease from the grant's arrival.
+// The model detects a voter that takes part right after a restart and a holder that measures
+// its lease from the arrival of the grant.
 func TestModelCatchesFaults(t *testing.T) {
-	for name, plant := range map[string]func(*world){
-		"forgets": func(w *world) { w.forget = true },
-		"sloppy":  func(w *world) { w.sloppy = true },
+	for name, inject := range map[string]func(*world){
+		"forgets": func(w *world) { w.skipWait = true },
+		"sloppy":  func(w *world) { w.countFromArrival = true },
 	} {
 		caught := false
 		for seed := uint64(0); seed < 400 && !caught; seed++ {
-			_, err := play(seed, plant)
+			_, err := simulate(seed, inject)
 			caught = err != nil
 		}
 		if !caught {
-			t.Errorf("%s went unseen", name)
+			t.Errorf("the fault %q was not detected", name)
 		}
 	}
 }
 
-// settle runs until somebody holds the duty, and gives how long that took.
-func (w *world) settle(t testing.TB, most time.Duration) time.Duration {
+// runUntilHeld runs the world until a node holds the duty and returns the time it took.
+func (w *world) runUntilHeld(t testing.TB, limit time.Duration) time.Duration {
 	t.Helper()
 	from := w.now
-	for w.now < from+most {
+	for w.now < from+limit {
 		if err := w.step(); err != nil {
 			t.Fatal(err)
 		}
 		for _, n := range w.nodes {
-			if _, ok := n.Holds(n.clock(w.now)); ok && n.dead == 0 && n.asleep <= w.now {
+			if _, ok := n.Holds(n.clock(w.now)); ok && n.restartAt == 0 && n.pausedUntil <= w.now {
 				return w.now - from
 			}
 		}
 	}
-	t.Fatalf("nobody holds the duty after %v", most)
+	t.Fatalf("no holder after %v", limit)
 	return 0
 }
 
-// One holder goes on holding, by one token, while nothing happens.
+// Without faults, one node keeps the duty and its token.
 func TestHolderStays(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(seed, 5)
-		w.settle(t, 10*time.Second)
+		w.runUntilHeld(t, 10*time.Second)
 		before := w.msgs
 		for range 60000 {
 			if err := w.step(); err != nil {
@@ -355,7 +360,7 @@
 			}
 		}
 		if len(w.tokens) != 1 {
-			t.Errorf("seed %d: %d holdings in a calm minute", seed, len(w.tokens))
+			t.Errorf("seed %d: %d leases in a minute without faults", seed, len(w.tokens))
 		}
 		if n := w.msgs - before; n > 60*20 {
 			t.Errorf("seed %d: %d messages in a minute", seed, n)
@@ -363,12 +368,12 @@
 	}
 }
 
-// A majority in neither part of a cut: nobody holds the duty for longer than its
-// lease, and somebody does once it heals.
+// In a partition without a majority on any side, the lease expires and no node holds the
+// duty. A node holds it again after the partition ends.
 func TestNoMajority(t *testing.T) {
 	w := newWorld(3, 5)
-	w.settle(t, 10*time.Second)
-	w.cut = func(from, to int) bool { return from != to }
+	w.runUntilHeld(t, 10*time.Second)
+	w.isCut = func(from, to int) bool { return from != to }
 	for range 4000 {
 		if err := w.step(); err != nil {
 			t.Fatal(err)
@@ -376,29 +381,29 @@
 	}
 	for i, n := range w.nodes {
 		if _, ok := n.Holds(n.clock(w.now)); ok {
-			t.Errorf("%d holds it though it hears nobody", i)
+			t.Errorf("%d holds the duty though it receives no messages", i)
 		}
 	}
-	w.cut = func(int, int) bool { return false }
-	w.settle(t, 5*time.Second)
+	w.isCut = func(int, int) bool { return false }
+	w.runUntilHeld(t, 5*time.Second)
 }
 
-// All start at once, or all ask at once: the pauses drawn let one through.
+// If all nodes start a round at the same time, random pauses let one of them succeed.
 func TestCollisions(t *testing.T) {
 	for seed := range uint64(200) {
 		w := newWorld(seed, 5)
 		for _, n := range w.nodes {
-			n.awake, n.retry, n.next = 0, 0, 0
+			n.activeAt, n.nextRound, n.next = 0, 0, 0
 		}
-		w.settle(t, 10*time.Second)
+		w.runUntilHeld(t, 10*time.Second)
 	}
 }
 
-// Messages of others, of other duties, of rounds that are over and by another's
-// ballot change nothing.
+// Messages from non-voters, for other duties, of past rounds or with the ballot of another
+// node change nothing.
 func TestStrayMessages(t *testing.T) {
 	w := newWorld(1, 3)
-	w.settle(t, 10*time.Second)
+	w.runUntilHeld(t, 10*time.Second)
 	holder := w.nodes[w.last]
 	now := holder.clock(w.now)
 	other := w.nodes[(w.last+1)%3]
@@ -410,17 +415,17 @@
 			from = (w.last + 2) % 3
 		}
 		holder.Handle(now, from, m)
-		if token, ok := holder.Holds(now); !ok || token != holder.held || holder.Holder(now) != w.last {
-			t.Errorf("%+v took the duty", m)
+		if token, ok := holder.Holds(now); !ok || token != holder.token || holder.Holder(now) != w.last {
+			t.Errorf("%+v changed the holder", m)
 		}
 	}
 	if out := holder.Handle(now, 7, Message{Kind: Prepare, Duty: holder.id, Ballot: 1<<60 | 7}); len(out) != 0 || other.ballot != ballot {
-		t.Errorf("%v to one who does not vote", out)
+		t.Errorf("%v sent to a node that is not a voter", out)
 	}
 }
 
-// BenchmarkEmpty tells how long a duty stands empty after its holder crashes and
-// after it leaves, and what the holding costs in messages.
+// BenchmarkEmpty measures how long a duty has no holder after a crash and after a release,
+// and how many messages a lease costs.
 func BenchmarkEmpty(b *testing.B) {
 	for _, how := range []string{"crash", "release"} {
 		for _, loss := range []float64{0, 0.05, 0.2} {
@@ -430,10 +435,10 @@
 				for i := range b.N {
 					w := newWorld(uint64(i), 5)
 					for _, n := range w.nodes {
-						n.awake = 0
+						n.activeAt = 0
 					}
 					w.loss = loss
-					w.settle(b, 20*time.Second)
+					w.runUntilHeld(b, 20*time.Second)
 					before := w.msgs
 					for range 5000 {
 						if err := w.step(); err != nil {
@@ -445,8 +450,8 @@
 					if how == "release" {
 						w.send(w.last, n.Leave(n.clock(w.now)))
 					}
-					n.dead = w.now + time.Hour
-					took = append(took, w.settle(b, 30*time.Second).Seconds()*1e3)
+					n.restartAt = w.now + time.Hour
+					took = append(took, w.runUntilHeld(b, 30*time.Second).Seconds()*1e3)
 				}
 				slices.Sort(took)
 				b.ReportMetric(took[len(took)/2], "ms-empty")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -72,13 +72,13 @@
 		"unknown event":  {"FRAME 1\nHELLO node/1\nEOF_BATCH\n", `line 2: unknown event "HELLO"`},
 		"too few":        {"FRAME 1\nELAPSED node/1\nEOF_BATCH\n", "line 2: ELAPSED: too few fields"},
 		"too many":       {"FRAME 1\nELAPSED node/1 x y\nEOF_BATCH\n", "line 2: ELAPSED: too many fields"},
-		"bad id":         {"FRAME 1\nLAPSED node/1 12\nEOF_BATCH\n", "line 2: LAPSED: \"12\" is no request id"},
+		"bad id":         {"FRAME 1\nLAPSED node/1 12\nEOF_BATCH\n", "line 2: LAPSED: \"12\" is not a request ID"},
 		"bad clock":      {"FRAME x\nEOF_BATCH\n", "line 1: FRAME"},
-		"bad base64":     {"FRAME 1\nWHISPER node/1 2 !!\nEOF_BATCH\n", "line 2: WHISPER: bad base64"},
+		"bad base64":     {"FRAME 1\nWHISPER node/1 2 !!\nEOF_BATCH\n", "line 2: WHISPER: invalid base64"},
 		"no such list":   {"FRAME 1\nMEMBERSHIP node/1 all 1 5\nEOF_BATCH\n", "line 2: MEMBERSHIP: no list"},
 		"bad state":      {"FRAME 1\nTABLE 0 1\nM - 1 a 0 Asleep k 1\nEOF_BATCH\n", "line 3: M: unknown state"},
 		"bad setting":    {"FRAME 1\nCONFIGURE node/1 5 me=x\nEOF_BATCH\n", "line 2: CONFIGURE: me:"},
-		"unknown ending": {"FRAME 1\nPROBE_RESULT node/1 7 SO 1 -\nEOF_BATCH\n", "unknown ending"},
+		"unknown ending": {"FRAME 1\nPROBE_RESULT node/1 7 SO 1 -\nEOF_BATCH\n", "unknown result code"},
 	} {
 		d := NewDecoder(strings.NewReader(c.in))
 		var err error
@@ -92,7 +92,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, err := settings(strings.Split("me=1 balancers=3 zone=b tick_ms=2.0 caps.retry_after=true "+
+	s, err := parseSettings(strings.Split("me=1 balancers=3 zone=b tick_ms=2.0 caps.retry_after=true "+
 		"caps.max_retry_after_ms=500 report.names=active,waiting weight_kind=nominal discovery=ask "+
 		"classes.count=1 classes.0.name=c classes.0.aim_ms=80.5 classes.0.semantics=by_key "+
 		"classes.0.group=cell plans.count=1 plans.0.name=p plans.0.rate=0.7 plans.0.parallel=2 new.key=1", " "))
