--- a/internal/roster/decode.go
+++ b/internal/roster/decode.go
@@ -49,7 +49,7 @@
 	ErrTooLong = errors.New("the list is too long")
 	ErrTwice   = errors.New("duplicate uid")
 	errNoList  = errors.New("not a JSON object")
-	errBlanks  = fmt.Errorf("more than %d whitespace bytes in a row", maxBlanks)
+	errBlanks  = fmt.Errorf("over %d whitespace bytes in a row", maxBlanks)
 )
 
 // limitedReader fails beyond its limit, where io.LimitedReader returns io.EOF. It also
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	if l := &d.list; l.Bad > 0 && len(l.Targets) == 0 {
-		return nil, fmt.Errorf("all %d lines are invalid; %w", l.Bad, l.BadWhy)
+		return nil, fmt.Errorf("none of %d lines is valid; %w", l.Bad, l.BadWhy)
 	}
 	return &d.list, nil
 }
@@ -235,7 +235,7 @@
 		return nil
 	}
 	if len(l.Targets) == d.maxLines {
-		return fmt.Errorf("%w: more than %d lines", ErrTooLong, d.maxLines)
+		return fmt.Errorf("%w: over %d lines", ErrTooLong, d.maxLines)
 	}
 	t := next.target
 	t.Zone, t.State = d.pool.intern(t.Zone), d.pool.intern(t.State)
