--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -7,16 +7,19 @@
 	"valvering.example/valvering/internal/config"
 )
 
-// Parts of the file descriptors: a request needs one for its client and one for its
-// app server; the rest is for the listeners, discovery and files.
 const (
+	// Shares of the file descriptors. A request needs one for its client and one for its server.
 	clientPart, serverPart = 0.5, 0.35
-	ownDescriptors         = 19 // of the runtime, log, listeners, snapshots, the file; four of operators
 
-	minCalls, descriptorsPerCall = 2, 16 // for calls to discovery beside one another
+	// Descriptors of the runtime, the log, the listeners, snapshots and the configuration file, and four for
+	// connections of operators.
+	ownDescriptors = 19
+
+	// Concurrent calls to discovery: one for each so many descriptors, but at least minCalls.
+	minCalls, descriptorsPerCall = 2, 16
 )
 
-// descriptors tells how many a file leaves to clients and to app servers.
+// descriptors returns the limits on client connections and on server connections for a configuration file.
 func descriptors(f *config.File) (clients, servers int) {
 	n, allowed := usable(f)
 	if n < f.Sockets {
@@ -25,9 +28,9 @@
 	return parts(n)
 }
 
-// usable tells how many descriptors there are. The system may allow the process fewer than
-// the file says: by the file alone, clients would then take those that their requests need on
-// the way on, and nothing would be served.
+// usable returns the number of descriptors that the process can use, and the limit of the system. The
+// system may allow fewer than the file says. With the figure of the file, client connections would then use
+// up the descriptors that their requests need for server connections, and no request would be served.
 func usable(f *config.File) (n int, allowed uint64) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(f.Sockets) {
@@ -36,11 +39,10 @@
 	return f.Sockets, limit.Cur
 }
 
-// callsFor is how many calls to discovery may be out beside one another with so many
-// descriptors.
+// callsFor returns the limit on concurrent calls to discovery with n descriptors.
 func callsFor(n int) int { return min(maxCalls, max(minCalls, n/descriptorsPerCall)) }
 
-// parts deals out so many descriptors; each side has one at least.
+// parts divides n descriptors between clients and servers. Each gets at least one.
 func parts(n int) (clients, servers int) {
 	room := min(float64(n), float64(n-ownDescriptors-callsFor(n))/(clientPart+serverPart))
 	return max(1, int(clientPart*room)), max(1, int(serverPart*room))
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// lagWindow is how long the worst delay stays to be seen: at least one such
-// window, at most two.
+// lagWindow is the period over which the worst lag is measured. A worst lag is reported for one to two
+// periods.
 const lagWindow = 30 * time.Second
 
-// heartbeat tells how the event loop gets on. The loop beats it once a look; anybody may
-// ask, also while the loop stands still.
+// heartbeat measures the lag of the event loop. The loop records a beat with each check for disconnected
+// clients. Any goroutine may read it, also while the loop is blocked.
 type heartbeat struct {
-	looks atomic.Int64 // beats since the start
-	due   atomic.Int64 // when the loop is to beat next, by its clock; 0: it has not begun
-	worst atomic.Int64 // longest delay of a beat in this window and the one before
+	looks atomic.Int64 // number of beats since the start
+	due   atomic.Int64 // expected time of the next beat, by the loop's clock; 0: no beat yet
+	worst atomic.Int64 // largest lag in the current and the previous window
 
-	before, now time.Duration // the same of each window; the loop's
-	began       time.Duration // of this window
+	// Used by the loop alone.
+	before, now time.Duration // largest lag in the previous and the current window
+	began       time.Duration // start of the current window
 }
 
-// beat notes that the loop has got on, and when it is to do so next.
+// beat records that the loop is running, and when the next beat is expected.
 func (p *heartbeat) beat(now, next time.Duration) {
 	if now-p.began >= lagWindow {
 		p.before, p.now, p.began = p.now, 0, now
@@ -33,7 +34,7 @@
 	p.due.Store(int64(next))
 }
 
-// lag tells how far the loop is behind, and how far it has been of late.
+// lag returns the current lag of the loop, and the worst in the current and the previous window.
 func (p *heartbeat) lag(now time.Duration) (present, worst time.Duration) {
 	if due := time.Duration(p.due.Load()); due != 0 {
 		present = max(0, now-due)
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -8,24 +8,32 @@
 )
 
 const (
-	ageStep  = 32 * time.Millisecond // ages are told apart by this, doubled from one span to the next
+	// Histogram of the idle ages at which connections are used again.
+	ageStep  = 32 * time.Millisecond // upper bound of the first bucket; it doubles with each further bucket
 	ageSpans = 12
-	ageQuick = 20 * time.Millisecond // a break before this, with no byte of an answer, is the connection's fault
-	ageShare = 0.1                   // of the requests in a span that may break so
-	ageLeast = 3.0                   // breaks before a span is held to be too old
-	ageFade  = 0.98                  // what a second leaves of the counts: servers change
+
+	// A reset within this time and before any byte of the response means that the idle connection was stale.
+	ageQuick = 20 * time.Millisecond
+
+	// A bucket is too old for use when it exceeds both limits.
+	ageShare = 0.1 // share of its requests that met a stale connection
+	ageLeast = 3.0 // number of such requests
+
+	ageFade = 0.98 // factor on all counts each second, since servers change
 )
 
-// idleAges learns for how long an idle connection can be used again. App servers
-// may close one sooner than they say, and a request written to it then ends as
-// a reset, after which a keyed one has few ways left.
+// idleAges learns how long an idle connection can be used again. Servers may close idle connections earlier
+// than configured. A request that is written to such a connection ends with a reset, and a keyed request
+// then may only be repeated on a few servers.
 type idleAges struct {
 	used, broke [ageSpans]float64
 }
 
+// ageSpan returns the bucket of an idle age.
 func ageSpan(age time.Duration) int { return min(ageSpans-1, bits.Len64(uint64(max(0, age)/ageStep))) }
 
-// note takes in how a request on a connection of some age went.
+// note records the result of a request on a connection that had been idle for the given age.
+// begun is whether any bytes were received in response.
 func (x *idleAges) note(age, took time.Duration, code policy.Code, begun bool) {
 	i := ageSpan(age)
 	x.used[i]++
@@ -34,7 +42,7 @@
 	}
 }
 
-// most is the age from which too many break, or else the age given.
+// most returns the lowest idle age at which too many connections are stale, but at most the given age.
 func (x *idleAges) most(age time.Duration) time.Duration {
 	for i := 1; i < ageSpans; i++ {
 		if x.broke[i] >= ageLeast && x.broke[i] > ageShare*x.used[i] {
@@ -44,6 +52,7 @@
 	return age
 }
 
+// fade decays all counts. It is called once a second.
 func (x *idleAges) fade() {
 	for i := range x.used {
 		x.used[i] *= ageFade
--- a/internal/node/linger.go
+++ b/internal/node/linger.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// A connection of a client is closed in one way, by whoever and whyever: sending is
-// ended, what still comes is read and dropped, then it is closed. Closed over bytes that
-// nobody has read, it would be reset, and the reset can take an answer along that the
-// client has not read yet. A request that crosses the end of sending is not worked on:
-// its client sees the end and sends it once more elsewhere.
+// Lingering close: every client connection is closed by shutting down sending, then reading and discarding
+// what still arrives, then closing. A close while received bytes are unread would reset the connection, and
+// the client could lose a response that it has not read yet. A request that crosses the shutdown of sending
+// is not processed: its client sees the end of the connection and repeats the request elsewhere.
 const (
-	lingerFor  = 500 * time.Millisecond // the way there and back, and a client that is slow to notice
-	lingerMost = 256 << 10              // bytes read and dropped
-	lingerPart = 0.125                  // of the clients' descriptors, for connections that are being closed
+	lingerFor  = 500 * time.Millisecond // a round trip and the delay of a slow client
+	lingerMost = 256 << 10              // bytes that are read and discarded
+	lingerPart = 0.125                  // share of the clients' descriptors for connections being closed
 )
 
-// end begins to close a connection on which no request is worked on: its goroutine wakes
-// and goes on with leave. The caller holds the mutex.
+// end begins the lingering close of a connection that is not busy. The read of the connection's goroutine
+// fails, and the goroutine continues with leave. The caller holds the mutex.
 func (s *server) end(cc *clientConn) {
 	if s.shut >= s.spare {
 		s.closeOldestLingering()
@@ -26,10 +25,10 @@
 	cc.shut, cc.since = true, s.clock.now()
 	s.shut++
 	closeWrite(cc.Conn)
-	_ = cc.SetReadDeadline(time.Unix(1, 0)) // become sets none any more
+	_ = cc.SetReadDeadline(time.Unix(1, 0)) // become no longer changes it
 }
 
-// closeOldestLingering closes the connection that has been given the longest to see its end.
+// closeOldestLingering closes the connection whose lingering close began first.
 func (s *server) closeOldestLingering() {
 	var oldest *clientConn
 	for cc := range s.conns {
@@ -43,7 +42,7 @@
 	}
 }
 
-// leave lets go of a connection, as its goroutine's last step.
+// leave completes the lingering close of a connection, as the last step of the connection's goroutine.
 func (s *server) leave(cc *clientConn) {
 	s.mu.Lock()
 	if !cc.shut {
@@ -60,7 +59,7 @@
 	delete(s.conns, cc)
 }
 
-// closeWrite ends sending; what was written still goes out.
+// closeWrite shuts down sending. Bytes that have been written are still sent.
 func closeWrite(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,8 +9,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// clock is the monotonic clock of an edge node, anchored once to Unix time: it
-// counts from the epoch, so that start times in the list need no shift.
+// clock is the monotonic clock of an edge node. It counts from the Unix epoch, so that start times in
+// discovery's list need no conversion; later changes of the system's time don't affect it.
 type clock struct{ anchor time.Time }
 
 func (c clock) now() time.Duration {
@@ -23,70 +23,70 @@
 
 const (
 	eventQueue = 4096
-	// answerMargin is how long before a client's deadline its answer is decided:
-	// the request and the answer each have a way to go.
+	// answerMargin is the time before a client's deadline at which its response is decided. It covers the
+	// network delay of the request and of the response.
 	answerMargin = 10 * time.Millisecond
-	backstop     = 3 * time.Millisecond  // and then what the module left open is failed
-	lookEvery    = 50 * time.Millisecond // for clients that have gone away
-	soon         = time.Millisecond      // another edge node may have room at once
-	minTimer     = time.Microsecond      // a timer of the module's is behind what it is set by
+	backstop     = 3 * time.Millisecond  // after the margin, before a request that policy left open is failed
+	lookEvery    = 50 * time.Millisecond // between two checks for disconnected clients
+	soon         = time.Millisecond      // Retry-After of a shortened shutdown: others may have room
+	minTimer     = time.Microsecond      // a timer of policy fires strictly after the event that set it
 
 	statusBadRequest, statusConflict = 400, 409
 )
 
-// call is an open request of a client. Its connection's goroutine waits for
-// commands and carries them out one at a time; all else is the loop's.
+// call is an open request of a client. The goroutine of the client's connection waits for commands and
+// carries them out one at a time. The loop owns all other fields.
 type call struct {
 	policy.Request
-	name    string             // the client's id for it
-	gen     *config.Generation // by which it was read
-	req     *clientRequest     // its connection's, which waits
+	name    string             // X-Request-Id
+	gen     *config.Generation // the generation that the request was parsed with
+	req     *clientRequest     // the connection's buffer, unchanged until the response
 	class   *policy.Class
 	client  *clientConn // nil in tests of the loop alone
 	arrived time.Duration
-	budget  time.Duration // how long the client waits
-	cmd     chan command  // room for one: the next is given once the last is done
+	budget  time.Duration // X-Deadline-Ms
+	cmd     chan command  // capacity 1: the next is sent once the last is carried out
 
-	due      time.Duration
+	due      time.Duration // the client's deadline less answerMargin
 	backstop *timer
 	attempts int
-	ranAt    time.Duration // when the first attempt that may have run was asked for; 0: none
-	out      *attempt      // nil: none is out
-	final    *command      // the answer, once the attempt out has ended
+	ranAt    time.Duration // start of the first attempt that the server may have run; 0: none
+	out      *attempt      // in flight; nil: none is
+	final    *command      // sent once the attempt in flight has ended; nil: not decided
 }
 
-// command is an attempt to carry out, or else the final answer.
+// command is an attempt to carry out or, if attempt is nil, the final answer to the client.
 type command struct {
 	attempt    *attempt
 	refuse     bool
-	bad        int // the status that says the request itself is at fault; 0: it is not
+	bad        int // status of the answer to an invalid request; 0: the request is valid
 	retryAfter time.Duration
 }
 
-// outcome tells the loop how an attempt ended.
+// outcome is the event that an attempt has ended.
 type outcome struct {
 	c *call
 	a *attempt
 	result
 }
 
-// apply puts a generation in force; done is closed once it is.
+// apply is the event that puts a generation in force. The loop closes done afterwards.
 type apply struct {
 	gen  *config.Generation
 	done chan struct{}
 }
 
-// shutdown has the module hand on what others count on, and then ends the loop: nothing
-// is let in behind what it tells and keeps. It ends at once for one that may not
-// wait.
+// shutdown is the event that ends the loop. Policy first hands its counts to other edge nodes. Once it
+// reports ShutdownDone the loop handles no further event, so that the last messages and the last snapshot are
+// complete. With now set the loop ends at once.
 type shutdown struct{ now bool }
 
-// giveUp has what waits answered at once from now on, or no longer: it may be
-// asked for elsewhere.
+// giveUp is the event that turns on or off that all requests without an attempt in flight are answered at
+// once, so that their clients can send them to another edge node.
 type giveUp bool
 
-// loop owns the Gateway and the state of all open requests. Others hand it
-// events; it never waits for a socket.
+// loop owns the policy.Gateway and the state of all open requests. Other goroutines post events to it.
+// It never waits for a socket.
 type loop struct {
 	clock   clock
 	gateway *policy.Gateway
@@ -95,22 +95,22 @@
 	mustAsk bool
 	onList  func(kind policy.MembersKind)
 	gen     *config.Generation           // in force
-	onApply func(gen *config.Generation) // puts its limits in force elsewhere
-	reread  func(c *call) error          // reads a request anew, by the generation in force
+	onApply func(gen *config.Generation) // applies its limits outside the loop
+	reread  func(c *call) error          // parses a request again with the generation in force
 
-	hasty       bool          // a planned stop was hastened
-	ended       bool          // nothing more is to be said or kept
-	keep        *keeper       // nil: no snapshots are kept
-	over        chan struct{} // closed when run has ended
+	hasty       bool          // set by giveUp
+	ended       bool          // policy has completed its shutdown
+	keep        *keeper       // nil: no snapshots are written
+	over        chan struct{} // closed when run returns
 	events      chan any
 	nextID      policy.RequestID
 	calls       map[policy.RequestID]*call
-	names       map[string]*call // the same by the clients' ids
+	names       map[string]*call // by X-Request-Id
 	heartbeat   heartbeat
 	disconnects disconnectCounts
 	timers      timerHeap
 	timer       *time.Timer
-	wake        time.Duration // when the timer is set for; 0: it is not
+	wake        time.Duration // time that the timer is set to; 0: not set
 	queue       []policy.Event
 	acts        []policy.Action
 }
@@ -120,7 +120,7 @@
 		calls: map[policy.RequestID]*call{}, names: map[string]*call{}, timer: time.NewTimer(time.Hour)}
 }
 
-// post hands the loop an event. It waits for room, or for the loop's end.
+// post queues an event. It blocks while the queue is full, unless the loop has ended.
 func (l *loop) post(ev any) {
 	select {
 	case l.events <- ev:
@@ -128,7 +128,7 @@
 	}
 }
 
-// run handles events until done is closed.
+// run handles events until done is closed or policy has completed its shutdown.
 func (l *loop) run(done <-chan struct{}) {
 	defer close(l.over)
 	defer l.timer.Stop()
@@ -152,6 +152,7 @@
 	}
 }
 
+// arm sets the timer to the earliest entry of the heap.
 func (l *loop) arm() {
 	if len(l.timers) == 0 || l.wake != 0 && l.wake <= l.timers[0].at {
 		return
@@ -160,8 +161,8 @@
 	l.timer.Reset(max(0, l.wake-l.clock.now()))
 }
 
-// fire tells of the timers that have run out by now. What they set anew is for the next
-// time, however soon: events come between.
+// fire handles the timers that have expired. Timers set meanwhile wait for the next call, however short they
+// are, so that events are handled in between.
 func (l *loop) fire() {
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].at <= now; {
 		t := heap.Pop(&l.timers).(*timer)
@@ -208,9 +209,8 @@
 	}
 }
 
-// apply is the one point at which a new generation comes into force. What was
-// read by the one before and comes after it is read again, so that nothing is
-// decided half by each.
+// apply is the only place where a new generation comes into force. A request that was parsed with the
+// previous generation and arrives later is parsed again, so that no decision mixes two generations.
 func (l *loop) apply(ev apply) {
 	l.gen = ev.gen
 	l.decide(policy.Reconfigure{Settings: ev.gen.File.Settings})
@@ -218,8 +218,8 @@
 	close(ev.done)
 }
 
-// giveUp refuses the requests that have no attempt out. One that may have run is
-// not to be asked for again lightly: it fails.
+// giveUp refuses all requests without an attempt in flight. A request that may have run and is not safe to
+// repeat is failed instead, since a refusal invites the client to retry.
 func (l *loop) giveUp() {
 	for id, c := range l.calls {
 		if c.out != nil {
@@ -236,7 +236,7 @@
 		return
 	}
 	if l.names[c.name] != nil {
-		c.cmd <- command{bad: statusConflict} // the one that is open goes on
+		c.cmd <- command{bad: statusConflict} // the open request with this id continues
 		return
 	}
 	l.nextID++
@@ -249,8 +249,8 @@
 	l.decide(c.Request)
 }
 
-// end takes in an attempt's end. A whole answer is on its way to the client
-// already.
+// end handles the end of an attempt. The connection's goroutine has already begun to write a successful
+// response to the client.
 func (l *loop) end(o outcome) {
 	c, ev := o.c, policy.Outcome{ID: o.a.id, Attempt: o.a.num, Server: o.a.server, Code: o.code,
 		Latency: l.clock.now() - o.a.sent, Load: o.load}
@@ -277,7 +277,7 @@
 	l.decide(ev)
 }
 
-// overdue fails what the module has left open until the client's deadline.
+// overdue fails a request that policy has not answered by its deadline.
 func (l *loop) overdue(c *call) {
 	if l.calls[c.ID] == nil {
 		return
@@ -286,9 +286,9 @@
 	l.decide(policy.Gone{ID: c.ID})
 }
 
-// look finds the clients that have closed their connections. Nothing more is
-// sent for them, nor what is still without a connection; an attempt that may run
-// goes on, since the app server would not stop either.
+// look finds the clients that have disconnected. Their requests get no further attempts, and an attempt that
+// still waits for its connection is withdrawn. An attempt that may have been written continues, since the
+// server would not stop working on it either.
 func (l *loop) look() {
 	for id, c := range l.calls {
 		if c.client == nil || !c.client.gone() {
@@ -313,15 +313,15 @@
 	l.heartbeat.beat(now, now+lookEvery)
 }
 
-// finish gives a request its final answer, after calling back an attempt that
-// is still out.
+// finish gives a request its final answer. If an attempt is in flight, it cancels the attempt, and the answer
+// follows at the attempt's end.
 func (l *loop) finish(c *call, cmd command) {
 	if c.out == nil {
 		l.answer(c, cmd)
 		return
 	}
 	if c.final == nil {
-		// What is out may run: that rules a refusal out.
+		// The attempt may run, so the answer can't be a refusal.
 		c.final = &command{}
 		c.out.cancel()
 	}
@@ -332,7 +332,7 @@
 	c.cmd <- cmd
 }
 
-// forget drops what is kept of a request once its answer is decided.
+// forget removes a request from the loop once its answer is decided.
 func (l *loop) forget(c *call) {
 	delete(l.calls, c.ID)
 	if l.names[c.name] == c {
@@ -343,6 +343,7 @@
 	}
 }
 
+// members handles a list of servers, changes to it, or a failed call to discovery.
 func (l *loop) members(m members) {
 	if m.taken != nil {
 		defer close(m.taken)
@@ -369,7 +370,7 @@
 	}
 }
 
-// servers turns lines into the module's form.
+// servers converts lines of discovery's list for policy.
 func servers(lines []target) []policy.Server {
 	out := make([]policy.Server, 0, len(lines))
 	for i := range lines {
@@ -378,7 +379,7 @@
 	return out
 }
 
-// decide hands an event to the module and carries out what it wants done.
+// decide has policy handle an event and carries out the resulting actions.
 func (l *loop) decide(ev policy.Event) {
 	l.queue = append(l.queue[:0], ev)
 	for i := 0; i < len(l.queue); i++ {
@@ -412,7 +413,7 @@
 			l.tell(a.To, a.Data)
 		}
 	case policy.Watch:
-		// The list is watched from the start, asked for or not.
+		// Package node watches the list from the start.
 	case policy.ShutdownDone:
 		l.ended = true
 	case policy.Log:
@@ -420,6 +421,7 @@
 	}
 }
 
+// send starts an attempt. If that is no longer possible, policy gets the outcome Moot.
 func (l *loop) send(s policy.Send) {
 	c, now := l.calls[s.ID], l.clock.now()
 	moot := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.Moot, Over: c == nil}
@@ -440,19 +442,19 @@
 	}
 	a.writeBy = a.deadline
 	if c.ranAt > 0 && c.class.Effect == policy.Keyed {
-		a.writeBy = min(a.writeBy, c.ranAt+c.class.Window-answerMargin) // the bytes have a way to go
+		a.writeBy = min(a.writeBy, c.ranAt+c.class.Window-answerMargin) // network delay
 	}
 	c.out = a
 	c.cmd <- command{attempt: a}
 }
 
-// timer is a timer of the module, or the backstop of a request.
+// timer is a timer of policy, the backstop of a request, or the next check for disconnected clients.
 type timer struct {
 	at    time.Duration
 	token string
 	call  *call
-	look  bool // for clients that have gone
-	place int  // in the heap; -1: it is out
+	look  bool // check for disconnected clients
+	place int  // index in the heap; -1: removed
 }
 
 type timerHeap []*timer
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Bounds of one HTTP/1.1 message.
+// Limits on an HTTP/1.1 message, in bytes unless noted.
 const (
 	maxBody   = 64 << 10
 	maxHead   = 16 << 10
-	maxFields = 100
-	maxLine   = 256 // of a chunk's size, with its extensions
-	minBuf    = 2 << 10
+	maxFields = 100     // header or trailer fields
+	maxLine   = 256     // chunk size line with its extensions
+	minBuf    = 2 << 10 // initial size of a read buffer
 )
 
-// What is wrong with a message. After any of these nothing more can be read
-// from the connection: where the next message begins is not known.
+// Errors in a message. After any of them nothing more can be read from the connection, since the start of the
+// next message is unknown.
 var (
 	errSyntax   = errors.New("the message can't be read")
 	errFraming  = errors.New("the message's length is not clear")
@@ -25,18 +25,17 @@
 	errLongBody = errors.New("the body is too long")
 )
 
-// stream reads messages from a connection. It takes only what can't be
-// understood in two ways, since an app server or a front might understand it
-// the other way. Slices that it gives hold until begin.
+// stream reads HTTP messages from a connection. It rejects ambiguous messages, since a server or a proxy
+// might interpret them differently (request smuggling). Slices that it returns are valid until begin.
 type stream struct {
 	src io.Reader
 	buf []byte
-	off int // what comes before has been used
+	off int // start of the unread bytes in buf
 }
 
 func (s *stream) buffered() int { return len(s.buf) - s.off }
 
-// begin lets go of the message before.
+// begin discards the bytes that have been read, and shrinks a large buffer.
 func (s *stream) begin() {
 	rest := s.buf[s.off:]
 	if cap(s.buf) > 2*minBuf && len(rest) < minBuf {
@@ -47,7 +46,7 @@
 	s.off = 0
 }
 
-// dropEmptyLine passes over an empty line if one comes next.
+// dropEmptyLine skips an empty line at the front of the unread bytes. It returns false if there is none.
 func (s *stream) dropEmptyLine() bool {
 	empty := bytes.HasPrefix(s.buf[s.off:], []byte("\r\n"))
 	if empty {
@@ -56,7 +55,7 @@
 	return empty
 }
 
-// more reads what comes next, at least a byte.
+// more reads at least one byte from the connection into the buffer.
 func (s *stream) more() error {
 	if len(s.buf) == cap(s.buf) {
 		s.buf = append(make([]byte, 0, max(minBuf, 2*cap(s.buf))), s.buf...)
@@ -83,8 +82,9 @@
 	return s.buf[s.off-n : s.off], nil
 }
 
-// lines returns what comes up to the first CRLF, or, for a head, up to the first
-// empty line. Bytes that can't stand in a line are noticed as they come.
+// lines returns the bytes up to and including the first CRLF or, with whole set, the first empty line. It
+// checks each byte as it arrives, so that an invalid line fails early. The first bytes must equal start,
+// and the length must be below most.
 func (s *stream) lines(start string, whole bool, most int) ([]byte, error) {
 	for i := 0; ; i++ {
 		for s.buffered() <= i {
@@ -116,12 +116,12 @@
 type head struct {
 	first  []byte // the start line
 	fields []field
-	length int // of the body; -1: in chunks, -2: not told
+	length int // of the body; -1: chunked, -2: not specified
 }
 
 type field struct{ name, value []byte }
 
-// readHead reads a head that begins with start.
+// readHead reads a head whose first bytes equal start.
 func (s *stream) readHead(h *head, start string) error {
 	b, err := s.lines(start, true, maxHead)
 	if err != nil {
@@ -134,14 +134,14 @@
 		line, b, _ = bytes.Cut(b, []byte("\r\n"))
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || !isToken(name) || len(h.fields) == maxFields {
-			return errSyntax // a folded line and a blank before the colon too
+			return errSyntax // also for a folded line or a blank before the colon
 		}
 		h.fields = append(h.fields, field{name, bytes.Trim(value, " \t")})
 	}
 	return h.frame()
 }
 
-// frame finds how the body's end is told. More than one way is none.
+// frame determines the length of the body. More than one framing field is an error.
 func (h *head) frame() error {
 	length, n := h.one("Content-Length")
 	coding, m := h.one("Transfer-Encoding")
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// one returns a field's value and how often the field is there.
+// one returns the first value of a field and the number of its occurrences.
 func (h *head) one(name string) (value []byte, n int) {
 	for i := range h.fields {
 		if f := &h.fields[i]; len(f.name) == len(name) && strings.EqualFold(string(f.name), name) {
@@ -176,12 +176,13 @@
 	return value, n
 }
 
+// get returns the first value of a field, or nil.
 func (h *head) get(name string) []byte {
 	v, _ := h.one(name)
 	return v
 }
 
-// has tells whether a field that lists words lists this one.
+// has reports whether the comma-separated list in a field contains a word.
 func (h *head) has(name, word string) bool {
 	for i := range h.fields {
 		if !strings.EqualFold(string(h.fields[i].name), name) {
@@ -196,7 +197,7 @@
 	return false
 }
 
-// readBody reads the body that the head tells of.
+// readBody reads the body that the head announces. Without a specified length the body is empty.
 func (s *stream) readBody(h *head) ([]byte, error) {
 	if h.length >= 0 {
 		return s.take(h.length)
@@ -229,7 +230,7 @@
 	return body, nil
 }
 
-// rest reads the body that the end of the connection ends.
+// rest reads a body that extends to the end of the connection.
 func (s *stream) rest() ([]byte, error) {
 	for {
 		if s.buffered() > maxBody {
@@ -245,7 +246,7 @@
 	}
 }
 
-// trailer passes over what follows the last chunk.
+// trailer skips the trailer fields after the last chunk.
 func (s *stream) trailer() error {
 	for range maxFields {
 		line, err := s.lines("", false, maxHead)
@@ -262,6 +263,7 @@
 	return errLongHead
 }
 
+// isToken reports whether b is a token as RFC 9110 defines it.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		letter := 'a' <= c|0x20 && c|0x20 <= 'z'
@@ -272,7 +274,7 @@
 	return len(b) > 0
 }
 
-// decimal reads digits and nothing else; n is how many, 0 where that fails.
+// decimal parses a number that consists of digits alone. It returns the number of digits, or 0 on failure.
 func decimal(b []byte) (v, n int) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, 0
@@ -286,6 +288,7 @@
 	return v, len(b)
 }
 
+// hexadecimal parses a number of 1 to 8 hexadecimal digits.
 func hexadecimal(b []byte) (v int, ok bool) {
 	for _, c := range b {
 		d := strings.IndexByte("0123456789abcdef", c|0x20)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,3 +1,6 @@
+// Package node is an edge node with its sockets: it reads clients' HTTP requests, has package policy decide
+// about each, sends attempts to the servers that discovery lists, and exchanges datagrams with the other
+// edge nodes.
 package node
 
 import (
@@ -19,23 +22,23 @@
 
 const (
 	sweepEvery = time.Second
-	knownWait  = time.Second // discovery is given so long before the known list has to do
+	knownWait  = time.Second // time for discovery to answer before the remembered list is used
 
-	// The addresses must be had so soon after the start. An edge node has 30 s to be ready.
+	// Opening the listen addresses at the start. An edge node must be ready 30 s after its start.
 	addressWait  = 10 * time.Second
-	addressPause = 20 * time.Millisecond
+	addressPause = 20 * time.Millisecond // between two tries
 )
 
-// Node is an edge node whose sockets are open.
+// Node is an edge node with open sockets.
 type Node struct {
-	cfg      *config.File // as it was at the start
-	changing sync.Mutex   // held while a generation is proposed and put in force
+	cfg      *config.File // as read at the start
+	changing sync.Mutex   // held while a new generation is checked and applied
 	history  *config.History
 	kept     *Kept
-	keep     *keeper // nil: no snapshots are kept
+	keep     *keeper // nil: no snapshots are written
 	duties   *duties // nil: the configuration names none
 	status   atomic.Pointer[Status]
-	ctx      context.Context // ends with Run
+	ctx      context.Context // cancelled when Run returns
 	end      context.CancelFunc
 	loop     *loop
 	server   *server
@@ -44,11 +47,11 @@
 	disc     *discovery
 	listener *net.TCPListener
 	phase    atomic.Int32
-	stay     chan chan error // planned stops called off
+	stay     chan chan error // requests to cancel a shutdown, each with the channel for its result
 }
 
-// New opens the sockets of an edge node.
-// It goes on from what was kept; nil: no snapshots are kept.
+// New opens the sockets of an edge node. Run restores the state that kept holds and then writes snapshots
+// there; with a nil kept no snapshots are read or written.
 func New(h *config.History, kept *Kept) (*Node, error) {
 	cfg := h.Current().File
 	g, err := policy.New(cfg.Settings, cfg.Seed)
@@ -59,21 +62,22 @@
 	up := newUpstream(clk, roster.NewDirectory(), cfg.Settings.ReportNames)
 	clients, servers := descriptors(cfg)
 	up.limit(cfg, servers)
-	n := &Node{cfg: cfg, history: h, kept: kept, stay: make(chan chan error), up: up, loop: newLoop(clk, g, up)}
+	n := &Node{cfg: cfg, history: h, kept: kept, stay: make(chan chan error), up: up,
+		loop: newLoop(clk, g, up)}
 	n.ctx, n.end = context.WithCancel(context.Background())
 	n.server = newServer(clk, h.Current(), up, n.loop.events, clients)
 	n.publish()
 	n.loop.gen, n.loop.onApply, n.loop.reread = h.Current(), n.onApply, n.server.read
 	n.loop.mustAsk = cfg.Settings.MustAsk
-	held := false // a remembered list
+	held := false // whether there is a remembered list
 	n.loop.onList = func(kind policy.MembersKind) {
 		switch kind {
 		case policy.Whole:
 			n.server.ready.Store(true)
-		case policy.Remembered: // has to do while discovery is silent
+		case policy.Remembered: // used if discovery does not answer
 			held = true
 			time.AfterFunc(knownWait, func() { n.server.ready.Store(true) })
-		case policy.AskFailed: // and where it has refused, at once
+		case policy.AskFailed: // no need to wait for discovery any longer
 			if held {
 				n.server.ready.Store(true)
 			}
@@ -87,7 +91,7 @@
 			}
 			select {
 			case n.loop.events <- policy.PeerMessage{From: from, Data: data}:
-			default: // lost, like one on the way
+			default: // dropped: datagrams may be lost anyway
 			}
 		}
 		err := patiently(free, func() (err error) {
@@ -99,7 +103,8 @@
 		}
 		n.loop.tell = n.peers.tell
 		if len(cfg.Duties) > 0 {
-			n.duties = newDuties(cfg.Duties, cfg.Settings.Me, cfg.Settings.Gateways, cfg.Seed, clk, n.peers.tell)
+			n.duties = newDuties(cfg.Duties, cfg.Settings.Me, cfg.Settings.Gateways, cfg.Seed, clk,
+				n.peers.tell)
 		}
 	}
 	if err := patiently(free, n.listen); err != nil {
@@ -114,7 +119,7 @@
 	return n, nil
 }
 
-// Addr is where clients connect.
+// Addr returns the address that clients connect to.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
 func (n *Node) closePeers() {
@@ -123,8 +128,8 @@
 	}
 }
 
-// Run serves until a signal on term and everything open is answered; a second one
-// hastens that. Signals on hup tell that the configuration file is new.
+// Run serves clients until a signal on term, then answers all open requests and returns. A second signal
+// shortens the shutdown. A signal on hup means that the configuration file has changed.
 func (n *Node) Run(term, hup <-chan os.Signal) error {
 	ctx := n.ctx
 	defer n.end()
@@ -154,7 +159,7 @@
 	select {
 	case <-n.loop.over:
 	case <-time.After(stopHand):
-		slog.Warn("counts not handed on in time")
+		slog.Warn("counts were not handed to other edge nodes in time")
 		n.loop.post(shutdown{now: true})
 		<-n.loop.over
 	}
@@ -170,7 +175,7 @@
 	return nil
 }
 
-// serve accepts clients until a planned stop has come to its end.
+// serve accepts clients until a shutdown is complete.
 func (n *Node) serve(term <-chan os.Signal) error {
 	served := make(chan error, 1)
 	accept := func() {
@@ -180,28 +185,28 @@
 	accept()
 	poll := time.NewTicker(stopPoll)
 	defer poll.Stop()
-	poll.Stop() // until there is a stop to look after
+	poll.Stop() // runs only during a shutdown
 	var d shutdownState
 	var s steps
 	for !s.end {
 		s = steps{}
 		select {
 		case err := <-served:
-			return fmt.Errorf("serve: %w", cmp.Or(err, net.ErrClosed)) // not by a stop
+			return fmt.Errorf("serve: %w", cmp.Or(err, net.ErrClosed)) // not caused by a shutdown
 		case <-term:
 			was := d.phase
 			if s = d.signal(n.loop.clock.now()); s.giveUp {
-				slog.Info("planned stop hastened")
+				slog.Info("shutdown shortened by a second signal")
 			}
-			if was == phaseServing { // once: signals that keep coming must not put it off
-				slog.Info("planned stop begins")
+			if was == phaseServing { // only at the first signal: later ones must not delay the poll
+				slog.Info("shutdown begins")
 				poll.Reset(stopPoll)
 			}
 		case back := <-n.stay:
 			shut := d.phase == finishing
 			err := d.callOff()
 			if err == nil && shut {
-				if err = n.listen(); err != nil { // the address is another's by now
+				if err = n.listen(); err != nil { // another process has taken the address
 					d.signal(n.loop.clock.now())
 				} else {
 					accept()
@@ -210,7 +215,7 @@
 			if err == nil {
 				poll.Stop()
 				n.loop.post(giveUp(false))
-				slog.Info("planned stop called off")
+				slog.Info("shutdown cancelled")
 			}
 			n.enter(d.phase)
 			back <- err
@@ -219,7 +224,8 @@
 			open, quiet := n.server.state()
 			s = d.step(n.loop.clock.now(), open, quiet)
 		}
-		if s.shutListener && n.listener.SetDeadline(time.Unix(1, 0)) == nil { // else a stop that was called off too late closed it
+		// SetDeadline fails when the listener is closed already and could not be opened again.
+		if s.shutListener && n.listener.SetDeadline(time.Unix(1, 0)) == nil {
 			if err := <-served; err != nil {
 				return fmt.Errorf("serve: %w", err)
 			}
@@ -233,12 +239,12 @@
 		}
 	}
 	if open, _ := n.server.state(); open > 0 {
-		return fmt.Errorf("planned stop: %d %w", open, ErrUnanswered)
+		return fmt.Errorf("shutdown: %d %w", open, ErrUnanswered)
 	}
 	return nil
 }
 
-// enter shows the phase to clients, peers and operators.
+// enter sets the phase of the shutdown that clients and operators see.
 func (n *Node) enter(p phase) {
 	n.phase.Store(int32(p))
 	n.server.draining.Store(p != phaseServing)
@@ -246,7 +252,8 @@
 
 // listen opens the clients' listener.
 func (n *Node) listen() error {
-	lc := net.ListenConfig{KeepAlive: -1} // time-outs of our own are shorter: four system calls saved at each accept
+	// Without keep-alive probes each accept needs four system calls fewer. The server's timeouts are shorter.
+	lc := net.ListenConfig{KeepAlive: -1}
 	ln, err := lc.Listen(n.ctx, "tcp", n.cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -255,8 +262,8 @@
 	return nil
 }
 
-// patiently opens an address. One that is still taken is asked for again for a while:
-// the process before may be about to end.
+// patiently calls open, and repeats it until the deadline while the address is in use or not yet assigned:
+// the previous process may be about to exit.
 func patiently(until time.Time, open func() error) error {
 	for first := true; ; first = false {
 		err := open()
@@ -264,13 +271,13 @@
 			return err
 		}
 		if first {
-			slog.Warn("an address can't be had yet; asked for again", "err", err, "for", addressWait)
+			slog.Warn("an address can't be had yet; trying again", "err", err, "for", addressWait)
 		}
 		time.Sleep(addressPause)
 	}
 }
 
-// Stay calls a planned stop off, as long as it has not come to its end.
+// Stay cancels a shutdown that is not complete yet, and returns to serving.
 func (n *Node) Stay(ctx context.Context) error {
 	back := make(chan error, 1)
 	select {
@@ -283,7 +290,7 @@
 	}
 }
 
-// every does something now and then until ctx ends.
+// every calls do periodically until ctx ends.
 func every(ctx context.Context, d time.Duration, do func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -7,53 +7,52 @@
 	"syscall"
 )
 
-// maxAhead is how many bytes are read of what a client sends before it has its answer:
-// the largest head, for each connection that may be open. What is behind stays in the
-// system's buffer.
+// maxAhead limits the bytes that are read from a client before its response is sent, for each open
+// connection. It is the size of the largest head. Further bytes stay in the kernel's receive buffer.
 const maxAhead = maxHead
 
-// States of a TCP connection in which its other end may still read, as Linux numbers them.
+// States of a TCP connection on Linux in which the peer has not closed its side.
 const (
 	tcpEstablished = 1
-	tcpFinWait1    = 4 // this end has ended its sending
-	tcpFinWait2    = 5 // and the other end knows
+	tcpFinWait1    = 4 // this side has shut down sending
+	tcpFinWait2    = 5 // and the peer has acknowledged it
 )
 
-// disconnectCounts counts requests by where their client was noticed to have gone before the first
-// attempt was written. None of these is sent on.
+// disconnectCounts counts the requests whose client disconnected before the first attempt was written, by
+// where that was detected. None of them is sent to a server, except those that hidden counts.
 type disconnectCounts struct {
-	held    atomic.Int64 // waiting for room, a root or a server
-	dialing atomic.Int64 // its connection to an app server coming up
-	writing atomic.Int64 // right before the write
-	hidden  atomic.Int64 // none of them: sent on where a client that left could not have been seen
+	held    atomic.Int64 // while waiting for quota, a root or a server
+	dialing atomic.Int64 // while the connection to a server was being opened
+	writing atomic.Int64 // immediately before the write
+	hidden  atomic.Int64 // written although a disconnect could not have been detected (clientConn.hidden)
 }
 
-// readAhead is what a client has sent behind a request that is not answered yet. The end of
-// a connection shows only once all before it is taken in, so whoever wants to know
-// whether the client is still there has to read: the connection's goroutine, which waits
-// for the loop meanwhile, gets it from here afterwards.
+// readAhead buffers the pipelined bytes that a client sends before the response to its current request. The
+// end of a connection is only visible after all bytes before it have been read, so clientConn.gone must
+// read to detect a disconnect. The connection's goroutine waits for the loop meanwhile and reads these
+// bytes later.
 type readAhead struct {
 	mu    sync.Mutex
-	waits bool // for an answer: nobody else reads
+	waits bool // the client waits for a response: the connection's goroutine does not read
 	buf   []byte
-	end   error // after buf
+	end   error // read error or io.EOF, after the bytes in buf
 }
 
-// await marks that the client waits for an answer.
+// await marks that the client waits for a response.
 func (a *readAhead) await() {
 	a.mu.Lock()
 	a.waits = true
 	a.mu.Unlock()
 }
 
-// answered marks that it waits no longer.
+// answered marks that the client no longer waits for a response.
 func (a *readAhead) answered() {
 	a.mu.Lock()
 	a.waits = false
 	a.mu.Unlock()
 }
 
-// Read gives what was read ahead, then what the connection brings.
+// Read returns the buffered bytes first, then reads from the connection.
 func (cc *clientConn) Read(b []byte) (int, error) {
 	a := &cc.readAhead
 	a.mu.Lock()
@@ -73,17 +72,16 @@
 	return cc.Conn.Read(b)
 }
 
-// hidden tells whether so much was sent ahead that the client's end may not be seen: the system
-// takes in only so many bytes that nobody reads, and the end comes behind all of them.
+// hidden reports whether a disconnect may go undetected because the read-ahead buffer is full. The kernel
+// buffers a limited number of further bytes, and the end of the connection follows all of them.
 func (cc *clientConn) hidden() bool {
 	cc.readAhead.mu.Lock()
 	defer cc.readAhead.mu.Unlock()
 	return len(cc.readAhead.buf) >= maxAhead
 }
 
-// gone tells whether the client has closed its connection, ended its sending or broken
-// off. It may be called at any time, waits for nothing, and is false once the
-// request is answered.
+// gone reports whether the client has closed or reset its connection or shut down sending. It does not
+// block and may be called at any time. It returns false after the request has been answered.
 func (cc *clientConn) gone() bool {
 	a := &cc.readAhead
 	a.mu.Lock()
@@ -105,7 +103,7 @@
 		for len(a.buf) < maxAhead {
 			n, _, err := syscall.Recvfrom(int(fd), b[:min(len(b), maxAhead-len(a.buf))], syscall.MSG_DONTWAIT)
 			switch {
-			case err == syscall.EAGAIN || err == syscall.EINTR: // the next look sees more
+			case err == syscall.EAGAIN || err == syscall.EINTR: // the next call reads more
 				return
 			case err != nil:
 				a.end = err
@@ -121,11 +119,12 @@
 	return err != nil || a.end != nil || left
 }
 
-// endedBehind tells whether the other end has closed the connection or ended its sending behind
-// bytes that nobody has read yet: they hide it from a read, but the connection's state shows it.
-// It is false where the system doesn't tell, or has not got all of the bytes.
+// endedBehind reports whether the peer has closed the connection or shut down sending after bytes that are
+// still unread. A read does not show that, but the state of the TCP connection does. It returns false if
+// the state is not available, or if the kernel has not received all bytes yet.
 func endedBehind(fd int) bool {
-	info, err := syscall.GetsockoptInet4Addr(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO) // its first four bytes
+	// The call returns the first four bytes of struct tcp_info.
+	info, err := syscall.GetsockoptInet4Addr(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	if err != nil {
 		return false
 	}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -13,13 +13,16 @@
 )
 
 const (
-	maxName      = 64  // bytes of a request's id
-	maxKey       = 128 // of an Idempotency-Key
-	customerHex  = 16
-	customerBits = 33
+	// Maximum lengths of header values in bytes.
+	maxName = 64  // X-Request-Id
+	maxKey  = 128 // Idempotency-Key
+
+	// Customer ids in the cookie.
+	customerHex  = 16 // hexadecimal digits
+	customerBits = 33 // significant bits
 )
 
-// startLine splits the first line.
+// startLine parses the request line and checks that there is at most one Host field.
 func (r *clientRequest) startLine() error {
 	var version []byte
 	var ok, whole bool
@@ -37,11 +40,13 @@
 	return nil
 }
 
-// over tells whether the client wants its connection closed.
+// over reports whether the client asks to close the connection after the response.
 func (r *clientRequest) over() bool {
-	return r.has("Connection", "close") || bytes.HasSuffix(r.first, []byte("1.0")) && !r.has("Connection", "keep-alive")
+	return r.has("Connection", "close") ||
+		bytes.HasSuffix(r.first, []byte("1.0")) && !r.has("Connection", "keep-alive")
 }
 
+// visible reports whether b has only visible ASCII characters.
 func visible(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
@@ -51,26 +56,26 @@
 	return true
 }
 
+// path returns a request target without its query.
 func path(target []byte) string {
 	p, _, _ := bytes.Cut(target, []byte("?"))
 	return string(p)
 }
 
-// parse checks a client's request: what is not as agreed is turned away before
-// the module sees it, so that it neither makes nor changes a customer's counts.
-// The errors go to the client.
+// parse turns a client's message into a call. It rejects invalid requests before policy sees them, so that
+// they don't create or change the counts of a customer. The text of its error is sent to the client.
 func (s *server) parse(r *clientRequest) (*call, error) {
 	c := &call{arrived: s.clock.now(), cmd: make(chan command, 1), req: r}
 	return c, s.read(c)
 }
 
-// read reads a request by the generation in force.
+// read fills in a call from its request headers, with the generation in force.
 func (s *server) read(c *call) error {
 	r := c.req
 	c.gen = s.gen.Load()
 	settings := &c.gen.File.Settings
-	for _, name := range []string{"X-Request-Id", "X-Class", "X-Tier", "Cookie", "X-Deadline-Ms", "Idempotency-Key",
-		"X-Call-Terms", "X-Retry", "Content-Type"} {
+	for _, name := range []string{"X-Request-Id", "X-Class", "X-Tier", "Cookie", "X-Deadline-Ms",
+		"Idempotency-Key", "X-Call-Terms", "X-Retry", "Content-Type"} {
 		if _, n := r.one(name); n > 1 {
 			return fmt.Errorf("%s: more than once", name)
 		}
@@ -97,14 +102,15 @@
 	}
 	ms, n := decimal(r.get("X-Deadline-Ms"))
 	c.budget = time.Duration(ms) * time.Millisecond
-	if n == 0 || n > 9 || c.budget > c.class.Deadline+time.Millisecond { // the settings' may have been rounded
+	// The tolerance of 1 ms is for a class deadline that was rounded.
+	if n == 0 || n > 9 || c.budget > c.class.Deadline+time.Millisecond {
 		return fmt.Errorf("X-Deadline-Ms: not whole milliseconds up to the class's %v", c.class.Deadline)
 	}
 	c.Retry = string(r.get("X-Retry")) == "1"
 	return terms(settings, &c.Request, string(r.get("X-Call-Terms")))
 }
 
-// readClass finds the request's class; method and path follow from it.
+// readClass finds the class of a request and checks its method, path and idempotency key against the class.
 func (c *call) readClass(settings *policy.Settings, r *clientRequest) error {
 	c.class, c.Class = nil, wire.Word(string(r.get("X-Class")))
 	for i := range settings.Classes {
@@ -130,7 +136,7 @@
 	return nil
 }
 
-// customer reads the customer from the cookies.
+// customer returns the customer id in the cookies.
 func customer(cookies string) (string, error) {
 	found := ""
 	for pair := range strings.SplitSeq(cookies, ";") {
@@ -142,12 +148,14 @@
 		}
 	}
 	if _, err := strconv.ParseUint(found, 16, customerBits); err != nil || len(found) != customerHex {
-		return "", fmt.Errorf("cookie key: not %d hexadecimal digits of a number below 2^%d", customerHex, customerBits)
+		return "", fmt.Errorf("cookie key: not %d hexadecimal digits of a number below 2^%d",
+			customerHex, customerBits)
 	}
 	return strings.ToLower(found), nil
 }
 
-// terms reads the units that a request takes and the customer's set.
+// terms parses X-Call-Terms: the units that a request takes, and the edge nodes that the customer is spread
+// over.
 func terms(settings *policy.Settings, r *policy.Request, text string) error {
 	r.Units, r.Spread, r.First = 1, settings.Gateways, 0
 	if text == "" {
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -18,19 +18,24 @@
 )
 
 const (
-	firstRequest  = 2 * time.Second  // from the connect to the end of the first request
-	wholeRequest  = 2 * time.Second  // from a later request's first byte to its last
-	clientIdle    = 10 * time.Second // between requests
-	writeTimeout  = 5 * time.Second
-	acceptPause   = 5 * time.Millisecond // after an error, doubled with each that follows
-	acceptMost    = time.Second
-	maxEmptyLines = 4                      // passed over ahead of a request
-	maxBad        = 3                      // requests in a row that can't be used, then the connection is closed
-	badPause      = 100 * time.Millisecond // before the next is read: one client must not take the core from others
+	// Timeouts of a client connection.
+	firstRequest = 2 * time.Second  // from the accept to the last byte of the first request
+	wholeRequest = 2 * time.Second  // from the first to the last byte of a later request
+	clientIdle   = 10 * time.Second // between requests
+	writeTimeout = 5 * time.Second
+
+	// Delay after a failed accept. It doubles with each further error.
+	acceptPause = 5 * time.Millisecond
+	acceptMost  = time.Second
+
+	// Limits on invalid input.
+	maxEmptyLines = 4                      // skipped ahead of a request
+	maxBad        = 3                      // invalid requests in a row after which the connection is closed
+	badPause      = 100 * time.Millisecond // delay after each: a single client must not use up the CPU
 )
 
-// server is the clients' side: it reads their requests, hands them to the
-// loop, carries out what the loop commands and writes the one answer.
+// server is the HTTP server for clients. It reads requests, passes them to the loop, carries out the loop's
+// commands and writes one response to each request.
 type server struct {
 	clock    clock
 	gen      atomic.Pointer[config.Generation] // in force
@@ -38,32 +43,32 @@
 	events   chan<- any
 	ready    atomic.Bool
 	draining atomic.Bool
-	tight    atomic.Bool // more connections are open than may be kept
+	tight    atomic.Bool // set when more connections than the limit are open
 
 	mu     sync.Mutex
-	most   int // connections kept open at once
-	spare  int // and so many more that are being closed
+	most   int // limit on open connections, without those that are being closed
+	spare  int // limit on connections that are being closed
 	conns  map[*clientConn]struct{}
-	shut   int           // of them, being closed
-	active time.Duration // when a request was last taken
+	shut   int           // number of conns that are being closed
+	active time.Duration // when the last request began to be processed
 }
 
-// clientConn is a client's connection.
+// clientConn is the connection of a client.
 type clientConn struct {
 	net.Conn
 	in        stream
 	readAhead readAhead
 	req       clientRequest
 	out       []byte
-	bad       int // requests that couldn't be used since the last that could
+	bad       int // invalid requests since the last valid one
 
-	// Under the server's mutex.
+	// Guarded by the server's mutex.
 	state connState
-	since time.Duration
-	good  bool // a request that could be used has come
-	probe bool // or else one for readiness, which nobody loses
-	shut  bool // this edge node sends nothing more on it, and takes no request
-	// closed without waiting: others needed its descriptor
+	since time.Duration // start of the state
+	good  bool          // has carried a valid request
+	probe bool          // has carried a readiness probe
+	shut  bool          // is being closed: nothing more is sent, and no request is processed
+	// closed is set when the lingering close was cut short because its descriptor was needed.
 	closed bool
 }
 
@@ -71,18 +76,18 @@
 
 const (
 	connIdle    connState = iota
-	connReading           // a request has begun to come
-	connBusy              // one has been taken and not answered
+	connReading           // part of a request has been received
+	connBusy              // a request is being processed
 )
 
-// clientRequest is a request as it came.
+// clientRequest is a request as received.
 type clientRequest struct {
 	head
 	method, target []byte
 	body           []byte
 }
 
-// newServer keeps at most so many connections open at once.
+// newServer returns a server for at most so many connections at once, including those that are being closed.
 func newServer(c clock, gen *config.Generation, up *upstream, events chan<- any, most int) *server {
 	s := &server{clock: c, up: up, events: events, conns: map[*clientConn]struct{}{}}
 	s.bound(most)
@@ -90,14 +95,15 @@
 	return s
 }
 
-// bound deals out descriptors. The caller holds the mutex, or is alone.
+// bound divides the limit between open connections and those that are being closed. The caller holds the
+// mutex or is the only user.
 func (s *server) bound(most int) {
 	s.spare = int(lingerPart * float64(most))
 	s.most = most - s.spare
 }
 
-// keepTo changes how many connections may be open. Of those beyond, what is idle
-// is closed at once, the oldest first, and the others with their next answer.
+// keepTo changes the limit on connections. To meet it, idle connections are closed at once, the longest idle
+// first, and others after their next response.
 func (s *server) keepTo(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +123,7 @@
 	s.tight.Store(len(s.conns)-s.shut > s.most)
 }
 
-// crowded tells whether an answered connection has to go.
+// crowded reports whether a connection must be closed after its response to meet the limit.
 func (s *server) crowded() bool {
 	if !s.tight.Load() {
 		return false
@@ -129,11 +135,10 @@
 	return over
 }
 
-// serve accepts connections until the listener is closed. Its deadline has it close the
-// listener itself, behind what has come by then: what the system has accepted counts as
-// taken, and closed over it would be reset. An error ends it only where
-// the listener is none any more. All others pass: the system hands on what went wrong
-// on the way of a connection that nobody has accepted yet, whatever that is.
+// serve accepts connections until the listener is closed. When the listener's deadline expires, serve first
+// accepts the connections that the kernel has queued and then closes the listener itself, since a close would
+// reset queued connections. An accept error ends serve only if the listener is unusable. Any other error may
+// belong to a single connection that failed before it was accepted, so serve retries after a delay.
 func (s *server) serve(ln net.Listener) error {
 	last := false
 	for pause := acceptPause; ; {
@@ -154,10 +159,11 @@
 			continue
 		case among(err, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK):
 			return err
-		case among(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM): // all are in use
+		// Out of descriptors or memory.
+		case among(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM):
 			s.mu.Lock()
 			s.shutOne()
-			s.closeOldestLingering() // its descriptor is wanted now
+			s.closeOldestLingering() // frees a descriptor at once
 			s.mu.Unlock()
 			pause = acceptPause
 		case pause == acceptPause:
@@ -168,12 +174,13 @@
 	}
 }
 
+// among reports whether err is one of list.
 func among(err error, list ...error) bool {
 	return slices.ContainsFunc(list, func(e error) bool { return errors.Is(err, e) })
 }
 
-// enter counts a new connection. Over the bound another is closed for it, or
-// itself when all others are busy.
+// enter registers a new connection. At the limit it closes another connection, or the new one if all others
+// are busy.
 func (s *server) enter(c net.Conn) *clientConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,8 +194,8 @@
 	return cc
 }
 
-// shutOne closes the connection that is missed least: one that has brought nothing
-// of use, then one that is idle; the oldest first.
+// shutOne closes one connection that is not busy. It prefers connections without a valid request so far, then
+// the one that has been in its state for the longest time. It returns false if all are busy.
 func (s *server) shutOne() bool {
 	var least *clientConn
 	rank := func(cc *clientConn) int {
@@ -211,8 +218,8 @@
 	return least != nil
 }
 
-// shutIdle closes the connections that have been idle for so long, and those
-// whose requests don't come to an end.
+// shutIdle closes the connections that have been idle for at least the given time, and those that have been
+// sending a request for stopReading.
 func (s *server) shutIdle(least time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,9 +232,9 @@
 	}
 }
 
-// state tells how many connections are open and how long ago a request was taken,
-// or something began to come that may be one. Questions for readiness don't count:
-// the front asks them for as long as an edge node leaves.
+// state returns the number of connections and the time since the last sign of a client's request: a request
+// that was processed, a partial request, or a new connection. Readiness probes don't count, since the
+// load balancer in front continues to send them during a shutdown.
 func (s *server) state() (open int, quiet time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,8 +247,8 @@
 	return len(s.conns), s.clock.now() - last
 }
 
-// become notes what a connection does now, and how long it may be read for; 0: as
-// long as before. It is false when the connection is being closed: nothing is read on it.
+// become sets the state of a connection and its read timeout; 0 leaves the read deadline unchanged. It
+// returns false if nothing may be read because the connection is being closed.
 func (s *server) become(cc *clientConn, state connState, wait time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,9 +259,8 @@
 	return wait == 0 || cc.SetReadDeadline(time.Now().Add(wait)) == nil
 }
 
-// take marks the request's connection as busy if it is still open on this
-// side. A request that crossed the closing of its connection is sent again by
-// the client, so it must not be worked on here.
+// take marks a connection as busy. It returns false if the connection is being closed. A client repeats a
+// request that crossed the close of its connection, so that request must not be processed here.
 func (s *server) take(cc *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -265,14 +271,14 @@
 	return true
 }
 
-// talk serves a connection, one request after another.
+// talk serves a connection, one request at a time.
 func (s *server) talk(cc *clientConn) {
 	defer s.leave(cc)
-	whole := time.Duration(0) // the first request has its time from the connect on
+	whole := time.Duration(0) // firstRequest covers the whole first request
 	for wait := firstRequest; ; wait, whole = clientIdle, wholeRequest {
 		cc.in.begin()
 		if !s.awaitRequest(cc, wait) {
-			return // idle for long, gone, or being closed
+			return // idle timeout, disconnected, or being closed
 		}
 		if !s.become(cc, connReading, whole) {
 			return
@@ -289,9 +295,9 @@
 	}
 }
 
-// awaitRequest waits for the first bytes of a request. Empty lines ahead of one are passed over,
-// as HTTP/1.1 asks of servers (RFC 9112, section 2.2): they begin none, so that a client may rest
-// behind them. What comes behind too many of them is left to be turned away.
+// awaitRequest waits for the first bytes of a request. It skips empty lines ahead of the request, as RFC
+// 9112, section 2.2, asks of servers. A connection on which only such lines were received counts as idle.
+// Any further empty line after maxEmptyLines is left to the parser, which rejects it.
 func (s *server) awaitRequest(cc *clientConn, wait time.Duration) bool {
 	for lines := 0; ; {
 		for ; lines < maxEmptyLines && cc.in.dropEmptyLine(); lines++ {
@@ -305,7 +311,7 @@
 	}
 }
 
-// read reads a whole request.
+// read reads a whole request into cc.req.
 func (cc *clientConn) read() error {
 	r := &cc.req
 	if err := cc.in.readHead(&r.head, ""); err != nil {
@@ -324,7 +330,7 @@
 	return err
 }
 
-// statusOf is the answer to a request that can't be read; 0: none is owed.
+// statusOf returns the status of the response to a request that can't be read, or 0 for no response.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, errLongBody):
@@ -339,18 +345,19 @@
 	return 0
 }
 
-// turnAway answers what can't be read; the connection ends with it.
+// turnAway answers an invalid request, after which the connection is closed.
 func (s *server) turnAway(cc *clientConn, status int, err error) {
-	if s.become(cc, connReading, 0) { // it may be closed meanwhile
+	if s.become(cc, connReading, 0) { // false: it is being closed already
 		_ = s.answer(cc, status, "Connection: close\r\n", err.Error())
 	}
 }
 
-// answer writes an answer in one piece.
+// answer writes a response with a single write.
 func (s *server) answer(cc *clientConn, status int, fields, body string) error {
 	return cc.write(append(appendHead(cc.out[:0], status, fields, len(body)), body...))
 }
 
+// appendHead appends the head of a response. Each of fields ends with CRLF.
 func appendHead(b []byte, status int, fields string, length int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -364,12 +371,13 @@
 }
 
 var reasons = map[int]string{200: "OK", 400: "Bad Request", 408: "Request Timeout", 409: "Conflict",
-	413: "Content Too Large", 429: "Too Many Requests", 431: "Request Header Fields Too Large", 502: "Bad Gateway",
-	503: "Service Unavailable"}
+	413: "Content Too Large", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
+	502: "Bad Gateway", 503: "Service Unavailable"}
 
+// write writes b, whose memory is reused for the next response.
 func (cc *clientConn) write(b []byte) error {
 	if cc.out = b; cap(b) > 4*minBuf {
-		cc.out = nil // a large one is not kept
+		cc.out = nil // frees a large buffer
 	}
 	if err := cc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -378,8 +386,7 @@
 	return err
 }
 
-// handle answers a request that could be read; it is false when the connection
-// is over.
+// handle processes a request that has been read. It returns false if the connection must be closed.
 func (s *server) handle(cc *clientConn) bool {
 	r := &cc.req
 	if path(r.target) == "/healthz" && string(r.method) == "GET" {
@@ -419,7 +426,7 @@
 	return false
 }
 
-// reply answers a request; the connection goes on if both sides want it.
+// reply writes the response to a request. It returns false if the connection must be closed.
 func (s *server) reply(cc *clientConn, status int, fields, body string) bool {
 	cc.readAhead.answered()
 	over := s.draining.Load() || cc.req.over() || s.crowded()
@@ -429,8 +436,8 @@
 	return s.answer(cc, status, fields, body) == nil && !over
 }
 
-// bad answers a request that can't be used, at once; the next one waits. A
-// client that sends nothing else is let go.
+// bad answers an invalid request at once and delays the next one. After maxBad invalid requests in a row the
+// connection is closed. It returns false if the connection must be closed.
 func (s *server) bad(cc *clientConn, status int, why string) bool {
 	if cc.bad++; cc.bad < maxBad {
 		on := s.reply(cc, status, "", why)
@@ -441,7 +448,7 @@
 	return false
 }
 
-// final writes the answer to what was not served.
+// final writes the response to a request that was not served successfully.
 func (s *server) final(cc *clientConn, cmd command) bool {
 	switch {
 	case cmd.bad != 0:
