--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -18,60 +18,84 @@
 	"valvering.example/valvering/policy"
 )
 
-// serverList is discovery's form of the list of app servers, target a line of it.
 type (
+	// serverList is the server list as discovery sends it.
 	serverList = roster.List
-	target     = roster.Target
+
+	// target is one line of a serverList.
+	target = roster.Target
 )
 
 const (
-	watchPause = 50 * time.Millisecond // a watch goes on if the next call comes within 200 ms
+	watchPause = 50 * time.Millisecond // discovery continues a watch if the next call arrives within 200 ms
 	minBackoff = 25 * time.Millisecond
-	maxHasty   = 4 // calls in a row that are given up early
 
-	// Of the grace in which sends to a draining server must end, where lists are pushed.
+	// Calls in a row that get a short timeout.
+	maxHasty = 4
+
+	// Fractions of the drain grace period, within which requests to a draining server must end; used where
+	// discovery pushes the list.
 	waitPart, slackPart, answerPart, backoffPart = 0.25, 0.125, 0.25, 0.125
-	minWait                                      = 50 * time.Millisecond
-	minAnswer                                    = 100 * time.Millisecond
 
-	pacingSeed = 0x64697363 // the stream of random numbers that pacing draws from
+	// Lower bounds of the times computed from these fractions.
+	minWait   = 50 * time.Millisecond
+	minAnswer = 100 * time.Millisecond
+
+	// Selects the stream of random numbers for the timing of calls.
+	pacingSeed = 0x64697363
 
-	maxCalls = 8 // beside one another, of those that are not answered
+	// Calls in flight at once that have no response yet.
+	maxCalls = 8
 
-	answerStep = 64 << 10         // bytes of an answer after which it counts as coming
-	maxAnswer  = 10 * time.Second // and then it may go on so long
+	answerStep = 64 << 10         // bytes; a response that delivers this much counts as making progress
+	maxAnswer  = 10 * time.Second // limit on a response that makes progress
 )
 
-// pacing is for how long discovery is waited for. A call that is not answered can't be
-// told from one that has nothing to tell, and a call swallowed by a silent agent is never
-// answered, though the agent may be back a moment later and what it has counts as told.
+// pacing holds the timeouts and pauses of calls to discovery. A watch that got lost looks like one
+// without changes. A call that a silent agent dropped is never answered, although the agent may
+// be back a moment later; from then on its changes count as announced to this edge node.
 type pacing struct {
-	wait    time.Duration // a watch is answered by then, with or without news
-	slack   time.Duration // and is held to be broken so much later
-	answer  time.Duration // all other calls are answered by then, or another is made beside them
-	patient time.Duration // and given up so long after they were made
-	hasty   time.Duration // most of those behind a failure so long; 0: none is
-	spread  time.Duration // the longest pause behind news, drawn at random: edge nodes get them at once
-	calls   int           // most of them beside one another
-	backoff time.Duration // the longest pause behind a call that failed
-	jitter  float64       // part of a pause and of some patience that is drawn at random: edge nodes must not call in step
+	wait    time.Duration // long-poll time: discovery answers a watch by then, with or without changes
+	slack   time.Duration // a watch fails this much after its long-poll time
+	answer  time.Duration // delay before a parallel call is made to an unanswered one; not for watches
+	patient time.Duration // timeout of a call, except of watches
+	hasty   time.Duration // shorter timeout of most calls that follow a failure; 0: not used
+
+	// Upper bound of the random pause after a change, which discovery announces to all edge nodes at once.
+	spread time.Duration
+
+	calls   int           // limit on calls in flight at once
+	backoff time.Duration // upper bound of the pause after a failed call
+
+	// Fraction of a pause or a short timeout that is random, so that edge nodes don't call in lockstep.
+	jitter float64
 }
 
-// asked is the pacing where lists are asked for: the service is one for all edge nodes
-// and overrun by many calls. What a silent watch misses counts as told 6 s after it fell
-// silent; it is found out after 4 s, and the call that follows does not wait.
-var asked = pacing{wait: 3 * time.Second, slack: time.Second, answer: 2 * time.Second, patient: 2 * time.Second,
-	hasty: 500 * time.Millisecond, spread: 150 * time.Millisecond, calls: 1, backoff: 400 * time.Millisecond, jitter: 0.5}
+// asked is the pacing where the edge node must ask for the list: all edge nodes share one service,
+// which many calls overload. A change that a silent watch misses counts as announced 6 s after the
+// watch fell silent. The watch fails after 4 s, and the call that follows does not long-poll.
+var asked = pacing{
+	wait:    3 * time.Second,
+	slack:   time.Second,
+	answer:  2 * time.Second,
+	patient: 2 * time.Second,
+	hasty:   500 * time.Millisecond,
+	spread:  150 * time.Millisecond,
+	calls:   1,
+	backoff: 400 * time.Millisecond,
+	jitter:  0.5,
+}
 
-// shorten takes a random part off a time.
+// shorten subtracts a random part of up to p.jitter from a duration.
 func (p pacing) shorten(rng *rand.Rand, d time.Duration) time.Duration {
 	return d - time.Duration(p.jitter*rng.Float64()*float64(d))
 }
 
-// paceFor finds the pacing by a file. Where lists are pushed the agent answers at once and at
-// no cost, and what it has counts as told from the moment it is back. So nothing is waited for
-// longer than the grace bears: the sum of wait, slack, backoff and answer is at most three
-// quarters of it (where that leaves the least of each), and the rest is for the way.
+// paceFor returns the pacing for a configuration. Where discovery pushes the list, its agent answers
+// at once and at no cost, and its changes count as announced from the moment that the agent is back.
+// The sum of wait, slack, backoff and answer is therefore at most three quarters of the drain grace
+// period, unless their lower bounds are longer. The last quarter is for network and processing
+// delays.
 func paceFor(f *config.File) pacing {
 	if f.Settings.MustAsk {
 		return asked
@@ -83,34 +107,50 @@
 	if n, _ := usable(f); n > 0 {
 		calls = callsFor(n)
 	}
-	return pacing{wait: min(asked.wait, part(waitPart, minWait)), slack: min(asked.slack, part(slackPart, minWait)),
-		answer: answer, patient: min(asked.patient, time.Duration(calls)*answer), calls: calls,
-		backoff: min(asked.backoff, part(backoffPart, minBackoff))}
+	return pacing{
+		wait:    min(asked.wait, part(waitPart, minWait)),
+		slack:   min(asked.slack, part(slackPart, minWait)),
+		answer:  answer,
+		patient: min(asked.patient, time.Duration(calls)*answer),
+		calls:   calls,
+		backoff: min(asked.backoff, part(backoffPart, minBackoff)),
+	}
 }
 
-// discovery follows the list of app servers.
+// discovery is a client of the discovery service that keeps the server list current.
 type discovery struct {
-	tell func(*serverList, policy.MembersKind)
+	tell func(*serverList, policy.MembersKind) // receives lists and changes; a nil list reports a failed call
 	http http.Client
-	rng  *rand.Rand // of run alone
+	rng  *rand.Rand // used by run only
 
 	mu     sync.Mutex
 	addr   string
 	pace   pacing
 	limits roster.Limits
-	moved  context.CancelFunc // ends the watch at the address before
+	moved  context.CancelFunc // ends the calls to the previous address
 }
 
 func newDiscovery(f *config.File, tell func(*serverList, policy.MembersKind)) *discovery {
-	return &discovery{addr: f.Discovery, pace: paceFor(f), limits: roster.LimitsFor(f.MemoryMB), tell: tell, moved: func() {},
-		rng: rand.New(rand.NewPCG(f.Seed, pacingSeed)), http: http.Client{
-			Transport:     &http.Transport{DisableCompression: true, MaxIdleConns: 1, IdleConnTimeout: asked.wait},
+	return &discovery{
+		addr:   f.Discovery,
+		pace:   paceFor(f),
+		limits: roster.LimitsFor(f.MemoryMB),
+		tell:   tell,
+		moved:  func() {},
+		rng:    rand.New(rand.NewPCG(f.Seed, pacingSeed)),
+		http: http.Client{
+			Transport: &http.Transport{
+				DisableCompression: true,
+				MaxIdleConns:       1,
+				IdleConnTimeout:    asked.wait,
+			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-		}}
+		},
+	}
 }
 
-// apply takes over a file. Where it names another address, the open watch ends and
-// another begins there, with the whole list.
+// apply applies a configuration. If it names another address, the calls to the old one are
+// cancelled and run fetches the whole list from the new one.
 func (d *discovery) apply(f *config.File) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +161,7 @@
 	}
 }
 
-// run follows the list, at whatever address is in force, until ctx ends.
+// run follows the list at the configured address until ctx is done.
 func (d *discovery) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		at, moved := context.WithCancel(ctx)
@@ -135,9 +175,8 @@
 	}
 }
 
-// follow fetches the whole list, then watches it, until ctx ends. What can't be
-// had is asked for again soon, without waiting for news; the list held stays in force
-// meanwhile.
+// follow fetches the whole list and then watches it until ctx is done. It retries a failed call
+// after a short backoff, without long-polling; the current list stays in force meanwhile.
 func (d *discovery) follow(ctx context.Context, addr string) {
 	f := &follower{d: d, url: "http://" + addr + "/v1/servers", backoff: minBackoff, heard: time.Now()}
 	for ctx.Err() == nil {
@@ -150,7 +189,7 @@
 			return
 		}
 		if err == nil && l.Twice != nil && (l.All || !f.have) {
-			err = l.Twice // it contradicts itself; among changes the last line counts
+			err = l.Twice // a whole list must not repeat a server; among changes the last line counts
 			f.failed(err)
 		}
 		if err != nil {
@@ -164,24 +203,25 @@
 	}
 }
 
-// follower follows the list at one address.
+// follower follows the list at one address of the discovery service.
 type follower struct {
 	d    *discovery
 	url  string
 	pace pacing
 
 	rev  int64
-	have bool // a list of version rev, which changes can be asked for of
-	news bool // the last answer brought changes to a list that was there
+	have bool // a list of version rev was received; the next call may ask for changes since
+	news bool // the last response brought a new version of the list
 
 	failures int // in a row
 	backoff  time.Duration
-	heard    time.Time // when discovery last answered, or a failure was told of
-	warned   bool      // since the last answer
-	bad      int       // lines passed over in the last list
+	heard    time.Time // when discovery last answered or a failure was last reported
+	warned   bool      // a failure was logged since the last response
+	bad      int       // invalid lines of the last list
 }
 
-// call asks for the whole list, for changes, or waits for changes.
+// call fetches the whole list if there is none. After a failure it fetches the changes at once;
+// otherwise it long-polls for changes.
 func (f *follower) call(ctx context.Context) (*serverList, error) {
 	changes := fmt.Sprintf("%s?since=%d&timeout_ms=", f.url, f.rev)
 	switch {
@@ -198,9 +238,9 @@
 	return l, err
 }
 
-// patience is the pacing with the time that the next call is given. A call that was swallowed is
-// given up early, by an edge node that was unlucky among many; each maxHasty+1st has all the time,
-// for a service that needs it.
+// patience returns the pacing with the timeout of the next call. The timeout after a failure is
+// short, since a dropped call is never answered. Every (maxHasty+1)th call in a row of failures has
+// the full timeout, for a service that is slow.
 func (f *follower) patience() pacing {
 	pace := f.pace
 	if pace.hasty > 0 && f.failures%(maxHasty+1) < maxHasty {
@@ -209,28 +249,29 @@
 	return pace
 }
 
-// failed tells of a call that failed. One that was given up early says little: it is told of once
-// nothing was heard for half of the time that a patient call has.
+// failed reports a failed call. A call with a short timeout says little about the service: its
+// failure is reported only after a silence of half the full timeout.
 func (f *follower) failed(err error) {
 	var unanswered unansweredError
-	if errors.As(err, &unanswered) && unanswered.limit < f.pace.patient && time.Since(f.heard) < f.pace.patient/2 {
+	if errors.As(err, &unanswered) && unanswered.limit < f.pace.patient &&
+		time.Since(f.heard) < f.pace.patient/2 {
 		return
 	}
 	if !f.warned {
-		slog.Warn("discovery does not answer; the list held stays in force", "err", err)
+		slog.Warn("discovery does not answer; the current server list stays in force", "err", err)
 	}
 	f.warned, f.heard = true, time.Now()
 	f.d.tell(nil, policy.AskFailed)
 }
 
-// take hands on a list.
+// take delivers a list or changes and resets the state of failures.
 func (f *follower) take(l *serverList) {
 	if f.warned {
 		slog.Info("discovery answers again", "rev", l.Rev)
 	}
 	f.warned, f.heard, f.backoff, f.failures = false, time.Now(), minBackoff, 0
 	if l.Bad != f.bad && l.Bad > 0 {
-		slog.Warn("lines of discovery's list passed over", "lines", l.Bad, "first", l.BadWhy)
+		slog.Warn("invalid lines of discovery's list passed over", "lines", l.Bad, "first", l.BadWhy)
 	}
 	f.bad = l.Bad
 	switch {
@@ -240,12 +281,14 @@
 		f.d.tell(l, policy.Changes)
 	}
 	f.news = !f.have || l.Rev != f.rev
-	// A version that goes back is another's: what changed since is not known of it.
+	// A lower version comes from another instance of the service: versions known here mean nothing to it,
+	// so the next call fetches the whole list.
 	f.rev, f.have = l.Rev, l.All || !f.have || l.Rev >= f.rev
 }
 
-// pauseBeforeWatch waits where the service does not, and where it has just answered all edge
-// nodes at once: most calls of all of them together would find it busy.
+// pauseBeforeWatch pauses if discovery answered a watch early without changes, which would otherwise
+// become a busy loop. It also pauses after a change, which reaches all edge nodes at once: most of
+// their next calls would find the service busy.
 func (f *follower) pauseBeforeWatch(ctx context.Context, began time.Time) {
 	switch {
 	case !f.news && time.Since(began) < watchPause:
@@ -255,11 +298,13 @@
 	}
 }
 
-// ask makes a call that does not wait for news. While it is not answered others are made
-// beside it: it may have been swallowed, and the agent back; or the agent is slow, and to
-// give it up would be to hear nothing. While an answer is coming none is made. Each call that fails is told of; the error comes
-// when none is out any more.
-func (d *discovery) ask(ctx context.Context, url string, pace pacing, failed func(error)) (*serverList, error) {
+// ask makes a call without long-polling. While the call is unanswered, ask makes further calls in
+// parallel. The first one may have been dropped by an agent that is back by now, and if the agent is
+// slow, cancelling the first call would lose its response. While a response is arriving, ask makes no
+// further call. Each failed call is passed to failed; ask returns an error once no call is in flight.
+func (d *discovery) ask(
+	ctx context.Context, url string, pace pacing, failed func(error),
+) (*serverList, error) {
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	type answer struct {
@@ -267,7 +312,7 @@
 		err error
 	}
 	answers, out := make(chan answer, maxCalls), 0
-	var steps atomic.Int64 // of the answers that are coming
+	var steps atomic.Int64 // progress of the arriving responses
 	seen := int64(0)
 	call := func() {
 		out++
@@ -279,7 +324,7 @@
 	call()
 	again := time.NewTicker(pace.answer)
 	defer again.Stop()
-	if pace.answer >= pace.patient { // where calls cost
+	if pace.answer >= pace.patient { // parallel calls would load a shared service
 		again.Stop()
 	}
 	for {
@@ -304,9 +349,11 @@
 	}
 }
 
-// get makes one call. It is given up where nothing comes for the limit; steps counts the
-// full steps of its answer.
-func (d *discovery) get(ctx context.Context, url string, limit time.Duration, steps *atomic.Int64) (*serverList, error) {
+// get makes one call. The call fails if it neither completes nor receives a full step of its response
+// within limit. steps counts the full steps.
+func (d *discovery) get(
+	ctx context.Context, url string, limit time.Duration, steps *atomic.Int64,
+) (*serverList, error) {
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
 	giveUp := time.AfterFunc(limit, func() { end(unansweredError{limit}) })
@@ -330,20 +377,20 @@
 	return roster.Decode(body, limits)
 }
 
-// unansweredError is the end of a call that was given up.
+// unansweredError is the error of a call that timed out.
 type unansweredError struct{ limit time.Duration }
 
-func (e unansweredError) Error() string { return fmt.Sprintf("no answer within %v", e.limit) }
+func (e unansweredError) Error() string { return fmt.Sprintf("no response within %v", e.limit) }
 
-// answerReader reads an answer that may be large. Whoever sends it without a stop is
-// given more time, within a bound.
+// answerReader reads the body of a response. Each full step extends the timeout of the call, until
+// maxAnswer has passed.
 type answerReader struct {
 	from   io.Reader
 	steps  *atomic.Int64
-	part   int // bytes since the last step
+	part   int // bytes since the last full step
 	began  time.Time
 	limit  time.Duration
-	giveUp *time.Timer
+	giveUp *time.Timer // cancels the call
 }
 
 func (r *answerReader) Read(b []byte) (int, error) {
--- a/internal/node/duty.go
+++ b/internal/node/duty.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	dutyTerm  = 3 * time.Second // a duty stands empty for about so long after a crash
-	dutyDrift = 0.01            // far beyond what clocks of machines do
-	dutyQueue = 64              // messages that wait to be handled; more are lost like others on the way
-	dutyLeast = time.Millisecond
+	dutyTerm  = 3 * time.Second  // of a lease; a duty has no holder for about this long after a crash
+	dutyDrift = 0.01             // far above the clock drift of real machines
+	dutyQueue = 64               // messages waiting to be handled; more are dropped, as the network may do
+	dutyLeast = time.Millisecond // between two ticks
 )
 
-// duties is this edge node's part in the duties that the configuration names. Only
-// voters take part in one; the others know of none.
+// duties manages the leases of the duties that the configuration names. An edge node takes
+// part in a duty only if it is one of its voters.
 type duties struct {
 	clock clock
 	tell  func(to int, data []byte)
@@ -25,21 +25,22 @@
 
 	mu    sync.Mutex
 	names []string
-	parts map[string]*lease.Duty
-	byID  map[uint32]*lease.Duty
+	parts map[string]*lease.Duty // by name
+	byID  map[uint32]*lease.Duty // by the digest of the name
 }
 
+// dutyMessage is a received message and the number of the edge node that sent it.
 type dutyMessage struct {
 	from int
 	msg  lease.Message
 }
 
-// DutyStatus is what an edge node knows of a duty.
+// DutyStatus is the state of a duty as an edge node sees it.
 type DutyStatus struct {
 	Name   string
-	Voter  bool   // else nothing is known here
-	Token  uint64 // the fencing token, where it is held here; 0: it is not
-	Holder int    // the edge node's number, -1: none is known
+	Voter  bool   // whether this edge node is a voter; others don't know the state of the duty
+	Token  uint64 // the fencing token if this edge node holds the duty, otherwise 0
+	Holder int    // number of the edge node that holds the duty; -1: unknown or none
 }
 
 func newDuties(names []string, me, n int, seed uint64, c clock, tell func(int, []byte)) *duties {
@@ -55,7 +56,7 @@
 	return d
 }
 
-// hear takes in a datagram if it is one of duties.
+// hear queues a message of the lease protocol. It returns false if the datagram is of another kind.
 func (d *duties) hear(from int, data []byte) bool {
 	if len(data) == 0 || data[0] != lease.Version {
 		return false
@@ -69,7 +70,7 @@
 	return true
 }
 
-// run takes part until ctx ends.
+// run handles messages and timers until ctx is done.
 func (d *duties) run(ctx context.Context) {
 	if len(d.parts) == 0 {
 		return
@@ -92,7 +93,7 @@
 	}
 }
 
-// tick does what is due at all duties and tells when the next is.
+// tick runs the due actions of all duties and returns when to call it next.
 func (d *duties) tick() (next time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,13 +107,14 @@
 	return next
 }
 
+// say sends messages to other edge nodes.
 func (d *duties) say(out []lease.Out) {
 	for _, o := range out {
 		d.tell(o.To, o.Msg.Append(nil))
 	}
 }
 
-// leave gives up what is held here, so that another may take it at once.
+// leave releases the duties held here, so that another edge node can acquire them at once.
 func (d *duties) leave() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// status tells of all duties, by the clock as it is now.
+// status returns the current state of all configured duties.
 func (d *duties) status() (list []DutyStatus) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -6,37 +6,42 @@
 )
 
 const (
-	// A list or change of more lines is handed to the loop in parts.
+	// A list or change of more lines is passed to the loop in parts.
 	largeList = 1024
-	// So many lines are one event, which bounds how long the loop stands still for them.
+
+	// Lines of one part, which bounds how long other events wait for the loop.
 	partLines = 256
-	// Before the start nothing comes between the parts: they are larger where more would
-	// fill the loop's queue.
+
+	// Parts of a list that is queued before the loop starts. Longer lists have larger parts, so that they
+	// don't fill the loop's queue.
 	maxParts = eventQueue / 4
 )
 
-// members hands the loop a list, changes to it, or a part of either.
+// members is an event that brings the loop a list, changes to it, or a part of either.
 type members struct {
-	list  *serverList        // nil: discovery could not be asked
-	kind  policy.MembersKind // of these lines
-	whole policy.MembersKind // of what they complete
+	list  *serverList        // nil: a call to discovery failed
+	kind  policy.MembersKind // of this part
+	whole policy.MembersKind // of the list or change that the part belongs to
 	more  bool               // further parts follow, before any other list
-	taken chan struct{}      // closed once the loop has taken it; nil: nobody waits
+	taken chan struct{}      // closed once the loop has handled the event; nil: nobody waits
 }
 
-// feed hands the loop what discovery told. A large list is compared with the directory
-// here, beside the loop, and only what has changed is handed over, a part at a time with
-// other events between them. It returns once the loop has taken all parts. One goroutine
-// feeds a loop.
+// feed passes a list, or changes to it, from discovery to the loop. It compares a large list with the
+// directory in the caller's goroutine and passes on only the differences, in parts, so that the loop
+// can handle other events between them. It returns once the loop has handled all parts of a large
+// list. Only one goroutine may call feed.
 func (l *loop) feed(list *serverList, kind policy.MembersKind) {
-	if list == nil || len(list.Targets) <= largeList && (kind == policy.Changes || l.up.list.Len() <= largeList) {
+	if list == nil ||
+		len(list.Targets) <= largeList && (kind == policy.Changes || l.up.list.Len() <= largeList) {
 		l.post(members{list: list, kind: kind, whole: kind})
 		return
 	}
-	l.wait(func(taken chan struct{}) any { return barrier{taken} }) // the directory is up to date
+	// Wait until the directory contains all earlier updates.
+	l.wait(func(taken chan struct{}) any { return barrier{taken} })
 	lines, first := list.Targets, policy.Changes
 	switch {
-	case kind == policy.Changes && list.Twice != nil: // the last line of a server counts
+	case kind == policy.Changes && list.Twice != nil:
+		// The order of the lines stays: a server has several, and the last one counts.
 	case kind == policy.Changes:
 		roster.EndsFirst(lines)
 	case l.up.list.Len() == 0:
@@ -52,10 +57,10 @@
 	}
 }
 
-// barrier is an event that only tells that all before it have been taken.
+// barrier is an event that reports that the loop has handled all events before it.
 type barrier struct{ taken chan struct{} }
 
-// wait posts an event and returns once the loop has taken it, or has ended.
+// wait posts an event and returns once the loop has handled it or has ended.
 func (l *loop) wait(event func(taken chan struct{}) any) {
 	taken := make(chan struct{})
 	l.post(event(taken))
@@ -65,8 +70,8 @@
 	}
 }
 
-// inParts cuts lines that lead to a list into events. The first is of its own kind and the
-// others are changes. There is always one, which may have no lines.
+// inParts splits the lines of a list or change into events of at most most lines. The first event is
+// of the kind first, the others are changes. There is at least one event, which may have no lines.
 func inParts(rev int64, lines []target, most int, first, whole policy.MembersKind) []members {
 	var out []members
 	for kind := first; ; kind = policy.Changes {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,26 +11,30 @@
 
 const (
 	maxDatagram = 256 // bytes
-	peerQueue   = 256 // datagrams that wait to be sent; more are dropped
+	peerQueue   = 256 // datagrams waiting to be sent; more are dropped
 	maxFlush    = 100 * time.Millisecond
 )
 
-// peers carries the module's messages to the other edge nodes and back.
+// peers exchanges datagrams with the other edge nodes.
 type peers struct {
 	conn *net.UDPConn
-	to   []netip.AddrPort
-	all  netip.AddrPort
+	to   []netip.AddrPort // by number of the edge node
+	all  netip.AddrPort   // one address that reaches all edge nodes; invalid: there is none
 	out  chan datagram
-	hear func(from int, data []byte)
+	hear func(from int, data []byte) // receives datagrams; data is its own copy
 }
 
+// datagram is a queued message, or a marker for flush if sent is set.
 type datagram struct {
 	to   netip.AddrPort
 	data []byte
-	sent chan struct{} // closed when its turn has come; nothing is sent then
+	sent chan struct{} // closed once all datagrams queued before are sent
 }
 
-func listenPeers(listen string, to []netip.AddrPort, all netip.AddrPort, hear func(int, []byte)) (*peers, error) {
+// listenPeers opens the UDP socket for datagrams of the other edge nodes.
+func listenPeers(
+	listen string, to []netip.AddrPort, all netip.AddrPort, hear func(int, []byte),
+) (*peers, error) {
 	addr, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
@@ -42,8 +46,8 @@
 	return &peers{conn: conn, to: to, all: all, out: make(chan datagram, peerQueue), hear: hear}, nil
 }
 
-// tell queues a message to one edge node, or to all for a number below 0. It
-// never blocks: messages may be lost in any case.
+// tell queues a message to one edge node, or to all if the number is negative. It
+// never blocks: when the queue is full it drops the message, as the network may.
 func (p *peers) tell(to int, data []byte) {
 	switch {
 	case len(data) > maxDatagram || to >= len(p.to):
@@ -59,6 +63,7 @@
 	}
 }
 
+// queue adds a datagram to the queue, or drops it if the queue is full.
 func (p *peers) queue(to netip.AddrPort, data []byte) {
 	select {
 	case p.out <- datagram{to: to, data: data}:
@@ -66,8 +71,8 @@
 	}
 }
 
-// flush waits until what is queued is sent, but not for long: the network may lose
-// it all the same.
+// flush waits until the queued datagrams are sent, for at most maxFlush. A longer wait would
+// guarantee nothing: the network may still lose them.
 func (p *peers) flush() {
 	sent, late := make(chan struct{}), time.After(maxFlush)
 	select {
@@ -81,7 +86,7 @@
 	}
 }
 
-// send writes what is queued until done is closed.
+// send writes queued datagrams to the socket until done is closed.
 func (p *peers) send(done <-chan struct{}) {
 	for {
 		select {
@@ -92,12 +97,12 @@
 				close(d.sent)
 				continue
 			}
-			_, _ = p.conn.WriteToUDPAddrPort(d.data, d.to) // lost like any other
+			_, _ = p.conn.WriteToUDPAddrPort(d.data, d.to) // equivalent to loss in the network
 		}
 	}
 }
 
-// receive hands over what known edge nodes send until the socket is closed.
+// receive passes datagrams from known edge nodes to hear until the socket is closed.
 func (p *peers) receive() {
 	from := make(map[netip.AddrPort]int, len(p.to))
 	for i, a := range p.to {
@@ -110,7 +115,8 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptPause) // an ICMP error of an earlier send, or memory is short: not again without a pause
+			// An ICMP error of an earlier send, or a lack of memory. The pause prevents a busy loop.
+			time.Sleep(acceptPause)
 			continue
 		}
 		num, known := from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -14,35 +14,40 @@
 var errEnded = errors.New("the edge node has ended")
 
 const (
-	reloadPause = 50 * time.Millisecond // a file that can't be used may be half written: it is read again
+	// An unreadable file may be half written: it is read again after this pause.
+	reloadPause = 50 * time.Millisecond
+
+	// Reads of one file.
 	reloadTries = 40
 )
 
-// Status is what operators see of an edge node.
+// Status is the state of an edge node as shown to operators.
 type Status struct {
 	Name        string
 	Ready       bool
-	Phase       string // of a planned stop
+	Phase       string // of a shutdown
 	Current     *config.Generation
-	Before      *config.Generation // nil: there is none to return to
+	Before      *config.Generation // nil: there is none to roll back to
 	Left        string             // digest of the file that was rolled back from; empty: none
-	Refused     *config.Refusal    // the last file, if it was refused
-	Keeping     *snapshot.Counts   // how snapshots are written; nil: none are kept
+	Refused     *config.Refusal    // the last file, if it was rejected
+	Keeping     *snapshot.Counts   // counts of written snapshots; nil: none are written
 	Duties      []DutyStatus
-	Lag         time.Duration // how far the event loop is behind now; it grows while the loop stands still
-	MostLag     time.Duration // and the most of the last half to whole minute
-	Looks       int64         // of the loop for clients that have gone, since the start: it gets on as long as they grow
+	Lag         time.Duration // how late the event loop is; grows while the loop is blocked
+	MostLag     time.Duration // the largest lag of the last 30 to 60 s
+	Looks       int64         // heartbeats of the loop since the start; constant while the loop is blocked
 	Disconnects Disconnects
 
 	Unsolicited Unsolicited
 }
 
-// Disconnects counts the requests whose client left before their first attempt, by where that
-// was noticed: none of them was sent on. Hidden are those sent on whose client had sent so
-// much ahead that its leaving could not have been seen.
+// Disconnects counts the requests whose client disconnected before their first attempt was written,
+// by where the disconnect was detected: while the request was held, while its connection to a server
+// was being dialed, or right before the write. None of them was sent to a server. Hidden counts
+// requests that were sent although a disconnect could not be detected, since the client had pipelined
+// too much data.
 type Disconnects struct{ Held, Dialing, Writing, Hidden int64 }
 
-// Status may be called at any time; it waits for nothing.
+// Status returns the current state. It may be called at any time and doesn't wait for the loop.
 func (n *Node) Status() Status {
 	s := *n.status.Load()
 	p := phase(n.phase.Load())
@@ -50,7 +55,8 @@
 	s.Lag, s.MostLag = n.loop.heartbeat.lag(n.loop.clock.now())
 	s.Looks = n.loop.heartbeat.looks.Load()
 	left := &n.loop.disconnects
-	s.Disconnects = Disconnects{left.held.Load(), left.dialing.Load(), left.writing.Load(), left.hidden.Load()}
+	s.Disconnects = Disconnects{left.held.Load(), left.dialing.Load(),
+		left.writing.Load(), left.hidden.Load()}
 	s.Unsolicited = n.up.unsolicited.load()
 	if n.duties != nil {
 		s.Duties = n.duties.status()
@@ -62,14 +68,14 @@
 	return s
 }
 
-// publish shows the history to operators. The caller holds n.changing.
+// publish updates the status with the history of generations. The caller holds n.changing.
 func (n *Node) publish() {
-	n.status.Store(&Status{Name: n.cfg.Name, Current: n.history.Current(), Before: n.history.Before(), Left: n.history.Left(),
-		Refused: n.history.Refused()})
+	n.status.Store(&Status{Name: n.cfg.Name, Current: n.history.Current(),
+		Before: n.history.Before(), Left: n.history.Left(), Refused: n.history.Refused()})
 }
 
-// reload takes over the configuration file whenever hup says that it is new.
-// What can't be used changes nothing.
+// reload applies the configuration file at each signal on hup. A file that is rejected changes
+// nothing.
 func (n *Node) reload(ctx context.Context, hup <-chan os.Signal) {
 	for {
 		select {
@@ -84,24 +90,27 @@
 		case errors.Is(err, config.ErrPassedOver):
 			slog.Info("configuration unchanged", "why", err)
 		case err != nil:
-			slog.Error("new configuration refused; the one in force stays", "generation", n.Status().Current.Number, "err", err)
+			slog.Error("new configuration rejected; the current one stays in force",
+				"generation", n.Status().Current.Number, "err", err)
 		}
 	}
 }
 
-// readAndApply puts the file in force as it is now. One that may be half written
-// is read again for a while.
+// readAndApply reads the configuration file and puts it in force. It retries an unreadable file, which
+// may be half written. If forced, it also applies a file that was rolled back from.
 func (n *Node) readAndApply(ctx context.Context, forced bool) error {
 	for try := 1; ; try++ {
-		err := n.change(ctx, func() (*config.Generation, error) { return n.history.Offer(time.Now(), forced) })
+		err := n.change(ctx, func() (*config.Generation, error) {
+			return n.history.Offer(time.Now(), forced)
+		})
 		if !errors.Is(err, config.ErrUnreadable) || try == reloadTries || !sleep(ctx, reloadPause) {
 			return err
 		}
 	}
 }
 
-// change puts the generation that is proposed in force, one change at a time, and
-// returns once it is.
+// change puts the proposed generation in force and returns once the loop has applied it. Changes run
+// one at a time.
 func (n *Node) change(ctx context.Context, propose func() (*config.Generation, error)) error {
 	n.changing.Lock()
 	defer n.changing.Unlock()
@@ -123,15 +132,15 @@
 	}
 	before := n.history.Current()
 	n.history.Accept(next)
-	slog.Info("new configuration in force", "generation", next.Number, "digest", next.Digest, "before", before.Digest,
-		"discovery", next.File.Discovery)
+	slog.Info("new configuration in force", "generation", next.Number, "digest", next.Digest,
+		"before", before.Digest, "discovery", next.File.Discovery)
 	for _, w := range next.File.Warnings {
 		slog.Warn("configuration", "passed over", w)
 	}
 	return ctx.Err()
 }
 
-// Check tells all that keeps a file from being put in force here.
+// Check returns the faults that prevent a file from being put in force here.
 func (n *Node) Check(raw []byte) error {
 	n.changing.Lock()
 	defer n.changing.Unlock()
@@ -139,16 +148,15 @@
 	return err
 }
 
-// Apply puts the file in force as it is now, also one that was rolled back from.
+// Apply reads the configuration file and puts it in force, even one that was rolled back from.
 func (n *Node) Apply(ctx context.Context) error { return n.readAndApply(ctx, true) }
 
-// RollBack returns to the generation before; the file stays as it is.
+// RollBack puts the previous generation in force. The configuration file is not changed.
 func (n *Node) RollBack(ctx context.Context) error {
 	return n.change(ctx, func() (*config.Generation, error) { return n.history.Back(time.Now()) })
 }
 
-// onApply puts a generation's limits in force outside the module. The loop calls
-// it between two events.
+// onApply applies a generation outside the policy module. The loop calls it between two events.
 func (n *Node) onApply(next *config.Generation) {
 	n.server.gen.Store(next)
 	clients, servers := descriptors(next.File)
@@ -157,7 +165,7 @@
 	n.disc.apply(next.File)
 }
 
-// sleep waits; it is false when ctx ended first.
+// sleep pauses for d. It returns false if ctx was done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/node/unsolicited.go
+++ b/internal/node/unsolicited.go
@@ -13,33 +13,36 @@
 	"valvering.example/valvering/policy"
 )
 
-// errUnsolicited ends an attempt on whose connection bytes came that can't be its answer.
+// errUnsolicited fails an attempt whose connection received bytes that can't be the response.
 var errUnsolicited = errors.New("the server sent bytes that answer no request")
 
-// Unsolicited counts connections on which servers sent bytes that nobody had asked for, by where
-// these were noticed. Each such connection was closed.
+// Unsolicited counts the connections on which servers sent bytes that answer no request, by where
+// the bytes were detected. Each such connection was closed.
 type Unsolicited struct {
 	Idle   int64 // on an idle connection
-	Write  int64 // right before the write of a request, which was not written then
-	Answer int64 // in place of the answer to a request, or beside it
+	Write  int64 // right before the write of a request, which was then not written
+	Answer int64 // in place of the response to a request, or in addition to it
 
-	Unchecked int64 // answers served although the system does not tell what the server had received
+	// Responses accepted without the check because the operating system doesn't report what the server has
+	// acknowledged.
+	Unchecked int64
 }
 
-// unsolicitedCounts is Unsolicited while it is being counted.
+// unsolicitedCounts holds the live counters of Unsolicited.
 type unsolicitedCounts struct{ idle, write, answer, unchecked atomic.Int64 }
 
 func (c *unsolicitedCounts) load() Unsolicited {
 	return Unsolicited{c.idle.Load(), c.write.Load(), c.answer.Load(), c.unchecked.Load()}
 }
 
-// socketQueues is what the system holds of a connection.
+// socketQueues holds the lengths of a socket's buffers.
 type socketQueues struct {
-	unread         int // bytes that came and were not read yet
-	unacknowledged int // bytes written that the server's system has not acknowledged yet
+	unread         int // bytes received and not read yet
+	unacknowledged int // bytes written that the server's host has not acknowledged yet
 }
 
-// queues is false where the system does not tell.
+// queues returns the lengths of the socket's buffers; known is false if the operating system
+// doesn't report them.
 func (c *upConn) queues() (q socketQueues, known bool) {
 	err := c.control(func(fd int) (err error) {
 		if q.unacknowledged, err = unix.IoctlGetInt(fd, unix.SIOCOUTQ); err == nil {
@@ -50,7 +53,7 @@
 	return q, err == nil
 }
 
-// control calls the system for the connection's descriptor.
+// control runs a system call on the connection's file descriptor.
 func (c *upConn) control(call func(fd int) error) error {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -67,10 +70,10 @@
 	return callErr
 }
 
-// checkFirstBytes looks at the connection right behind the first read since a request was written.
-// An answer comes behind the acknowledgment of the request's first byte, since the server can't
-// answer what has not come to it. So bytes that are there while the whole request is
-// unacknowledged answer something else.
+// checkFirstBytes checks the connection right after the first read that follows the write of a
+// request. A server can't respond to a request before it has received the first byte, and the
+// acknowledgment of that byte arrives no later than the response. Bytes that arrive while the whole
+// request is unacknowledged therefore belong to something else.
 func (c *upConn) checkFirstBytes(request int) error {
 	q, known := c.queues()
 	switch {
@@ -85,7 +88,7 @@
 	return nil
 }
 
-// readAvailable reads what has come, without waiting.
+// readAvailable reads the bytes in the receive buffer without blocking.
 func (c *upConn) readAvailable() {
 	if len(c.in.buf) == cap(c.in.buf) {
 		c.in.buf = slices.Grow(c.in.buf, minBuf)
@@ -94,12 +97,12 @@
 	_ = c.control(func(fd int) error {
 		n, _, err := syscall.Recvfrom(fd, space, syscall.MSG_DONTWAIT)
 		c.in.buf = c.in.buf[:len(c.in.buf)+max(0, n)]
-		return err // nothing has come, or the end: the next look at the connection shows it
+		return err // no bytes, or a closed connection: the next check of the connection detects it
 	})
 }
 
-// quietBeforeWrite looks at a connection once more, right before a request is written on it. The
-// connection may not be used if it is false.
+// quietBeforeWrite checks a connection again right before a request is written on it. If it returns
+// false, the connection must not be used.
 func (c *upConn) quietBeforeWrite() bool {
 	state := c.idleState()
 	if state == idleUnsolicited {
@@ -109,9 +112,9 @@
 	return state == idleQuiet
 }
 
-// ambiguous tells whether another answer came right behind the one that was read, on a connection
-// that has carried a request before. One of the two may be a late one to that, and nothing tells
-// which; a second copy of the first does no harm.
+// ambiguous reports whether a second response follows the one that was read, on a connection that
+// has carried a request before. Either may be a late response to the earlier request, and nothing
+// shows which. A second copy of the same response is harmless.
 func (c *upConn) ambiguous() bool {
 	if c.moreUnread && c.in.buffered() == 0 {
 		c.readAvailable()
@@ -131,17 +134,17 @@
 	maxReusePause = time.Minute
 )
 
-// reusePauses tells to which servers connections are not used again, since such a server has sent
-// bytes that nobody asked for. Once a request is written nothing tells such bytes from its answer.
-// The pause doubles each time the server does so again soon behind it.
+// reusePauses holds the servers whose connections are not reused because they have sent unsolicited
+// bytes. Once a request is written, such bytes can't be told from its response. The pause doubles
+// each time the server sends such bytes again soon after the previous pause.
 type reusePauses map[policy.ServerID]reusePause
 
 type reusePause struct {
-	until  time.Duration
+	until  time.Duration // when the pause ends
 	length time.Duration
 }
 
-// pause begins a pause, or begins the one that is on anew.
+// pause starts a pause. During a pause it restarts that one with the same length.
 func (p reusePauses) pause(id policy.ServerID, now time.Duration) {
 	length := minReusePause
 	switch before, ok := p[id]; {
@@ -155,7 +158,7 @@
 
 func (p reusePauses) paused(id policy.ServerID, now time.Duration) bool { return now < p[id].until }
 
-// expire forgets servers that have sent nothing of the kind for maxReusePause behind their pause.
+// expire removes the servers that have sent no unsolicited bytes for maxReusePause after their pause.
 func (p reusePauses) expire(now time.Duration) {
 	for id, last := range p {
 		if now >= last.until+maxReusePause {
--- a/internal/node/upconn.go
+++ b/internal/node/upconn.go
@@ -8,24 +8,25 @@
 
 const (
 	answerStart = "HTTP/1.1 "
-	answerStall = 250 * time.Millisecond // an answer that has begun and stops for so long is spoilt
-	maxInterim  = 8                      // 1xx answers ahead of one
+	answerStall = 250 * time.Millisecond // between two reads of one response
+	maxInterim  = 8                      // 1xx responses before the final one
 )
 
-// upConn is a connection to an app server.
+// upConn is a connection to a server.
 type upConn struct {
 	net.Conn
-	incarnation uint64 // of the process it leads to
+	incarnation uint64 // of the server process at the other end
 	in          stream
 	head        head
-	used        time.Duration
-	request     int  // length of the request that is out, until a byte of its answer has come
-	moreUnread  bool // more had come by the first read of an answer than that read took
-	unsolicited bool // bytes have come that answer no request
+	used        time.Duration // when it was last returned to the pool; 0: never yet
+	request     int           // length of the request in flight; 0 once bytes of the response have arrived
+	moreUnread  bool          // the first read of the response left bytes in the socket's receive buffer
+	unsolicited bool          // the server sent bytes that answer no request
 	counts      *unsolicitedCounts
 }
 
-// Read gives up an answer that has begun and stops, and bytes that can't be an answer.
+// Read fails if a response stalls after its first bytes, or if the first bytes can't belong to the
+// response.
 func (c *upConn) Read(b []byte) (int, error) {
 	if len(c.in.buf) > 0 {
 		if err := c.SetReadDeadline(time.Now().Add(answerStall)); err != nil {
@@ -44,16 +45,16 @@
 	return n, err
 }
 
-// idleState is what a look at an idle connection finds.
+// idleState is the state of an idle connection.
 type idleState int
 
 const (
 	idleQuiet       idleState = iota
-	idleEnded                 // by the server, or it can't be looked at
-	idleUnsolicited           // bytes that nobody asked for
+	idleEnded                 // closed by the server, or not checkable
+	idleUnsolicited           // the server sent bytes without a request
 )
 
-// idleState looks without reading and without waiting.
+// idleState checks an idle connection without consuming bytes and without blocking.
 func (c *upConn) idleState() idleState {
 	if c.in.buffered() > 0 {
 		return idleEnded
@@ -65,7 +66,7 @@
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
 			state = idleQuiet
-		case n > 0 && !endedBehind(fd): // bytes ahead of an end may tell of that end
+		case n > 0 && !endedBehind(fd): // bytes right before a close may announce that close
 			state = idleUnsolicited
 		}
 		return nil
@@ -73,13 +74,13 @@
 	return state
 }
 
-// alive tells whether nothing has come on an idle connection: neither its end
-// nor bytes that nobody asked for.
+// alive reports whether an idle connection is neither closed nor has unsolicited bytes to read.
 func alive(c *upConn) bool { return c.idleState() == idleQuiet }
 
-// answer reads an answer. One without a length ends with the connection if it says that
-// this one ends: by an end of sending, since a reset is a break. Else its end can't be
-// told, it is not framed, and its body is left unread.
+// answer reads a response. A 200 response without a length is framed only if it has
+// "Connection: close": its body then ends where the server shuts down its sending side, while a
+// reset counts as a failure. Otherwise the end of the body is unknown: framed is false and the body
+// is left unread.
 func (c *upConn) answer() (status int, body []byte, framed bool, err error) {
 	for range maxInterim + 1 {
 		if err = c.in.readHead(&c.head, answerStart); err != nil {
@@ -93,7 +94,7 @@
 		case status == 101 || status < 200 && c.head.length != -2:
 			return 0, nil, false, errFraming
 		case status < 200:
-			c.in.begin() // it only announces the answer, which may take its time
+			c.in.begin() // an interim response; the final one may take longer than the stall timeout
 			continue
 		case status == 204 || status == 304:
 			return status, nil, true, nil
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -17,22 +17,27 @@
 )
 
 const (
-	idlePart    = 0.6 // of the time after which app servers close idle connections
+	// The age at which an idle connection is closed, as a fraction of the server's own idle timeout.
+	idlePart = 0.6
+
+	// Requests to a draining server stop this long before its grace period ends, to allow for network delay.
 	graceMargin = 50 * time.Millisecond
-	maxLoad     = 1e6 // a figure beyond is none
 
-	// An idle connection rests before it is used again: what comes behind an
-	// answer must not be taken for the next one.
+	// A load report with a larger value is rejected.
+	maxLoad = 1e6
+
+	// An idle connection is not reused before this delay: stray bytes that follow a response must not be
+	// read as the response to the next request.
 	restFor = 5 * time.Millisecond
 )
 
-// upstream keeps the connections to the app servers and carries attempts out.
-// Each attempt is written here, once: the stock clients send a request again
-// by themselves and don't tell whether its last byte was written.
+// upstream pools the connections to the servers and executes attempts.
+// It writes each attempt itself, exactly once: http.Transport may retry a request
+// on its own and doesn't report whether the last byte was written.
 type upstream struct {
 	clock  clock
-	rest   time.Duration // before an idle connection is used again
-	fields []string      // of load reports, by the module's order
+	rest   time.Duration // delay before an idle connection is reused
+	fields []string      // names of the fields of load reports, in the order of the policy module
 
 	list        *roster.Directory
 	unsolicited unsolicitedCounts
@@ -41,52 +46,53 @@
 	dial    net.Dialer
 	idleFor time.Duration
 	grace   time.Duration
-	most    int // connections at once, to all servers
-	open    int
+	most    int // limit on open connections, over all servers
+	open    int // open connections, idle ones included
 	ages    idleAges
 	reuse   reusePauses
-	idle    map[policy.ServerID][]*upConn // newest last; only of servers that have, or lately had, any
+	idle    map[policy.ServerID][]*upConn // most recently used last; emptied entries stay until a sweep
 }
 
 func newUpstream(c clock, list *roster.Directory, loadNames []string) *upstream {
-	return &upstream{clock: c, rest: restFor, fields: loadNames, list: list, idle: map[policy.ServerID][]*upConn{}, reuse: reusePauses{}}
+	return &upstream{clock: c, rest: restFor, fields: loadNames, list: list,
+		idle: map[policy.ServerID][]*upConn{}, reuse: reusePauses{}}
 }
 
-// clientState tells of the client that waits for an attempt.
+// clientState reports on the client that waits for an attempt.
 type clientState interface {
-	gone() bool
-	hidden() bool // whether it is there can't be seen
+	gone() bool   // the client has closed, half-closed or reset its connection
+	hidden() bool // a disconnect could not be detected
 }
 
-// attempt is one sending of a request to an app server.
+// attempt sends a request to a server once.
 type attempt struct {
 	id       policy.RequestID
 	num      int
 	server   policy.ServerID
-	sent     time.Duration // when the module asked for it
-	deadline time.Duration // when it is given up
-	writeBy  time.Duration // written later it might run twice: its repeat would not be known as one
-	client   clientState   // nil: it can't be asked
+	sent     time.Duration // when the policy module requested the attempt
+	deadline time.Duration // when the attempt times out
+	writeBy  time.Duration // after this, the server may no longer recognize a keyed retry as a duplicate
+	client   clientState   // nil: the state of the client is unknown
 
 	mu        sync.Mutex
 	cancelled bool
-	withdrawn bool // cancelled before its request was written, and never is written
-	begun     bool // its request may have been written
-	left      bool // its client had gone when it would have been
-	unseen    bool // or could not be seen then
+	withdrawn bool // cancelled before the write of the request, which is never written
+	begun     bool // the request may have been written
+	left      bool // the client had disconnected by the time of the write
+	unseen    bool // a disconnect could not be detected at the time of the write
 	conn      *upConn
 	stopDial  context.CancelFunc
 }
 
-// cancel gives the attempt up; the goroutine that carries it out ends it.
+// cancel aborts the attempt. The goroutine that executes the attempt then reports its outcome.
 func (a *attempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stop()
 }
 
-// withdraw gives the attempt up unless its request may have been written; it is false
-// then, and where it was given up before.
+// withdraw cancels the attempt unless its request may have been written. It returns
+// false in that case, and if the attempt was already cancelled.
 func (a *attempt) withdraw() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -98,6 +104,7 @@
 	return true
 }
 
+// stop aborts the dial or closes the connection. The caller holds a.mu.
 func (a *attempt) stop() {
 	a.cancelled = true
 	if a.stopDial != nil {
@@ -108,9 +115,9 @@
 	}
 }
 
-// begin puts the attempt on a connection to be written. It is false when it was
-// cancelled, or when its client has gone: who decides that it is not written and who
-// writes it go by one mark.
+// begin assigns the attempt a connection and marks its request as possibly written. It returns
+// false if the attempt was cancelled or its client has disconnected. withdraw checks the same
+// mark under the same lock, so an attempt is never both withdrawn and written.
 func (a *attempt) begin(c *upConn) bool {
 	gone := a.client != nil && a.client.gone()
 	a.mu.Lock()
@@ -123,7 +130,7 @@
 	return a.begun
 }
 
-// leave takes it off its connection; it is false when it was cancelled meanwhile.
+// leave detaches the attempt from its connection. It returns false if the attempt was cancelled.
 func (a *attempt) leave() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -131,8 +138,8 @@
 	return !a.cancelled
 }
 
-// unsent is how an attempt ended that was not written: one without a client says
-// nothing of the server.
+// unsent is the result of an attempt that was not written. A withdrawn attempt
+// says nothing about the server and is Moot.
 func (a *attempt) unsent() result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -142,8 +149,8 @@
 	return result{code: policy.ConnectFailed}
 }
 
-// limit takes over a generation's figures, and how many connections may be open. Of connections beyond, the idle ones
-// are closed, the oldest first; the others go as they come to rest.
+// limit applies the timeouts of a configuration and the limit on open connections. Over the limit
+// it closes idle connections at once, oldest first; keep closes busy ones once they become idle.
 func (u *upstream) limit(f *config.File, most int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -154,16 +161,16 @@
 	}
 }
 
-// update takes over the list or changes to it. What is gone is forgotten: an attempt that
-// is out has its connection, and nothing new finds a way there. What drains wants nothing
-// new: its connections are scarce.
+// update applies a whole list or changes to it. It closes the idle connections of servers that
+// were removed, replaced or are draining: these get no new requests, and the limit on connections
+// is better spent on others. Attempts in flight hold their own connection and go on.
 func (u *upstream) update(l *serverList, whole bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.list.Update(l, whole, u.clock.now(), u.dropIdle)
 }
 
-// pauseReuse has no connection to a server used again for a while. The caller holds u.mu.
+// pauseReuse suspends connection reuse for a server. The caller holds u.mu.
 func (u *upstream) pauseReuse(id policy.ServerID) {
 	u.reuse.pause(id, u.clock.now())
 	u.dropIdle(id)
@@ -178,19 +185,21 @@
 	delete(u.idle, id)
 }
 
-// closed tells whether new work to a process of the server is over: another is there by
-// now, or it drains. It is so before the grace runs out: the bytes have a way to go yet.
+// closed reports whether a process of a server gets no further requests: the server was removed,
+// another process has replaced this one, or its drain grace period is about to end. The margin
+// before the end of the grace period covers the time on the network.
 func (u *upstream) closed(id policy.ServerID, incarnation uint64) bool {
 	u.mu.Lock()
 	grace := u.grace
 	u.mu.Unlock()
 	s, listed := u.list.Find(id)
-	return !listed || s.Incarnation != incarnation || s.State != policy.Running && u.clock.now()-s.Since > max(0, grace-graceMargin)
+	return !listed || s.Incarnation != incarnation ||
+		s.State != policy.Running && u.clock.now()-s.Since > max(0, grace-graceMargin)
 }
 
-// take returns the newest idle connection that is still good, or else one to the
-// address that is to be dialed; ok is false when there are too many connections or no
-// such server.
+// take returns the most recently used idle connection that is usable. Without one it returns an
+// undialed connection and the address to dial. ok is false if the limit on connections is reached
+// or the server is not listed.
 func (u *upstream) take(id policy.ServerID) (c *upConn, addr string, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -226,7 +235,8 @@
 	return &upConn{incarnation: s.Incarnation, counts: &u.unsolicited}, s.Addr.String(), true
 }
 
-// dropOldest closes the connection that is idle for longest.
+// dropOldest closes the connection that has been idle the longest. It returns false if none is
+// idle. The caller holds u.mu.
 func (u *upstream) dropOldest() bool {
 	var from policy.ServerID
 	var oldest *upConn
@@ -244,7 +254,7 @@
 	return true
 }
 
-// discard closes a connection that can't be used again, or never came up.
+// discard closes a connection that can't be reused or whose dial failed.
 func (u *upstream) discard(c *upConn) {
 	if c.Conn != nil {
 		c.Close()
@@ -254,12 +264,13 @@
 	u.mu.Unlock()
 }
 
-// keep puts a connection back.
+// keep returns a connection to the pool, or closes it if it should not be reused.
 func (u *upstream) keep(id policy.ServerID, c *upConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s, listed := u.list.Find(id)
-	if !listed || s.State != policy.Running || s.Incarnation != c.incarnation || u.open > u.most || u.reuse.paused(id, u.clock.now()) {
+	if !listed || s.State != policy.Running || s.Incarnation != c.incarnation ||
+		u.open > u.most || u.reuse.paused(id, u.clock.now()) {
 		c.Close()
 		u.open--
 		return
@@ -268,7 +279,8 @@
 	u.idle[id] = append(u.idle[id], c)
 }
 
-// sweep closes connections that are idle for long or that the server closed.
+// sweep closes the connections that have been idle too long, were closed by the server or
+// received unsolicited bytes.
 func (u *upstream) sweep() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -299,17 +311,17 @@
 	u.reuse.expire(now)
 }
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	code        policy.Code
 	load        []float64
-	unfit       bool   // the app server says that the request is at fault
-	contentType string // of a served answer
+	unfit       bool   // the server answered with a 4xx status
+	contentType string // of a successful response
 	body        string
 }
 
-// do carries an attempt out. The connection of one that did not come to its end
-// is closed before do returns.
+// do executes an attempt. Unless the response was complete, do closes the connection before it
+// returns.
 func (u *upstream) do(a *attempt, req *clientRequest) result {
 	c, addr, ok := u.take(a.server)
 	if !ok {
@@ -338,7 +350,7 @@
 		u.ages.note(now-c.used, u.clock.now()-now, r.code, len(c.in.buf) > 0 || c.unsolicited)
 		u.mu.Unlock()
 	}
-	if !a.leave() { // cancelled: its connection is closed already
+	if !a.leave() { // cancelled: the connection is already closed
 		reuse = false
 		if r.code == policy.Reset || r.code == policy.TimedOut {
 			r.code = policy.Cancelled
@@ -357,6 +369,7 @@
 	return r
 }
 
+// connect dials a server. Cancelling the attempt aborts the dial.
 func (u *upstream) connect(a *attempt, addr string) (net.Conn, error) {
 	ctx, stop := context.WithDeadline(context.Background(), u.clock.time(a.deadline))
 	defer stop()
@@ -373,9 +386,9 @@
 	return dial.DialContext(ctx, "tcp", addr)
 }
 
-// exchange writes the request in one call and reads the answer. The number of
-// bytes written decides: before the last one the request can't have run, after
-// it may have.
+// exchange writes the request in one call and reads the response. It also reports whether the
+// connection can be reused. The number of bytes written decides the outcome of a failure: until the
+// last byte is written the request can't have run; after that it may have.
 func (u *upstream) exchange(a *attempt, c *upConn, req *clientRequest, left time.Duration) (result, bool) {
 	if c.SetDeadline(u.clock.time(a.deadline)) != nil || c.SetWriteDeadline(u.clock.time(a.writeBy)) != nil {
 		return result{code: policy.ConnectFailed}, false
@@ -412,7 +425,7 @@
 	r.code, r.load = policy.Error, u.load(&c.head)
 	switch {
 	case status == 200 && !framed:
-		r.code = policy.Reset // its end can't be told from a break
+		r.code = policy.Reset // the end of the body can't be told from a broken connection
 	case status == 200:
 		r.code, r.contentType, r.body = policy.OK, string(c.head.get("Content-Type")), string(body)
 	case (status == 503 || status == 504) && string(c.head.get("X-Not-Run")) == "1":
@@ -420,7 +433,7 @@
 	case status/100 == 4:
 		r.code, r.unfit = policy.Moot, true
 	}
-	// What comes behind an answer belongs to none.
+	// Bytes that follow a response belong to no request.
 	reuse := framed && c.in.buffered() == 0 && !c.head.has("Connection", "close")
 	c.in.begin()
 	return r, reuse
@@ -430,7 +443,8 @@
 
 var passedOn = []string{"Host", "X-Request-Id", "Idempotency-Key", "X-Class", "Content-Type"}
 
-// appendRequest writes what goes on to an app server.
+// appendRequest appends the request as it is sent to a server. Of the client's headers it
+// forwards only those in passedOn.
 func appendRequest(b []byte, req *clientRequest, left time.Duration) []byte {
 	b = append(b, req.method...)
 	b = append(b, ' ')
@@ -454,13 +468,13 @@
 	return append(b, req.body...)
 }
 
-// loadNames gives the names in a load report for the settings' own, where
-// these differ.
-var loadNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
-	"rps": "qps", "err_rps": "eps"}
+// loadNames maps field names of the settings to the names that servers use in load reports,
+// where the two differ.
+var loadNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util",
+	"avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps"}
 
-// load reads a load report: a word, then name=value pairs. One that lacks a
-// field, or can't be meant, counts for nothing.
+// load parses a load report: a word, then name=value pairs. It returns nil for a report that lacks
+// a field or has a value out of range.
 func (u *upstream) load(h *head) []float64 {
 	text, n := h.one("X-Load")
 	if n != 1 || len(u.fields) == 0 {
@@ -475,7 +489,7 @@
 			continue
 		}
 		x, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(x >= 0 && x <= maxLoad) { // NaN is neither
+		if err != nil || !(x >= 0 && x <= maxLoad) { // also rejects NaN
 			return nil
 		}
 		out[i] = x
