--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -21,7 +21,7 @@
 	b, l := make(chan string), make(chan struct{})
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.dial = net.Dialer{KeepAlive: -1, Control: func(_, addr string, _ syscall.RawConn) error {
+	u.dialer = net.Dialer{KeepAlive: -1, Control: func(_, addr string, _ syscall.RawConn) error {
 		b <- addr
 		<-l
 		return nil
@@ -96,8 +96,8 @@
 // away is a client that has gone.
 type away struct{}
 
-func (away) gone() bool   { return true }
-func (away) hidden() bool { return false }
+func (away) disconnected() bool     { return true }
+func (away) disconnectHidden() bool { return false }
 
 // The loop looks now and then; between two looks, and behind a long queue, the check
 // before the write is the only one.
@@ -171,10 +171,10 @@
 		t.Errorf("withdrawn: code %d after %d requests, %d open", r.code, a.seen.Load(), u.open)
 	}
 	at, _ = u.try(patience)
-	if at.begin(nil); !at.begun {
+	if at.beginWrite(nil); !at.writeBegun {
 		t.Fatal("not begun")
 	}
-	if at.withdraw(); at.cancelled || !at.leave() {
+	if at.withdraw(); at.cancelled || !at.detach() {
 		t.Error("withdrawn though it may have been written")
 	}
 }
@@ -316,11 +316,11 @@
 	}
 	defer ln.Close()
 	u := pool(ln.Addr().String())
-	u.dial.Control = func(_, _ string, raw syscall.RawConn) error {
+	u.dialer.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4<<10) })
 	}
 	now := u.clock.now()
-	at := &attempt{server: 1, sent: now, deadline: now + patience, writeBy: now + 100*time.Millisecond}
+	at := &attempt{server: 1, startedAt: now, deadline: now + patience, writeDeadline: now + 100*time.Millisecond}
 	req := &clientRequest{method: []byte("POST"), target: []byte("/loan"), body: make([]byte, 8<<20)} // nobody reads it
 	if r := u.do(at, req); r.code != policy.ConnectFailed || u.clock.now() >= at.deadline {
 		t.Errorf("code %d after %v", r.code, u.clock.now()-now)
@@ -331,7 +331,7 @@
 	c.ID = 1
 	l.calls[1] = c
 	l.send(policy.Send{ID: 1, Server: 1})
-	if got := (<-c.cmd).attempt.writeBy; got > now+time.Second-answerMargin {
+	if got := (<-c.cmd).attempt.writeDeadline; got > now+time.Second-answerMargin {
 		t.Errorf("may be written up to %v behind the first, of a window of 1s", got-now)
 	}
 }
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -40,7 +40,7 @@
 }
 
 // callsFor returns the limit on concurrent calls to discovery with n descriptors.
-func callsFor(n int) int { return min(maxCalls, max(minCalls, n/descriptorsPerCall)) }
+func callsFor(n int) int { return min(maxDiscoveryCalls, max(minCalls, n/descriptorsPerCall)) }
 
 // parts divides n descriptors between clients and servers. Each gets at least one.
 func parts(n int) (clients, servers int) {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -112,7 +112,7 @@
 // change can be heard, whatever moment an outage, a silent watch or two in a row begin at,
 // and with graces long and short. All is in simulated time.
 func TestChangesAreHeardWithinTheGrace(t *testing.T) {
-	const way = graceMargin // what sending, the loop and the last write may take
+	const way = drainGraceMargin // what sending, the loop and the last write may take
 	type day struct {
 		name string
 		play func(a *agent, from time.Duration) (toldBy time.Duration) // since the play's begin
@@ -175,7 +175,7 @@
 			heard <- word{l.Rev, time.Now()}
 		}
 	})
-	d.http.Transport.(*http.Transport).DialContext = network.DialContext
+	d.client.Transport.(*http.Transport).DialContext = network.DialContext
 	ctx, end := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { d.run(ctx); close(done) }()
@@ -217,7 +217,7 @@
 			began := time.Now()
 			f := &config.File{Discovery: "agent", DrainGrace: 2 * time.Second, Settings: policy.Settings{MustAsk: ask}}
 			d := newDiscovery(f, func(*serverList, policy.MembersKind) { told <- time.Now() })
-			d.http.Transport.(*http.Transport).DialContext = network.DialContext
+			d.client.Transport.(*http.Transport).DialContext = network.DialContext
 			ctx, end := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { d.run(ctx); close(done) }()
@@ -227,7 +227,7 @@
 			if past := time.Since(began); past < 3*time.Second || past > 8*time.Second {
 				t.Errorf("asked for %v: the third failure told of after %v", ask, past)
 			}
-			if n := most.Load(); ask && n != 1 || !ask && (n < 2 || n > maxCalls) {
+			if n := most.Load(); ask && n != 1 || !ask && (n < 2 || n > maxDiscoveryCalls) {
 				t.Errorf("asked for %v: %d calls beside one another", ask, n)
 			}
 			end()
@@ -255,7 +255,7 @@
 					heard <- time.Now()
 				}
 			})
-			d.http.Transport.(*http.Transport).DialContext = network.DialContext
+			d.client.Transport.(*http.Transport).DialContext = network.DialContext
 			ctx, end := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { d.run(ctx); close(done) }()
@@ -288,7 +288,7 @@
 		})}
 		go func() { _ = srv.Serve(network) }()
 		d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: time.Second}, func(*serverList, policy.MembersKind) {})
-		d.http.Transport.(*http.Transport).DialContext = network.DialContext
+		d.client.Transport.(*http.Transport).DialContext = network.DialContext
 		ctx, end := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { d.run(ctx); close(done) }()
@@ -379,7 +379,7 @@
 				}
 				heard <- event{l.Rev, kind}
 			})
-			d.http.Transport.(*http.Transport).DialContext = network.DialContext
+			d.client.Transport.(*http.Transport).DialContext = network.DialContext
 			ctx, end := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { d.run(ctx); close(done) }()
--- a/internal/node/duty.go
+++ b/internal/node/duty.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	dutyTerm  = 3 * time.Second  // of a lease; a duty has no holder for about this long after a crash
-	dutyDrift = 0.01             // far above the clock drift of real machines
-	dutyQueue = 64               // messages waiting to be handled; more are dropped, as the network may do
-	dutyLeast = time.Millisecond // between two ticks
+	dutyTerm         = 3 * time.Second  // of a lease; a duty has no holder for about this long after a crash
+	dutyClockDrift   = 0.01             // far above the clock drift of real machines
+	dutyQueueLength  = 64               // messages waiting to be handled; more are dropped
+	minDutyTickDelay = time.Millisecond // between two ticks
 )
 
 // duties manages the leases of the duties that the configuration names. An edge node takes
 // part in a duty only if it is one of its voters.
 type duties struct {
-	clock clock
-	tell  func(to int, data []byte)
-	in    chan dutyMessage
+	clock    clock
+	send     func(to int, data []byte)
+	incoming chan dutyMessage
 
-	mu    sync.Mutex
-	names []string
-	parts map[string]*lease.Duty // by name
-	byID  map[uint32]*lease.Duty // by the digest of the name
+	mu     sync.Mutex
+	names  []string
+	byName map[string]*lease.Duty
+	byID   map[uint32]*lease.Duty // by the digest of the name
 }
 
 // dutyMessage is a received message and the number of the edge node that sent it.
@@ -43,27 +43,27 @@
 	Holder int    // number of the edge node that holds the duty; -1: unknown or none
 }
 
-func newDuties(names []string, me, n int, seed uint64, c clock, tell func(int, []byte)) *duties {
-	d := &duties{clock: c, tell: tell, in: make(chan dutyMessage, dutyQueue), names: names,
-		parts: map[string]*lease.Duty{}, byID: map[uint32]*lease.Duty{}}
+func newDuties(names []string, me, n int, seed uint64, c clock, send func(int, []byte)) *duties {
+	d := &duties{clock: c, send: send, incoming: make(chan dutyMessage, dutyQueueLength), names: names,
+		byName: map[string]*lease.Duty{}, byID: map[uint32]*lease.Duty{}}
 	for _, name := range names {
 		if voters := lease.Voters(name, n); slices.Contains(voters, me) {
-			set := lease.Settings{Name: name, Term: dutyTerm, Drift: dutyDrift}
-			part := lease.New(set, me, voters, seed, c.now(), uint64(time.Now().UnixMilli()))
-			d.parts[name], d.byID[lease.Digest(name)] = part, part
+			settings := lease.Settings{Name: name, Term: dutyTerm, Drift: dutyClockDrift}
+			duty := lease.New(settings, me, voters, seed, c.now(), uint64(time.Now().UnixMilli()))
+			d.byName[name], d.byID[lease.Digest(name)] = duty, duty
 		}
 	}
 	return d
 }
 
-// hear queues a message of the lease protocol. It returns false if the datagram is of another kind.
-func (d *duties) hear(from int, data []byte) bool {
+// receive queues a message of the lease protocol. It returns false if the datagram is of another kind.
+func (d *duties) receive(from int, data []byte) bool {
 	if len(data) == 0 || data[0] != lease.Version {
 		return false
 	}
 	if m, ok := lease.Decode(data); ok {
 		select {
-		case d.in <- dutyMessage{from, m}:
+		case d.incoming <- dutyMessage{from, m}:
 		default:
 		}
 	}
@@ -72,7 +72,7 @@
 
 // run handles messages and timers until ctx is done.
 func (d *duties) run(ctx context.Context) {
-	if len(d.parts) == 0 {
+	if len(d.byName) == 0 {
 		return
 	}
 	t := time.NewTimer(0)
@@ -81,15 +81,15 @@
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-d.in:
+		case m := <-d.incoming:
 			d.mu.Lock()
-			if part := d.byID[m.msg.Duty]; part != nil {
-				d.say(part.Handle(d.clock.now(), m.from, m.msg))
+			if duty := d.byID[m.msg.Duty]; duty != nil {
+				d.sendAll(duty.Handle(d.clock.now(), m.from, m.msg))
 			}
 			d.mu.Unlock()
 		case <-t.C:
 		}
-		t.Reset(max(dutyLeast, d.tick()-d.clock.now()))
+		t.Reset(max(minDutyTickDelay, d.tick()-d.clock.now()))
 	}
 }
 
@@ -99,27 +99,27 @@
 	defer d.mu.Unlock()
 	now := d.clock.now()
 	next = now + dutyTerm
-	for _, part := range d.parts {
-		out, at := part.Tick(now)
-		d.say(out)
-		next = min(next, at)
+	for _, duty := range d.byName {
+		out, due := duty.Tick(now)
+		d.sendAll(out)
+		next = min(next, due)
 	}
 	return next
 }
 
-// say sends messages to other edge nodes.
-func (d *duties) say(out []lease.Out) {
+// sendAll sends messages to other edge nodes.
+func (d *duties) sendAll(out []lease.Out) {
 	for _, o := range out {
-		d.tell(o.To, o.Msg.Append(nil))
+		d.send(o.To, o.Msg.Append(nil))
 	}
 }
 
-// leave releases the duties held here, so that another edge node can acquire them at once.
-func (d *duties) leave() {
+// releaseAll releases the duties held here, so that another edge node can acquire them at once.
+func (d *duties) releaseAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, part := range d.parts {
-		d.say(part.Leave(d.clock.now()))
+	for _, duty := range d.byName {
+		d.sendAll(duty.Leave(d.clock.now()))
 	}
 }
 
@@ -130,9 +130,9 @@
 	now := d.clock.now()
 	for _, name := range d.names {
 		s := DutyStatus{Name: name, Holder: -1}
-		if part := d.parts[name]; part != nil {
-			s.Voter, s.Holder = true, part.Holder(now)
-			s.Token, _ = part.Holds(now)
+		if duty := d.byName[name]; duty != nil {
+			s.Voter, s.Holder = true, duty.Holder(now)
+			s.Token, _ = duty.Holds(now)
 		}
 		list = append(list, s)
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -98,10 +98,10 @@
 	onApply func(gen *config.Generation) // applies its limits outside the loop
 	reread  func(c *call) error          // parses a request again with the generation in force
 
-	hasty       bool          // set by giveUp
-	ended       bool          // policy has completed its shutdown
-	keep        *keeper       // nil: no snapshots are written
-	over        chan struct{} // closed when run returns
+	hasty       bool            // set by giveUp
+	ended       bool            // policy has completed its shutdown
+	keep        *snapshotWriter // nil: no snapshots are written
+	over        chan struct{}   // closed when run returns
 	events      chan any
 	nextID      policy.RequestID
 	calls       map[policy.RequestID]*call
@@ -145,7 +145,7 @@
 		}
 		if l.fire(); l.ended {
 			if l.keep != nil {
-				l.keep.writer.Offer(l.keep.state(l, true))
+				l.keep.writer.Offer(l.keep.nextState(l, true))
 			}
 			return
 		}
@@ -185,10 +185,10 @@
 		l.end(ev)
 	case policy.PeerMessage:
 		l.decide(ev)
-	case members:
+	case listUpdate:
 		l.members(ev)
 	case barrier:
-		close(ev.taken)
+		close(ev.done)
 	case apply:
 		l.apply(ev)
 	case policy.Restore:
@@ -199,8 +199,8 @@
 		}
 	case giveUp:
 		l.hasty = bool(ev)
-	case capture:
-		if st := l.keep.state(l, false); st != nil {
+	case captureState:
+		if st := l.keep.nextState(l, false); st != nil {
 			l.keep.writer.Offer(st)
 		}
 	}
@@ -253,22 +253,22 @@
 // response to the client.
 func (l *loop) end(o outcome) {
 	c, ev := o.c, policy.Outcome{ID: o.a.id, Attempt: o.a.num, Server: o.a.server, Code: o.code,
-		Latency: l.clock.now() - o.a.sent, Load: o.load}
+		Latency: l.clock.now() - o.a.startedAt, Load: o.load}
 	c.out = nil
 	switch {
 	case o.a.num > 0:
-	case o.a.left:
+	case o.a.clientDisconnected:
 		l.disconnects.writing.Add(1)
-	case o.a.unseen:
+	case o.a.disconnectHidden:
 		l.disconnects.hidden.Add(1)
 	}
 	if c.ranAt == 0 && !o.code.NeverRan() {
-		c.ranAt = o.a.sent
+		c.ranAt = o.a.startedAt
 	}
 	switch {
 	case o.code == policy.OK:
 		l.forget(c)
-	case o.unfit && c.final == nil:
+	case o.badRequest && c.final == nil:
 		l.answer(c, command{bad: statusBadRequest})
 	case c.final != nil:
 		l.answer(c, *c.final)
@@ -291,7 +291,7 @@
 // server would not stop working on it either.
 func (l *loop) look() {
 	for id, c := range l.calls {
-		if c.client == nil || !c.client.gone() {
+		if c.client == nil || !c.client.disconnected() {
 			continue
 		}
 		if c.out == nil {
@@ -344,9 +344,9 @@
 }
 
 // members handles a list of servers, changes to it, or a failed call to discovery.
-func (l *loop) members(m members) {
-	if m.taken != nil {
-		defer close(m.taken)
+func (l *loop) members(m listUpdate) {
+	if m.done != nil {
+		defer close(m.done)
 	}
 	if m.list == nil {
 		if l.mustAsk {
@@ -357,16 +357,16 @@
 		}
 		return
 	}
-	l.up.list.SetPartial(m.more)
+	l.up.directory.SetPartial(m.more)
 	if l.keep != nil && !m.more {
-		l.keep.news = true
+		l.keep.listChanged = true
 	}
 	l.up.update(m.list, m.kind != policy.Changes)
 	if len(m.list.Targets) > 0 || m.kind != policy.Changes {
 		l.decide(policy.Members{Kind: m.kind, Servers: servers(m.list.Targets)})
 	}
 	if !m.more && l.onList != nil {
-		l.onList(m.whole)
+		l.onList(m.listKind)
 	}
 }
 
@@ -433,16 +433,16 @@
 		l.queue = append(l.queue, moot)
 		return
 	}
-	a := &attempt{id: s.ID, num: c.attempts - 1, server: s.Server, sent: now, deadline: c.due}
+	a := &attempt{id: s.ID, num: c.attempts - 1, server: s.Server, startedAt: now, deadline: c.due}
 	if c.client != nil {
 		a.client = c.client
 	}
 	if s.Timeout > 0 {
 		a.deadline = min(a.deadline, now+s.Timeout)
 	}
-	a.writeBy = a.deadline
+	a.writeDeadline = a.deadline
 	if c.ranAt > 0 && c.class.Effect == policy.Keyed {
-		a.writeBy = min(a.writeBy, c.ranAt+c.class.Window-answerMargin) // network delay
+		a.writeDeadline = min(a.writeDeadline, c.ranAt+c.class.Window-answerMargin) // network delay
 	}
 	c.out = a
 	c.cmd <- command{attempt: a}
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -22,13 +22,13 @@
 
 // fed hands a list to a loop that the test runs by hand, with another event posted behind
 // each part, and returns the parts and how often the other event came between them.
-func fed(t *testing.T, l *loop, list *serverList, kind policy.MembersKind) (got []members, between int) {
+func fed(t *testing.T, l *loop, list *serverList, kind policy.MembersKind) (got []listUpdate, between int) {
 	t.Helper()
 	done := make(chan struct{})
-	go func() { l.feed(list, kind); close(done) }()
+	go func() { l.postList(list, kind); close(done) }()
 	take := func(ev any) {
 		switch ev := ev.(type) {
-		case members:
+		case listUpdate:
 			got = append(got, ev)
 			l.events <- giveUp(false)
 		case giveUp:
@@ -100,7 +100,7 @@
 		lines := 0
 		for i, part := range got {
 			lines += len(part.list.Targets)
-			if want := policy.Changes; i > 0 && part.kind != want || i == 0 && part.kind != c.first || len(part.list.Targets) > partLines ||
+			if want := policy.Changes; i > 0 && part.kind != want || i == 0 && part.kind != c.first || len(part.list.Targets) > maxPartLines ||
 				part.more != (i < len(got)-1) {
 				t.Errorf("%s: part %d of %d: kind %v, %d lines, more %v", c.name, i, len(got), part.kind, len(part.list.Targets), part.more)
 			}
@@ -113,12 +113,12 @@
 		}
 		running := 0
 		for id := range policy.ServerID(servers) {
-			if e, listed := n.up.list.Find(id + 1); listed && e.State == policy.Running {
+			if e, listed := n.up.directory.Find(id + 1); listed && e.State == policy.Running {
 				running++
 			}
 		}
-		if n.up.list.Len() != c.listed || running != c.running {
-			t.Errorf("%s: %d listed and %d running, want %d and %d", c.name, n.up.list.Len(), running, c.listed, c.running)
+		if n.up.directory.Len() != c.listed || running != c.running {
+			t.Errorf("%s: %d listed and %d running, want %d and %d", c.name, n.up.directory.Len(), running, c.listed, c.running)
 		}
 	}
 }
@@ -131,18 +131,18 @@
 	}
 	defer n.end()
 	defer n.listener.Close()
-	list := largeFleet(2*largeList, 1)
+	list := largeFleet(2*maxUnsplitLines, 1)
 	last := &list.Targets[len(list.Targets)-1]
 	last.State = roster.Gone
 	got, _ := fed(t, n.loop, list, policy.Changes)
 	if got[0].list.Targets[0].State != roster.Gone {
 		t.Error("a server that is gone is told of last")
 	}
-	list = largeFleet(2*largeList, 1)
+	list = largeFleet(2*maxUnsplitLines, 1)
 	list.Twice = roster.ErrTwice
 	list.Targets[len(list.Targets)-1] = target{UID: list.Targets[0].UID, State: roster.Gone}
 	fed(t, n.loop, list, policy.Changes)
-	if _, listed := n.up.list.Find(1); listed {
+	if _, listed := n.up.directory.Find(1); listed {
 		t.Error("of two lines of a server the first counts")
 	}
 }
@@ -156,7 +156,7 @@
 	defer n.end()
 	defer n.listener.Close()
 	for _, kind := range []policy.MembersKind{policy.Whole, policy.Changes, policy.Whole} {
-		list := largeFleet(largeList, 3)
+		list := largeFleet(maxUnsplitLines, 3)
 		got, _ := fed(t, n.loop, list, kind)
 		if len(got) != 1 || got[0].kind != kind || got[0].list != list || got[0].more {
 			t.Errorf("%v: %d events, the first %+v", kind, len(got), got[0].kind)
--- a/internal/node/message_test.go
+++ b/internal/node/message_test.go
@@ -65,14 +65,14 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		// Not through upConn.Read, which sets deadlines on a socket.
-		c := upConn{in: stream{src: bytes.NewReader(data)}}
-		status, body, framed, err := c.answer()
+		// Not through upstreamConn.Read, which sets deadlines on a socket.
+		c := upstreamConn{input: stream{src: bytes.NewReader(data)}}
+		status, body, framed, err := c.readResponse()
 		if err != nil || !framed {
 			return
 		}
 		br := bufio.NewReader(bytes.NewReader(data))
-		for range maxInterim + 1 {
+		for range maxInterimResponses + 1 {
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil {
 				t.Fatalf("taken here, elsewhere: %v", err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,8 +35,8 @@
 	changing sync.Mutex   // held while a new generation is checked and applied
 	history  *config.History
 	kept     *Kept
-	keep     *keeper // nil: no snapshots are written
-	duties   *duties // nil: the configuration names none
+	keep     *snapshotWriter // nil: no snapshots are written
+	duties   *duties         // nil: the configuration names none
 	status   atomic.Pointer[Status]
 	ctx      context.Context // cancelled when Run returns
 	end      context.CancelFunc
@@ -61,7 +61,7 @@
 	clk := clock{time.Now()}
 	up := newUpstream(clk, roster.NewDirectory(), cfg.Settings.ReportNames)
 	clients, servers := descriptors(cfg)
-	up.limit(cfg, servers)
+	up.applyConfig(cfg, servers)
 	n := &Node{cfg: cfg, history: h, kept: kept, stay: make(chan chan error), up: up,
 		loop: newLoop(clk, g, up)}
 	n.ctx, n.end = context.WithCancel(context.Background())
@@ -86,7 +86,7 @@
 	free := time.Now().Add(addressWait)
 	if cfg.Settings.CanTell {
 		hear := func(from int, data []byte) {
-			if n.duties != nil && n.duties.hear(from, data) {
+			if n.duties != nil && n.duties.receive(from, data) {
 				return
 			}
 			select {
@@ -101,19 +101,19 @@
 		if err != nil {
 			return nil, err
 		}
-		n.loop.tell = n.peers.tell
+		n.loop.tell = n.peers.send
 		if len(cfg.Duties) > 0 {
 			n.duties = newDuties(cfg.Duties, cfg.Settings.Me, cfg.Settings.Gateways, cfg.Seed, clk,
-				n.peers.tell)
+				n.peers.send)
 		}
 	}
 	if err := patiently(free, n.listen); err != nil {
 		n.closePeers()
 		return nil, err
 	}
-	n.disc = newDiscovery(cfg, n.loop.feed)
+	n.disc = newDiscovery(cfg, n.loop.postList)
 	if kept != nil {
-		n.keep = newKeeper(kept.Store, up.list, n.status.Load)
+		n.keep = newSnapshotWriter(kept.Store, up.directory, n.status.Load)
 		n.loop.keep = n.keep
 	}
 	return n, nil
@@ -139,7 +139,7 @@
 	}
 	fresh := n.restore(n.kept)
 	if n.server.ready.Store(fresh); n.keep != nil {
-		go every(ctx, keepLook, n.look)
+		go every(ctx, snapshotCheckInterval, n.requestSnapshot)
 	}
 	go n.loop.run(ctx.Done())
 	go n.disc.run(ctx)
@@ -149,8 +149,8 @@
 		if n.duties != nil {
 			go n.duties.run(ctx)
 		}
-		go n.peers.send(ctx.Done())
-		go n.peers.receive()
+		go n.peers.sendLoop(ctx.Done())
+		go n.peers.receiveLoop()
 	}
 	if err := n.serve(term); err != nil {
 		return err
@@ -158,19 +158,19 @@
 	n.loop.post(shutdown{})
 	select {
 	case <-n.loop.over:
-	case <-time.After(stopHand):
+	case <-time.After(shutdownHandoverTimeout):
 		slog.Warn("counts were not handed to other edge nodes in time")
 		n.loop.post(shutdown{now: true})
 		<-n.loop.over
 	}
 	if n.duties != nil {
-		n.duties.leave()
+		n.duties.releaseAll()
 	}
 	if n.peers != nil {
 		n.peers.flush()
 	}
 	if n.keep != nil {
-		n.keepLast()
+		n.writeLastSnapshot()
 	}
 	return nil
 }
@@ -183,28 +183,28 @@
 		go func() { served <- n.server.serve(ln) }()
 	}
 	accept()
-	poll := time.NewTicker(stopPoll)
+	poll := time.NewTicker(shutdownPollInterval)
 	defer poll.Stop()
 	poll.Stop() // runs only during a shutdown
 	var d shutdownState
-	var s steps
-	for !s.end {
-		s = steps{}
+	var s shutdownActions
+	for !s.done {
+		s = shutdownActions{}
 		select {
 		case err := <-served:
 			return fmt.Errorf("serve: %w", cmp.Or(err, net.ErrClosed)) // not caused by a shutdown
 		case <-term:
 			was := d.phase
-			if s = d.signal(n.loop.clock.now()); s.giveUp {
+			if s = d.signal(n.loop.clock.now()); s.refuseWaiting {
 				slog.Info("shutdown shortened by a second signal")
 			}
 			if was == phaseServing { // only at the first signal: later ones must not delay the poll
 				slog.Info("shutdown begins")
-				poll.Reset(stopPoll)
+				poll.Reset(shutdownPollInterval)
 			}
 		case back := <-n.stay:
-			shut := d.phase == finishing
-			err := d.callOff()
+			shut := d.phase == phaseFinishing
+			err := d.cancel()
 			if err == nil && shut {
 				if err = n.listen(); err != nil { // another process has taken the address
 					d.signal(n.loop.clock.now())
@@ -225,21 +225,21 @@
 			s = d.step(n.loop.clock.now(), open, quiet)
 		}
 		// SetDeadline fails when the listener is closed already and could not be opened again.
-		if s.shutListener && n.listener.SetDeadline(time.Unix(1, 0)) == nil {
+		if s.closeListener && n.listener.SetDeadline(time.Unix(1, 0)) == nil {
 			if err := <-served; err != nil {
 				return fmt.Errorf("serve: %w", err)
 			}
 		}
 		n.enter(d.phase)
-		if s.giveUp {
+		if s.refuseWaiting {
 			n.loop.post(giveUp(true))
 		}
-		if s.shutIdle {
-			n.server.shutIdle(stopQuiet)
+		if s.closeIdle {
+			n.server.shutIdle(shutdownQuietTime)
 		}
 	}
 	if open, _ := n.server.state(); open > 0 {
-		return fmt.Errorf("shutdown: %d %w", open, ErrUnanswered)
+		return fmt.Errorf("shutdown: %d %w", open, ErrOpenConnections)
 	}
 	return nil
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -140,7 +140,7 @@
 	cc := &clientConn{Conn: conn}
 	cc.readAhead.await()
 	held, out := &call{client: cc, cmd: make(chan command, 1)}, &call{client: cc, cmd: make(chan command, 1)}
-	held.ID, out.ID, out.out = 1, 2, &attempt{id: 2, begun: true}
+	held.ID, out.ID, out.out = 1, 2, &attempt{id: 2, writeBegun: true}
 	held.due, out.due = l.clock.now()+time.Hour, l.clock.now()+time.Hour
 	l.calls[1], l.calls[2] = held, out
 	l.look()
@@ -683,23 +683,23 @@
 	done := make(chan struct{})
 	defer close(done)
 	defer p.conn.Close()
-	go p.receive()
-	go p.send(done)
+	go p.receiveLoop()
+	go p.sendLoop(done)
 	me := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	for _, d := range []struct {
 		c    *net.UDPConn
 		text string
-	}{{stranger, "hello"}, {peer, strings.Repeat("x", maxDatagram+1)}, {peer, strings.Repeat("y", maxDatagram)}} {
+	}{{stranger, "hello"}, {peer, strings.Repeat("x", maxDatagramBytes+1)}, {peer, strings.Repeat("y", maxDatagramBytes)}} {
 		if _, err := d.c.WriteToUDPAddrPort([]byte(d.text), me); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if m := <-heard; m.from != 0 || m.text != strings.Repeat("y", maxDatagram) {
+	if m := <-heard; m.from != 0 || m.text != strings.Repeat("y", maxDatagramBytes) {
 		t.Errorf("heard %d bytes of %d", len(m.text), m.from)
 	}
-	p.tell(0, make([]byte, maxDatagram+1)) // voids a run: must not go out
-	p.tell(5, []byte("nobody"))
-	p.tell(-1, []byte("all"))
+	p.send(0, make([]byte, maxDatagramBytes+1)) // voids a run: must not go out
+	p.send(5, []byte("nobody"))
+	p.send(-1, []byte("all"))
 	_ = peer.SetReadDeadline(time.Now().Add(patience))
 	buf := make([]byte, 1000)
 	if n, err := peer.Read(buf); err != nil || string(buf[:n]) != "all" {
--- a/internal/node/overbooked_test.go
+++ b/internal/node/overbooked_test.go
@@ -163,7 +163,7 @@
 		h := &hearing{}
 		f.list = append(f.list, h)
 		d := newDiscovery(file, h.heard)
-		d.http.Transport.(*http.Transport).DialContext = network.DialContext
+		d.client.Transport.(*http.Transport).DialContext = network.DialContext
 		begin := time.Duration(f.rng.Int64N(int64(100 * time.Millisecond)))
 		f.all.Go(func() {
 			time.Sleep(begin)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -10,31 +10,30 @@
 )
 
 const (
-	maxDatagram = 256 // bytes
-	peerQueue   = 256 // datagrams waiting to be sent; more are dropped
-	maxFlush    = 100 * time.Millisecond
+	maxDatagramBytes = 256 // bytes
+	peerQueueLength  = 256 // datagrams waiting to be sent; more are dropped
+	flushTimeout     = 100 * time.Millisecond
 )
 
 // peers exchanges datagrams with the other edge nodes.
 type peers struct {
-	conn *net.UDPConn
-	to   []netip.AddrPort // by number of the edge node
-	all  netip.AddrPort   // one address that reaches all edge nodes; invalid: there is none
-	out  chan datagram
-	hear func(from int, data []byte) // receives datagrams; data is its own copy
+	conn          *net.UDPConn
+	addrs         []netip.AddrPort // by number of the edge node
+	broadcastAddr netip.AddrPort   // one address that reaches all edge nodes; invalid: there is none
+	outgoing      chan datagram
+	onMessage     func(from int, data []byte) // receives datagrams; data is its own copy
 }
 
-// datagram is a queued message, or a marker for flush if sent is set.
+// datagram is a queued message, or a marker of flush if flushed is set.
 type datagram struct {
-	to   netip.AddrPort
-	data []byte
-	sent chan struct{} // closed once all datagrams queued before are sent
+	to      netip.AddrPort
+	data    []byte
+	flushed chan struct{} // closed once all datagrams queued before are sent
 }
 
 // listenPeers opens the UDP socket for datagrams of the other edge nodes.
-func listenPeers(
-	listen string, to []netip.AddrPort, all netip.AddrPort, hear func(int, []byte),
-) (*peers, error) {
+func listenPeers(listen string, addrs []netip.AddrPort, broadcastAddr netip.AddrPort,
+	onMessage func(int, []byte)) (*peers, error) {
 	addr, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
@@ -43,58 +42,59 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return &peers{conn: conn, to: to, all: all, out: make(chan datagram, peerQueue), hear: hear}, nil
+	return &peers{conn: conn, addrs: addrs, broadcastAddr: broadcastAddr,
+		outgoing: make(chan datagram, peerQueueLength), onMessage: onMessage}, nil
 }
 
-// tell queues a message to one edge node, or to all if the number is negative. It
+// send queues a message to one edge node, or to all if the number is negative. It
 // never blocks: when the queue is full it drops the message, as the network may.
-func (p *peers) tell(to int, data []byte) {
+func (p *peers) send(to int, data []byte) {
 	switch {
-	case len(data) > maxDatagram || to >= len(p.to):
+	case len(data) > maxDatagramBytes || to >= len(p.addrs):
 		slog.Error("message to a peer dropped", "to", to, "bytes", len(data))
 	case to >= 0:
-		p.queue(p.to[to], data)
-	case p.all.IsValid():
-		p.queue(p.all, data)
+		p.enqueue(p.addrs[to], data)
+	case p.broadcastAddr.IsValid():
+		p.enqueue(p.broadcastAddr, data)
 	default:
-		for _, a := range p.to {
-			p.queue(a, data)
+		for _, a := range p.addrs {
+			p.enqueue(a, data)
 		}
 	}
 }
 
-// queue adds a datagram to the queue, or drops it if the queue is full.
-func (p *peers) queue(to netip.AddrPort, data []byte) {
+// enqueue adds a datagram to the queue, or drops it if the queue is full.
+func (p *peers) enqueue(to netip.AddrPort, data []byte) {
 	select {
-	case p.out <- datagram{to: to, data: data}:
+	case p.outgoing <- datagram{to: to, data: data}:
 	default:
 	}
 }
 
-// flush waits until the queued datagrams are sent, for at most maxFlush. A longer wait would
+// flush waits until the queued datagrams are sent, for at most flushTimeout. A longer wait would
 // guarantee nothing: the network may still lose them.
 func (p *peers) flush() {
-	sent, late := make(chan struct{}), time.After(maxFlush)
+	flushed, timeout := make(chan struct{}), time.After(flushTimeout)
 	select {
-	case p.out <- datagram{sent: sent}:
-	case <-late:
+	case p.outgoing <- datagram{flushed: flushed}:
+	case <-timeout:
 		return
 	}
 	select {
-	case <-sent:
-	case <-late:
+	case <-flushed:
+	case <-timeout:
 	}
 }
 
-// send writes queued datagrams to the socket until done is closed.
-func (p *peers) send(done <-chan struct{}) {
+// sendLoop writes queued datagrams to the socket until done is closed.
+func (p *peers) sendLoop(done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
-		case d := <-p.out:
-			if d.sent != nil {
-				close(d.sent)
+		case d := <-p.outgoing:
+			if d.flushed != nil {
+				close(d.flushed)
 				continue
 			}
 			_, _ = p.conn.WriteToUDPAddrPort(d.data, d.to) // equivalent to loss in the network
@@ -102,13 +102,13 @@
 	}
 }
 
-// receive passes datagrams from known edge nodes to hear until the socket is closed.
-func (p *peers) receive() {
-	from := make(map[netip.AddrPort]int, len(p.to))
-	for i, a := range p.to {
-		from[a] = i
+// receiveLoop passes datagrams from known edge nodes to onMessage until the socket is closed.
+func (p *peers) receiveLoop() {
+	numbers := make(map[netip.AddrPort]int, len(p.addrs))
+	for i, a := range p.addrs {
+		numbers[a] = i
 	}
-	buf := make([]byte, maxDatagram+1)
+	buf := make([]byte, maxDatagramBytes+1)
 	for {
 		n, addr, err := p.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -119,9 +119,9 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		num, known := from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
-		if known && n > 0 && n <= maxDatagram {
-			p.hear(num, append([]byte(nil), buf[:n]...))
+		number, known := numbers[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
+		if known && n > 0 && n <= maxDatagramBytes {
+			p.onMessage(number, append([]byte(nil), buf[:n]...))
 		}
 	}
 }
--- a/internal/node/random_test.go
+++ b/internal/node/random_test.go
@@ -192,7 +192,7 @@
 	fds, routines := openFiles(t), runtime.NumGoroutine()
 	n := start(t, cfg)
 	n.up.mu.Lock()
-	n.up.dial.Control = func(string, string, syscall.RawConn) error {
+	n.up.dialer.Control = func(string, string, syscall.RawConn) error {
 		if draw(2) == 0 {
 			time.Sleep(some(time.Second))
 		}
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -72,17 +72,17 @@
 	return cc.Conn.Read(b)
 }
 
-// hidden reports whether a disconnect may go undetected because the read-ahead buffer is full. The kernel
+// disconnectHidden reports whether a disconnect may go undetected because the read-ahead buffer is full. The kernel
 // buffers a limited number of further bytes, and the end of the connection follows all of them.
-func (cc *clientConn) hidden() bool {
+func (cc *clientConn) disconnectHidden() bool {
 	cc.readAhead.mu.Lock()
 	defer cc.readAhead.mu.Unlock()
 	return len(cc.readAhead.buf) >= maxAhead
 }
 
-// gone reports whether the client has closed or reset its connection or shut down sending. It does not
+// disconnected reports whether the client has closed or reset its connection or shut down sending. It does not
 // block and may be called at any time. It returns false after the request has been answered.
-func (cc *clientConn) gone() bool {
+func (cc *clientConn) disconnected() bool {
 	a := &cc.readAhead
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -15,10 +15,10 @@
 
 const (
 	// An unreadable file may be half written: it is read again after this pause.
-	reloadPause = 50 * time.Millisecond
+	reloadRetryDelay = 50 * time.Millisecond
 
 	// Reads of one file.
-	reloadTries = 40
+	maxReloadReads = 40
 )
 
 // Status is the state of an edge node as shown to operators.
@@ -54,9 +54,9 @@
 	s.Ready, s.Phase = n.server.ready.Load() && p == phaseServing, p.String()
 	s.Lag, s.MostLag = n.loop.heartbeat.lag(n.loop.clock.now())
 	s.Looks = n.loop.heartbeat.looks.Load()
-	left := &n.loop.disconnects
-	s.Disconnects = Disconnects{left.held.Load(), left.dialing.Load(),
-		left.writing.Load(), left.hidden.Load()}
+	disconnects := &n.loop.disconnects
+	s.Disconnects = Disconnects{disconnects.held.Load(), disconnects.dialing.Load(),
+		disconnects.writing.Load(), disconnects.hidden.Load()}
 	s.Unsolicited = n.up.unsolicited.load()
 	if n.duties != nil {
 		s.Duties = n.duties.status()
@@ -100,18 +100,18 @@
 // may be half written. If forced, it also applies a file that was rolled back from.
 func (n *Node) readAndApply(ctx context.Context, forced bool) error {
 	for try := 1; ; try++ {
-		err := n.change(ctx, func() (*config.Generation, error) {
+		err := n.changeGeneration(ctx, func() (*config.Generation, error) {
 			return n.history.Offer(time.Now(), forced)
 		})
-		if !errors.Is(err, config.ErrUnreadable) || try == reloadTries || !sleep(ctx, reloadPause) {
+		if !errors.Is(err, config.ErrUnreadable) || try == maxReloadReads || !sleep(ctx, reloadRetryDelay) {
 			return err
 		}
 	}
 }
 
-// change puts the proposed generation in force and returns once the loop has applied it. Changes run
-// one at a time.
-func (n *Node) change(ctx context.Context, propose func() (*config.Generation, error)) error {
+// changeGeneration puts the proposed generation in force and returns once the loop has applied it.
+// Changes run one at a time.
+func (n *Node) changeGeneration(ctx context.Context, propose func() (*config.Generation, error)) error {
 	n.changing.Lock()
 	defer n.changing.Unlock()
 	defer n.publish()
@@ -130,10 +130,10 @@
 	case <-n.ctx.Done():
 		return errEnded
 	}
-	before := n.history.Current()
+	previous := n.history.Current()
 	n.history.Accept(next)
 	slog.Info("new configuration in force", "generation", next.Number, "digest", next.Digest,
-		"before", before.Digest, "discovery", next.File.Discovery)
+		"before", previous.Digest, "discovery", next.File.Discovery)
 	for _, w := range next.File.Warnings {
 		slog.Warn("configuration", "passed over", w)
 	}
@@ -153,16 +153,16 @@
 
 // RollBack puts the previous generation in force. The configuration file is not changed.
 func (n *Node) RollBack(ctx context.Context) error {
-	return n.change(ctx, func() (*config.Generation, error) { return n.history.Back(time.Now()) })
+	return n.changeGeneration(ctx, func() (*config.Generation, error) { return n.history.Back(time.Now()) })
 }
 
 // onApply applies a generation outside the policy module. The loop calls it between two events.
 func (n *Node) onApply(next *config.Generation) {
 	n.server.gen.Store(next)
 	clients, servers := descriptors(next.File)
-	n.up.limit(next.File, servers)
+	n.up.applyConfig(next.File, servers)
 	n.server.keepTo(clients)
-	n.disc.apply(next.File)
+	n.disc.applyConfig(next.File)
 }
 
 // sleep pauses for d. It returns false if ctx was done first.
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -293,7 +293,7 @@
 	testkit.Eventually(t, "the new file in force", func() bool { return n.reloaded(cfg.Path()) })
 	g.set(false, first, second)
 	testkit.Eventually(t, "the second server known", func() bool {
-		return n.up.list.Len() == 2
+		return n.up.directory.Len() == 2
 	})
 	close(hold)
 	for range 2 {
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -152,7 +152,7 @@
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			d, ok := ln.(interface{ SetDeadline(time.Time) error })
-			if last || !ok || d.SetDeadline(time.Now().Add(lastAccept)) != nil {
+			if last || !ok || d.SetDeadline(time.Now().Add(shutdownFinalAccept)) != nil {
 				return ln.Close()
 			}
 			last = true
@@ -226,7 +226,7 @@
 	now := s.clock.now()
 	for cc := range s.conns {
 		age := now - cc.since
-		if !cc.shut && (cc.state == connIdle && age >= least || cc.state == connReading && age >= stopReading) {
+		if !cc.shut && (cc.state == connIdle && age >= least || cc.state == connReading && age >= shutdownReadTimeout) {
 			s.end(cc)
 		}
 	}
--- /dev/null
+++ b/internal/node/shutdown.go
@@ -0,0 +1,110 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"time"
+)
+
+// phase is the progress of a shutdown. An edge node goes through the phases in order. If the shutdown
+// is cancelled in phaseLeaving or phaseFinishing, the edge node returns to phaseServing.
+type phase int
+
+const (
+	phaseServing   phase = iota
+	phaseLeaving         // not ready; the listener stays open because the load balancer still sends requests
+	phaseFinishing       // the listener is closed; accepted requests are being answered
+	phaseStopped
+)
+
+// String returns the name that operators see.
+func (p phase) String() string {
+	return [...]string{"serving", "leaving", "finishing", "stopped"}[p]
+}
+
+// The timing of a shutdown, from the first signal. Clients keep connecting for up to 0.4 s after it.
+const (
+	// Idle connections are closed from now on, while their clients can still connect to the listener.
+	shutdownCloseIdleAfter = 250 * time.Millisecond
+
+	// The listener is open at least this long.
+	shutdownMinAccept = 550 * time.Millisecond
+
+	// The listener is open at most this long, even if clients keep connecting. A request that arrives
+	// later than 0.7 s after the signal may meet SIGKILL before its deadline.
+	shutdownMaxAccept = 700*time.Millisecond - shutdownFinalAccept
+)
+
+// Durations within a shutdown.
+const (
+	shutdownFinalAccept     = 50 * time.Millisecond  // for pending connections; 512 take half of it
+	shutdownQuietTime       = 100 * time.Millisecond // without requests; also for idle connections
+	shutdownReadTimeout     = 2 * time.Second        // limit on a request that is still arriving
+	shutdownTimeout         = 65 * time.Second       // limit on the whole shutdown
+	shutdownPollInterval    = 10 * time.Millisecond  // between two steps
+	shutdownHandoverTimeout = time.Second            // for the counts that others depend on
+)
+
+// shutdownState is a shutdown as a state machine. Its inputs are the time and counts, its outputs are
+// actions.
+type shutdownState struct {
+	phase     phase
+	startedAt time.Duration
+	hastened  bool
+}
+
+// shutdownActions are the actions that a shutdown requires now.
+type shutdownActions struct {
+	closeIdle     bool // close idle connections
+	closeListener bool // accept no further connections
+	refuseWaiting bool // answer the requests that wait for a server; clients may retry them elsewhere
+	done          bool // stop
+}
+
+// signal handles a signal to stop. The first one starts the shutdown. The second one hastens it:
+// the edge node no longer waits for requests that may still arrive, and gives up those that wait for
+// a server.
+func (d *shutdownState) signal(now time.Duration) (s shutdownActions) {
+	switch {
+	case d.phase == phaseServing:
+		d.phase, d.startedAt = phaseLeaving, now
+	case d.phase < phaseStopped && !d.hastened:
+		d.hastened, s.refuseWaiting = true, true
+	}
+	return s
+}
+
+// cancel cancels the shutdown. It returns an error if none is in progress, or if it has completed.
+func (d *shutdownState) cancel() error {
+	if d.phase != phaseLeaving && d.phase != phaseFinishing {
+		return fmt.Errorf("no planned stop to call off: %v", d.phase)
+	}
+	*d = shutdownState{}
+	return nil
+}
+
+// step advances the shutdown. open is the number of open connections, quiet the time since the last
+// request arrived.
+func (d *shutdownState) step(now time.Duration, open int, quiet time.Duration) (s shutdownActions) {
+	elapsed := now - d.startedAt
+	switch d.phase {
+	case phaseLeaving:
+		s.closeIdle = d.hastened || elapsed >= shutdownCloseIdleAfter
+		if (d.hastened || elapsed >= shutdownMinAccept) && quiet >= shutdownQuietTime ||
+			elapsed >= shutdownMaxAccept {
+			d.phase, s.closeListener = phaseFinishing, true
+		}
+	case phaseFinishing: // open already includes the connections accepted while the listener closed
+		s.closeIdle = true
+		if open == 0 && quiet >= shutdownQuietTime {
+			d.phase, s.done = phaseStopped, true
+		}
+	}
+	if d.phase == phaseFinishing && elapsed >= shutdownTimeout {
+		d.phase, s.done = phaseStopped, true
+	}
+	return s
+}
+
+// ErrOpenConnections is the error of a shutdown that reached its time limit.
+var ErrOpenConnections = errors.New("connections were still open")
--- a/internal/node/leave_test.go
+++ b/internal/node/shutdown_test.go
@@ -22,49 +22,49 @@
 		open  int
 		quiet time.Duration
 		want  phase
-		steps steps
+		steps shutdownActions
 	}
 	for name, list := range map[string][]at{
 		"quiet at once": {
-			{now: 0, sig: true, want: leaving},
-			{now: 10 * ms, open: 1, quiet: time.Second, want: leaving},
-			{now: 250 * ms, open: 1, quiet: time.Second, want: leaving, steps: steps{shutIdle: true}},
-			{now: 549 * ms, quiet: time.Second, want: leaving, steps: steps{shutIdle: true}},
-			{now: 550 * ms, quiet: time.Second, want: finishing, steps: steps{shutIdle: true, shutListener: true}},
-			{now: 560 * ms, quiet: time.Second, want: stopped, steps: steps{shutIdle: true, end: true}},
+			{now: 0, sig: true, want: phaseLeaving},
+			{now: 10 * ms, open: 1, quiet: time.Second, want: phaseLeaving},
+			{now: 250 * ms, open: 1, quiet: time.Second, want: phaseLeaving, steps: shutdownActions{closeIdle: true}},
+			{now: 549 * ms, quiet: time.Second, want: phaseLeaving, steps: shutdownActions{closeIdle: true}},
+			{now: 550 * ms, quiet: time.Second, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
+			{now: 560 * ms, quiet: time.Second, want: phaseStopped, steps: shutdownActions{closeIdle: true, done: true}},
 		},
 		"a client goes on": {
-			{now: 0, sig: true, want: leaving},
-			{now: 649 * ms, open: 1, quiet: 99 * ms, want: leaving, steps: steps{shutIdle: true}},
-			{now: 650 * ms, open: 1, quiet: 0, want: finishing, steps: steps{shutIdle: true, shutListener: true}},
-			{now: 7 * time.Second, open: 1, quiet: time.Second, want: finishing, steps: steps{shutIdle: true}},
-			{now: 8 * time.Second, open: 0, quiet: time.Second, want: stopped, steps: steps{shutIdle: true, end: true}},
+			{now: 0, sig: true, want: phaseLeaving},
+			{now: 649 * ms, open: 1, quiet: 99 * ms, want: phaseLeaving, steps: shutdownActions{closeIdle: true}},
+			{now: 650 * ms, open: 1, quiet: 0, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
+			{now: 7 * time.Second, open: 1, quiet: time.Second, want: phaseFinishing, steps: shutdownActions{closeIdle: true}},
+			{now: 8 * time.Second, open: 0, quiet: time.Second, want: phaseStopped, steps: shutdownActions{closeIdle: true, done: true}},
 		},
 		"hastened": {
-			{now: 0, sig: true, want: leaving},
-			{now: 20 * ms, sig: true, want: leaving, steps: steps{giveUp: true}},
-			{now: 30 * ms, open: 1, quiet: 50 * ms, want: leaving, steps: steps{shutIdle: true}},
-			{now: 40 * ms, sig: true, want: leaving},
-			{now: 100 * ms, open: 1, quiet: 100 * ms, want: finishing, steps: steps{shutIdle: true, shutListener: true}},
-			{now: 110 * ms, open: 0, quiet: 110 * ms, want: stopped, steps: steps{shutIdle: true, end: true}},
+			{now: 0, sig: true, want: phaseLeaving},
+			{now: 20 * ms, sig: true, want: phaseLeaving, steps: shutdownActions{refuseWaiting: true}},
+			{now: 30 * ms, open: 1, quiet: 50 * ms, want: phaseLeaving, steps: shutdownActions{closeIdle: true}},
+			{now: 40 * ms, sig: true, want: phaseLeaving},
+			{now: 100 * ms, open: 1, quiet: 100 * ms, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
+			{now: 110 * ms, open: 0, quiet: 110 * ms, want: phaseStopped, steps: shutdownActions{closeIdle: true, done: true}},
 		},
 		"quiet soon after": {
-			{now: 0, sig: true, want: leaving},
-			{now: 600 * ms, open: 1, quiet: 100 * ms, want: finishing, steps: steps{shutIdle: true, shutListener: true}},
+			{now: 0, sig: true, want: phaseLeaving},
+			{now: 600 * ms, open: 1, quiet: 100 * ms, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
 		},
 		"never quiet": {
-			{now: 0, sig: true, want: leaving},
-			{now: stopMost, open: 2, quiet: 0, want: stopped, steps: steps{shutIdle: true, shutListener: true, end: true}},
+			{now: 0, sig: true, want: phaseLeaving},
+			{now: shutdownTimeout, open: 2, quiet: 0, want: phaseStopped, steps: shutdownActions{closeIdle: true, closeListener: true, done: true}},
 		},
 		"never answered": {
-			{now: 0, sig: true, want: leaving},
-			{now: time.Second, open: 2, quiet: time.Second, want: finishing, steps: steps{shutIdle: true, shutListener: true}},
-			{now: stopMost, open: 2, quiet: time.Second, want: stopped, steps: steps{shutIdle: true, end: true}},
+			{now: 0, sig: true, want: phaseLeaving},
+			{now: time.Second, open: 2, quiet: time.Second, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
+			{now: shutdownTimeout, open: 2, quiet: time.Second, want: phaseStopped, steps: shutdownActions{closeIdle: true, done: true}},
 		},
 	} {
 		var d shutdownState
 		for i, a := range list {
-			var got steps
+			var got shutdownActions
 			if a.sig {
 				got = d.signal(a.now)
 			} else {
@@ -79,19 +79,19 @@
 
 func TestCallOff(t *testing.T) {
 	var d shutdownState
-	if d.callOff() == nil {
+	if d.cancel() == nil {
 		t.Error("called off what had not begun")
 	}
 	d.signal(time.Second)
 	d.signal(time.Second)
-	if err := d.callOff(); err != nil || d != (shutdownState{}) {
+	if err := d.cancel(); err != nil || d != (shutdownState{}) {
 		t.Errorf("%v, %+v", err, d)
 	}
 	d.signal(time.Minute) // begins anew, and hastens nothing
-	if d.phase != leaving || d.hastened || d.began != time.Minute {
+	if d.phase != phaseLeaving || d.hastened || d.startedAt != time.Minute {
 		t.Errorf("%+v", d)
 	}
-	if d.step(2*time.Minute+stopMost, 0, time.Hour); d.phase != stopped || d.callOff() == nil {
+	if d.step(2*time.Minute+shutdownTimeout, 0, time.Hour); d.phase != phaseStopped || d.cancel() == nil {
 		t.Errorf("%+v called off", d)
 	}
 }
@@ -138,10 +138,10 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	for _, p := range []phase{leaving, finishing} {
+	for _, p := range []phase{phaseLeaving, phaseFinishing} {
 		n.stop()
 		testkit.Eventually(t, p.String(), phaseIs(p))
-		if p == leaving && ready() != 503 {
+		if p == phaseLeaving && ready() != 503 {
 			t.Error("ready though it leaves")
 		}
 		if err := n.Stay(t.Context()); err != nil {
@@ -196,7 +196,7 @@
 		})
 	}
 	n.stop()
-	testkit.Eventually(t, "the stop", func() bool { return n.Status().Phase == leaving.String() })
+	testkit.Eventually(t, "the stop", func() bool { return n.Status().Phase == phaseLeaving.String() })
 	n.stop()
 	var s string
 	testkit.Eventually(t, "what is held given up", func() bool {
@@ -237,7 +237,7 @@
 	}()
 	testkit.Eventually(t, "the request out", func() bool { return a.seen.Load() == 1 })
 	n.stop()
-	testkit.Eventually(t, "the listener closed", func() bool { return n.Status().Phase == finishing.String() })
+	testkit.Eventually(t, "the listener closed", func() bool { return n.Status().Phase == phaseFinishing.String() })
 	other, err := net.Listen("tcp", cfg.Current().File.Listen)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/keep_test.go
+++ b/internal/node/snapshots_test.go
@@ -176,7 +176,7 @@
 // and so are a server's faults.
 func TestOldPiecesArePassedOver(t *testing.T) {
 	long := snapshot.Now()
-	long.Wall = long.Wall.Add(-2 * keptList)
+	long.Wall = long.Wall.Add(-2 * maxListAge)
 	a, b := newApp(t, answer("200 OK", "", "a")), newApp(t, answer("200 OK", "", "b"))
 	older := &serverList{Rev: 3, Targets: []target{serving("s-00000001", a.addr())}}
 	newer := &serverList{Rev: 4, Targets: []target{serving("s-00000002", b.addr())}}
@@ -231,14 +231,14 @@
 func TestDutiesOnlyWhereNamed(t *testing.T) {
 	var told int
 	d := newDuties([]string{"a", "b"}, 0, 1, 1, clock{time.Now()}, func(int, []byte) { told++ })
-	if !d.hear(0, []byte{lease.Version, 1, 2}) || d.hear(0, []byte{3, 0}) || d.hear(0, nil) || len(d.in) != 0 {
+	if !d.receive(0, []byte{lease.Version, 1, 2}) || d.receive(0, []byte{3, 0}) || d.receive(0, nil) || len(d.incoming) != 0 {
 		t.Error("garbage was taken for a message, or a message for garbage")
 	}
-	for range 2 * dutyQueue {
-		d.hear(0, lease.Message{Kind: lease.Prepare, Duty: lease.Digest("a"), Ballot: 1 << 40}.Append(nil))
+	for range 2 * dutyQueueLength {
+		d.receive(0, lease.Message{Kind: lease.Prepare, Duty: lease.Digest("a"), Ballot: 1 << 40}.Append(nil))
 	}
-	if len(d.in) != dutyQueue {
-		t.Errorf("%d messages wait", len(d.in))
+	if len(d.incoming) != dutyQueueLength {
+		t.Errorf("%d messages wait", len(d.incoming))
 	}
 	if s := d.status(); len(s) != 2 || !s[0].Voter || s[0].Token != 0 || told != 0 {
 		t.Errorf("%+v, told %d times", s, told)
@@ -258,16 +258,16 @@
 	}
 	defer n.end()
 	defer n.listener.Close()
-	n.loop.handle(members{list: largeFleet(3, 1), kind: policy.Whole, whole: policy.Whole})
+	n.loop.handle(listUpdate{list: largeFleet(3, 1), kind: policy.Whole, listKind: policy.Whole})
 	n.loop.handle(policy.Restore{Memory: policy.Memory{Servers: []policy.ServerMemory{{ID: 2, Slow: 2, Pace: 2}}}})
-	st := n.keep.state(n.loop, false)
+	st := n.keep.nextState(n.loop, false)
 	if st == nil || len(st.Memory.Servers) != 1 || st.Memory.Servers[0].ID != 2 {
 		t.Fatalf("%+v", st)
 	}
 	if l, err := roster.ParseBinary(st.Lines()); err != nil || len(l.Targets) != 3 {
 		t.Errorf("%+v, %v", l, err)
 	}
-	if n.keep.state(n.loop, false) != nil {
+	if n.keep.nextState(n.loop, false) != nil {
 		t.Error("kept again at once, though nothing has changed")
 	}
 }
--- a/internal/node/stray_answer_test.go
+++ b/internal/node/stray_answer_test.go
@@ -137,7 +137,7 @@
 func strayTrial(t *testing.T, u *upstream, server *strayServer, rng *rand.Rand) (before bool, r result, body string) {
 	const spread = 300 * time.Microsecond
 	u.update(&serverList{}, true) // closes what earlier trials left
-	u.reuse = reusePauses{}       // each trial is to be the server's first
+	u.reusePauses = reusePauses{} // each trial is to be the server's first
 	for len(server.conn) > 0 {
 		<-server.conn
 	}
--- a/internal/node/unsolicited.go
+++ b/internal/node/unsolicited.go
@@ -43,7 +43,7 @@
 
 // queues returns the lengths of the socket's buffers; known is false if the operating system
 // doesn't report them.
-func (c *upConn) queues() (q socketQueues, known bool) {
+func (c *upstreamConn) queues() (q socketQueues, known bool) {
 	err := c.control(func(fd int) (err error) {
 		if q.unacknowledged, err = unix.IoctlGetInt(fd, unix.SIOCOUTQ); err == nil {
 			q.unread, err = unix.IoctlGetInt(fd, unix.SIOCINQ)
@@ -54,7 +54,7 @@
 }
 
 // control runs a system call on the connection's file descriptor.
-func (c *upConn) control(call func(fd int) error) error {
+func (c *upstreamConn) control(call func(fd int) error) error {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return errors.ErrUnsupported
@@ -74,12 +74,12 @@
 // request. A server can't respond to a request before it has received the first byte, and the
 // acknowledgment of that byte arrives no later than the response. Bytes that arrive while the whole
 // request is unacknowledged therefore belong to something else.
-func (c *upConn) checkFirstBytes(request int) error {
+func (c *upstreamConn) checkFirstBytes(requestLength int) error {
 	q, known := c.queues()
 	switch {
 	case !known:
 		c.counts.unchecked.Add(1)
-	case q.unacknowledged >= request:
+	case q.unacknowledged >= requestLength:
 		c.counts.answer.Add(1)
 		c.unsolicited = true
 		return errUnsolicited
@@ -89,22 +89,22 @@
 }
 
 // readAvailable reads the bytes in the receive buffer without blocking.
-func (c *upConn) readAvailable() {
-	if len(c.in.buf) == cap(c.in.buf) {
-		c.in.buf = slices.Grow(c.in.buf, minBuf)
+func (c *upstreamConn) readAvailable() {
+	if len(c.input.buf) == cap(c.input.buf) {
+		c.input.buf = slices.Grow(c.input.buf, minBuf)
 	}
-	space := c.in.buf[len(c.in.buf):cap(c.in.buf)]
+	space := c.input.buf[len(c.input.buf):cap(c.input.buf)]
 	_ = c.control(func(fd int) error {
 		n, _, err := syscall.Recvfrom(fd, space, syscall.MSG_DONTWAIT)
-		c.in.buf = c.in.buf[:len(c.in.buf)+max(0, n)]
+		c.input.buf = c.input.buf[:len(c.input.buf)+max(0, n)]
 		return err // no bytes, or a closed connection: the next check of the connection detects it
 	})
 }
 
 // quietBeforeWrite checks a connection again right before a request is written on it. If it returns
 // false, the connection must not be used.
-func (c *upConn) quietBeforeWrite() bool {
-	state := c.idleState()
+func (c *upstreamConn) quietBeforeWrite() bool {
+	state := c.checkIdle()
 	if state == idleUnsolicited {
 		c.counts.write.Add(1)
 		c.unsolicited = true
@@ -115,13 +115,13 @@
 // ambiguous reports whether a second response follows the one that was read, on a connection that
 // has carried a request before. Either may be a late response to the earlier request, and nothing
 // shows which. A second copy of the same response is harmless.
-func (c *upConn) ambiguous() bool {
-	if c.moreUnread && c.in.buffered() == 0 {
+func (c *upstreamConn) ambiguous() bool {
+	if c.moreUnread && c.input.buffered() == 0 {
 		c.readAvailable()
 	}
-	first, second := c.in.buf[:c.in.off], c.in.buf[c.in.off:]
+	first, second := c.input.buf[:c.input.off], c.input.buf[c.input.off:]
 	length := min(len(first), len(second))
-	if !bytes.HasPrefix(second, []byte(answerStart)) || bytes.Equal(first[:length], second[:length]) {
+	if !bytes.HasPrefix(second, []byte(responsePrefix)) || bytes.Equal(first[:length], second[:length]) {
 		return false
 	}
 	c.counts.answer.Add(1)
@@ -147,11 +147,11 @@
 // pause starts a pause. During a pause it restarts that one with the same length.
 func (p reusePauses) pause(id policy.ServerID, now time.Duration) {
 	length := minReusePause
-	switch before, ok := p[id]; {
-	case ok && now < before.until:
-		length = before.length
+	switch previous, ok := p[id]; {
+	case ok && now < previous.until:
+		length = previous.length
 	case ok:
-		length = min(2*before.length, maxReusePause)
+		length = min(2*previous.length, maxReusePause)
 	}
 	p[id] = reusePause{until: now + length, length: length}
 }
--- a/internal/node/unsolicited_test.go
+++ b/internal/node/unsolicited_test.go
@@ -21,8 +21,8 @@
 // only once something has happened.
 type waitingClient struct{ happened <-chan struct{} }
 
-func (c waitingClient) gone() bool   { <-c.happened; return false }
-func (c waitingClient) hidden() bool { return false }
+func (c waitingClient) disconnected() bool     { <-c.happened; return false }
+func (c waitingClient) disconnectHidden() bool { return false }
 
 // A server sends an answer as soon as a connection is made, ahead of any request. Taken for the
 // first request's answer it would prove that a request never ran which does run.
@@ -42,7 +42,7 @@
 		defer c.Close()
 		fmt.Fprint(c, answerNotRun)
 		for { // until the other end's system has it
-			q, known := (&upConn{Conn: c}).queues()
+			q, known := (&upstreamConn{Conn: c}).queues()
 			if !known || q.unacknowledged == 0 {
 				break
 			}
@@ -126,14 +126,14 @@
 	}
 	// passes moves the pause so far into the past that it is over by now.
 	passes := func() {
-		p := u.reuse[1]
+		p := u.reusePauses[1]
 		p.until = u.clock.now()
-		u.reuse[1] = p
+		u.reusePauses[1] = p
 	}
 	serve(true)
 	for i, noticed := range []func(){func() { serve(true) }, u.sweep} {
 		fmt.Fprint(server, answerOther)
-		testkit.Eventually(t, "the second answer", func() bool { return u.idle[1][0].idleState() == idleUnsolicited })
+		testkit.Eventually(t, "the second answer", func() bool { return u.idle[1][0].checkIdle() == idleUnsolicited })
 		noticed()
 		if got := u.unsolicited.load(); got != (Unsolicited{Idle: int64(i) + 1}) || len(u.idle) != 0 {
 			t.Fatalf("counted %+v, %d servers with idle connections", got, len(u.idle))
@@ -141,7 +141,7 @@
 		for range 2 {
 			serve(true)
 		}
-		if got := u.reuse[1].length; got != minReusePause<<i {
+		if got := u.reusePauses[1].length; got != minReusePause<<i {
 			t.Errorf("a pause of %v, want %v", got, minReusePause<<i)
 		}
 		passes()
@@ -164,10 +164,10 @@
 		if r, _ := do(); r.code != policy.OK {
 			t.Fatalf("code %d", r.code)
 		}
-		testkit.Eventually(t, "the end", func() bool { return u.idle[1][0].idleState() == idleEnded })
+		testkit.Eventually(t, "the end", func() bool { return u.idle[1][0].checkIdle() == idleClosed })
 	}
-	if got := u.unsolicited.load(); got != (Unsolicited{}) || len(u.reuse) != 0 {
-		t.Errorf("counted %+v, %d servers paused", got, len(u.reuse))
+	if got := u.unsolicited.load(); got != (Unsolicited{}) || len(u.reusePauses) != 0 {
+		t.Errorf("counted %+v, %d servers paused", got, len(u.reusePauses))
 	}
 }
 
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -18,70 +18,70 @@
 
 const (
 	// The age at which an idle connection is closed, as a fraction of the server's own idle timeout.
-	idlePart = 0.6
+	idleTimeoutFraction = 0.6
 
 	// Requests to a draining server stop this long before its grace period ends, to allow for network delay.
-	graceMargin = 50 * time.Millisecond
+	drainGraceMargin = 50 * time.Millisecond
 
 	// A load report with a larger value is rejected.
-	maxLoad = 1e6
+	maxLoadValue = 1e6
 
 	// An idle connection is not reused before this delay: stray bytes that follow a response must not be
 	// read as the response to the next request.
-	restFor = 5 * time.Millisecond
+	reuseDelay = 5 * time.Millisecond
 )
 
 // upstream pools the connections to the servers and executes attempts.
 // It writes each attempt itself, exactly once: http.Transport may retry a request
 // on its own and doesn't report whether the last byte was written.
 type upstream struct {
-	clock  clock
-	rest   time.Duration // delay before an idle connection is reused
-	fields []string      // names of the fields of load reports, in the order of the policy module
+	clock      clock
+	reuseDelay time.Duration // delay before an idle connection is reused
+	loadFields []string      // names of the fields of load reports, in the order of the policy module
 
-	list        *roster.Directory
+	directory   *roster.Directory
 	unsolicited unsolicitedCounts
 
-	mu      sync.Mutex
-	dial    net.Dialer
-	idleFor time.Duration
-	grace   time.Duration
-	most    int // limit on open connections, over all servers
-	open    int // open connections, idle ones included
-	ages    idleAges
-	reuse   reusePauses
-	idle    map[policy.ServerID][]*upConn // most recently used last; emptied entries stay until a sweep
+	mu          sync.Mutex
+	dialer      net.Dialer
+	idleTimeout time.Duration
+	drainGrace  time.Duration
+	maxOpen     int // limit on open connections, over all servers
+	open        int // open connections, idle ones included
+	ages        idleAges
+	reusePauses reusePauses
+	idle        map[policy.ServerID][]*upstreamConn // most recently used last
 }
 
-func newUpstream(c clock, list *roster.Directory, loadNames []string) *upstream {
-	return &upstream{clock: c, rest: restFor, fields: loadNames, list: list,
-		idle: map[policy.ServerID][]*upConn{}, reuse: reusePauses{}}
+func newUpstream(c clock, directory *roster.Directory, loadFields []string) *upstream {
+	return &upstream{clock: c, reuseDelay: reuseDelay, loadFields: loadFields, directory: directory,
+		idle: map[policy.ServerID][]*upstreamConn{}, reusePauses: reusePauses{}}
 }
 
 // clientState reports on the client that waits for an attempt.
 type clientState interface {
-	gone() bool   // the client has closed, half-closed or reset its connection
-	hidden() bool // a disconnect could not be detected
+	disconnected() bool     // the client has closed, half-closed or reset its connection
+	disconnectHidden() bool // a disconnect could not be detected
 }
 
 // attempt sends a request to a server once.
 type attempt struct {
-	id       policy.RequestID
-	num      int
-	server   policy.ServerID
-	sent     time.Duration // when the policy module requested the attempt
-	deadline time.Duration // when the attempt times out
-	writeBy  time.Duration // after this, the server may no longer recognize a keyed retry as a duplicate
-	client   clientState   // nil: the state of the client is unknown
-
-	mu        sync.Mutex
-	cancelled bool
-	withdrawn bool // cancelled before the write of the request, which is never written
-	begun     bool // the request may have been written
-	left      bool // the client had disconnected by the time of the write
-	unseen    bool // a disconnect could not be detected at the time of the write
-	conn      *upConn
-	stopDial  context.CancelFunc
+	id            policy.RequestID
+	num           int
+	server        policy.ServerID
+	startedAt     time.Duration // when the policy module requested the attempt
+	deadline      time.Duration // when the attempt times out
+	writeDeadline time.Duration // after this, the server may no longer recognize a keyed retry as a duplicate
+	client        clientState   // nil: the state of the client is unknown
+
+	mu                 sync.Mutex
+	cancelled          bool
+	withdrawn          bool // cancelled before the write of the request, which is never written
+	writeBegun         bool // the request may have been written
+	clientDisconnected bool // the client had disconnected by the time of the write
+	disconnectHidden   bool // a disconnect could not be detected at the time of the write
+	conn               *upstreamConn
+	cancelDial         context.CancelFunc
 }
 
 // cancel aborts the attempt. The goroutine that executes the attempt then reports its outcome.
@@ -96,7 +96,7 @@
 func (a *attempt) withdraw() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.begun || a.cancelled {
+	if a.writeBegun || a.cancelled {
 		return false
 	}
 	a.withdrawn = true
@@ -107,40 +107,40 @@
 // stop aborts the dial or closes the connection. The caller holds a.mu.
 func (a *attempt) stop() {
 	a.cancelled = true
-	if a.stopDial != nil {
-		a.stopDial()
+	if a.cancelDial != nil {
+		a.cancelDial()
 	}
 	if a.conn != nil {
 		a.conn.Close()
 	}
 }
 
-// begin assigns the attempt a connection and marks its request as possibly written. It returns
+// beginWrite assigns the attempt a connection and marks its request as possibly written. It returns
 // false if the attempt was cancelled or its client has disconnected. withdraw checks the same
 // mark under the same lock, so an attempt is never both withdrawn and written.
-func (a *attempt) begin(c *upConn) bool {
-	gone := a.client != nil && a.client.gone()
+func (a *attempt) beginWrite(c *upstreamConn) bool {
+	disconnected := a.client != nil && a.client.disconnected()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = c
-	a.left = gone && !a.cancelled
-	a.withdrawn = a.withdrawn || a.left
-	a.begun = !a.cancelled && !gone
-	a.unseen = a.begun && a.client != nil && a.client.hidden()
-	return a.begun
+	a.clientDisconnected = disconnected && !a.cancelled
+	a.withdrawn = a.withdrawn || a.clientDisconnected
+	a.writeBegun = !a.cancelled && !disconnected
+	a.disconnectHidden = a.writeBegun && a.client != nil && a.client.disconnectHidden()
+	return a.writeBegun
 }
 
-// leave detaches the attempt from its connection. It returns false if the attempt was cancelled.
-func (a *attempt) leave() bool {
+// detach detaches the attempt from its connection. It returns false if the attempt was cancelled.
+func (a *attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = nil
 	return !a.cancelled
 }
 
-// unsent is the result of an attempt that was not written. A withdrawn attempt
+// unsentResult returns the result of an attempt that was not written. A withdrawn attempt
 // says nothing about the server and is Moot.
-func (a *attempt) unsent() result {
+func (a *attempt) unsentResult() result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.withdrawn {
@@ -149,15 +149,15 @@
 	return result{code: policy.ConnectFailed}
 }
 
-// limit applies the timeouts of a configuration and the limit on open connections. Over the limit
-// it closes idle connections at once, oldest first; keep closes busy ones once they become idle.
-func (u *upstream) limit(f *config.File, most int) {
+// applyConfig applies the timeouts of a configuration and the limit on open connections. Over the limit it
+// closes idle connections at once, oldest first; putIdle closes busy ones once they become idle.
+func (u *upstream) applyConfig(f *config.File, maxOpen int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.dial = net.Dialer{Timeout: f.DialTimeout, KeepAlive: -1}
-	u.idleFor = time.Duration(idlePart * float64(f.ConnIdle))
-	u.grace, u.most = f.DrainGrace, most
-	for u.open > u.most && u.dropOldest() {
+	u.dialer = net.Dialer{Timeout: f.DialTimeout, KeepAlive: -1}
+	u.idleTimeout = time.Duration(idleTimeoutFraction * float64(f.ConnIdle))
+	u.drainGrace, u.maxOpen = f.DrainGrace, maxOpen
+	for u.open > u.maxOpen && u.closeOldestIdle() {
 	}
 }
 
@@ -167,17 +167,17 @@
 func (u *upstream) update(l *serverList, whole bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.list.Update(l, whole, u.clock.now(), u.dropIdle)
+	u.directory.Update(l, whole, u.clock.now(), u.closeIdle)
 }
 
 // pauseReuse suspends connection reuse for a server. The caller holds u.mu.
 func (u *upstream) pauseReuse(id policy.ServerID) {
-	u.reuse.pause(id, u.clock.now())
-	u.dropIdle(id)
+	u.reusePauses.pause(id, u.clock.now())
+	u.closeIdle(id)
 }
 
-// dropIdle closes the idle connections to a server. The caller holds u.mu.
-func (u *upstream) dropIdle(id policy.ServerID) {
+// closeIdle closes the idle connections to a server. The caller holds u.mu.
+func (u *upstream) closeIdle(id policy.ServerID) {
 	for _, c := range u.idle[id] {
 		c.Close()
 		u.open--
@@ -185,39 +185,39 @@
 	delete(u.idle, id)
 }
 
-// closed reports whether a process of a server gets no further requests: the server was removed,
+// closedToRequests reports whether a process of a server gets no further requests: the server was removed,
 // another process has replaced this one, or its drain grace period is about to end. The margin
 // before the end of the grace period covers the time on the network.
-func (u *upstream) closed(id policy.ServerID, incarnation uint64) bool {
+func (u *upstream) closedToRequests(id policy.ServerID, incarnation uint64) bool {
 	u.mu.Lock()
-	grace := u.grace
+	grace := u.drainGrace
 	u.mu.Unlock()
-	s, listed := u.list.Find(id)
+	s, listed := u.directory.Find(id)
 	return !listed || s.Incarnation != incarnation ||
-		s.State != policy.Running && u.clock.now()-s.Since > max(0, grace-graceMargin)
+		s.State != policy.Running && u.clock.now()-s.Since > max(0, grace-drainGraceMargin)
 }
 
-// take returns the most recently used idle connection that is usable. Without one it returns an
+// acquire returns the most recently used idle connection that is usable. Without one it returns an
 // undialed connection and the address to dial. ok is false if the limit on connections is reached
 // or the server is not listed.
-func (u *upstream) take(id policy.ServerID) (c *upConn, addr string, ok bool) {
+func (u *upstream) acquire(id policy.ServerID) (c *upstreamConn, addr string, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s, listed := u.list.Find(id)
+	s, listed := u.directory.Find(id)
 	if !listed {
 		return nil, "", false
 	}
-	now, most := u.clock.now(), u.ages.most(u.idleFor)
+	now, maxAge := u.clock.now(), u.ages.most(u.idleTimeout)
 	idle := u.idle[id]
 	for i := len(idle) - 1; i >= 0; i-- {
 		c := idle[i]
-		if now-c.used < u.rest {
+		if now-c.lastUsed < u.reuseDelay {
 			continue
 		}
 		idle = slices.Delete(idle, i, i+1)
 		u.idle[id] = idle
-		state := c.idleState()
-		if now-c.used < most && state == idleQuiet {
+		state := c.checkIdle()
+		if now-c.lastUsed < maxAge && state == idleQuiet {
 			return c, "", true
 		}
 		c.Close()
@@ -228,34 +228,34 @@
 			break
 		}
 	}
-	if u.open >= u.most && !u.dropOldest() {
+	if u.open >= u.maxOpen && !u.closeOldestIdle() {
 		return nil, "", false
 	}
 	u.open++
-	return &upConn{incarnation: s.Incarnation, counts: &u.unsolicited}, s.Addr.String(), true
+	return &upstreamConn{incarnation: s.Incarnation, counts: &u.unsolicited}, s.Addr.String(), true
 }
 
-// dropOldest closes the connection that has been idle the longest. It returns false if none is
+// closeOldestIdle closes the connection that has been idle the longest. It returns false if none is
 // idle. The caller holds u.mu.
-func (u *upstream) dropOldest() bool {
-	var from policy.ServerID
-	var oldest *upConn
+func (u *upstream) closeOldestIdle() bool {
+	var server policy.ServerID
+	var oldest *upstreamConn
 	for id, idle := range u.idle {
-		if len(idle) > 0 && (oldest == nil || idle[0].used < oldest.used) {
-			from, oldest = id, idle[0]
+		if len(idle) > 0 && (oldest == nil || idle[0].lastUsed < oldest.lastUsed) {
+			server, oldest = id, idle[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
 	oldest.Close()
-	u.idle[from] = slices.Delete(u.idle[from], 0, 1)
+	u.idle[server] = slices.Delete(u.idle[server], 0, 1)
 	u.open--
 	return true
 }
 
 // discard closes a connection that can't be reused or whose dial failed.
-func (u *upstream) discard(c *upConn) {
+func (u *upstream) discard(c *upstreamConn) {
 	if c.Conn != nil {
 		c.Close()
 	}
@@ -264,18 +264,18 @@
 	u.mu.Unlock()
 }
 
-// keep returns a connection to the pool, or closes it if it should not be reused.
-func (u *upstream) keep(id policy.ServerID, c *upConn) {
+// putIdle returns a connection to the pool, or closes it if it should not be reused.
+func (u *upstream) putIdle(id policy.ServerID, c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s, listed := u.list.Find(id)
+	s, listed := u.directory.Find(id)
 	if !listed || s.State != policy.Running || s.Incarnation != c.incarnation ||
-		u.open > u.most || u.reuse.paused(id, u.clock.now()) {
+		u.open > u.maxOpen || u.reusePauses.paused(id, u.clock.now()) {
 		c.Close()
 		u.open--
 		return
 	}
-	c.used = u.clock.now()
+	c.lastUsed = u.clock.now()
 	u.idle[id] = append(u.idle[id], c)
 }
 
@@ -284,13 +284,13 @@
 func (u *upstream) sweep() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now, most := u.clock.now(), u.ages.most(u.idleFor)
+	now, maxAge := u.clock.now(), u.ages.most(u.idleTimeout)
 	u.ages.fade()
 	for id, idle := range u.idle {
 		unsolicited := false
-		idle = slices.DeleteFunc(idle, func(c *upConn) bool {
-			state := c.idleState()
-			if now-c.used < most && state == idleQuiet {
+		idle = slices.DeleteFunc(idle, func(c *upstreamConn) bool {
+			state := c.checkIdle()
+			if now-c.lastUsed < maxAge && state == idleQuiet {
 				return false
 			}
 			if state == idleUnsolicited {
@@ -308,14 +308,14 @@
 			delete(u.idle, id)
 		}
 	}
-	u.reuse.expire(now)
+	u.reusePauses.expire(now)
 }
 
 // result is the outcome of an attempt.
 type result struct {
 	code        policy.Code
 	load        []float64
-	unfit       bool   // the server answered with a 4xx status
+	badRequest  bool   // the server answered with a 4xx status
 	contentType string // of a successful response
 	body        string
 }
@@ -323,7 +323,7 @@
 // do executes an attempt. Unless the response was complete, do closes the connection before it
 // returns.
 func (u *upstream) do(a *attempt, req *clientRequest) result {
-	c, addr, ok := u.take(a.server)
+	c, addr, ok := u.acquire(a.server)
 	if !ok {
 		return result{code: policy.ConnectFailed}
 	}
@@ -331,26 +331,26 @@
 		var err error
 		if c.Conn, err = u.connect(a, addr); err != nil {
 			u.discard(c)
-			return a.unsent()
+			return a.unsentResult()
 		}
-		c.in.src = c
+		c.input.src = c
 	}
 	now := u.clock.now()
 	switch {
 	case now >= a.deadline:
 		u.discard(c)
 		return result{code: policy.Moot}
-	case now >= a.writeBy || u.closed(a.server, c.incarnation) || !a.begin(c):
+	case now >= a.writeDeadline || u.closedToRequests(a.server, c.incarnation) || !a.beginWrite(c):
 		u.discard(c)
-		return a.unsent()
+		return a.unsentResult()
 	}
 	r, reuse := u.exchange(a, c, req, a.deadline-now)
-	if c.used > 0 {
+	if c.lastUsed > 0 {
 		u.mu.Lock()
-		u.ages.note(now-c.used, u.clock.now()-now, r.code, len(c.in.buf) > 0 || c.unsolicited)
+		u.ages.note(now-c.lastUsed, u.clock.now()-now, r.code, len(c.input.buf) > 0 || c.unsolicited)
 		u.mu.Unlock()
 	}
-	if !a.leave() { // cancelled: the connection is already closed
+	if !a.detach() { // cancelled: the connection is already closed
 		reuse = false
 		if r.code == policy.Reset || r.code == policy.TimedOut {
 			r.code = policy.Cancelled
@@ -362,7 +362,7 @@
 		u.mu.Unlock()
 	}
 	if reuse {
-		u.keep(a.server, c)
+		u.putIdle(a.server, c)
 	} else {
 		u.discard(c)
 	}
@@ -371,47 +371,49 @@
 
 // connect dials a server. Cancelling the attempt aborts the dial.
 func (u *upstream) connect(a *attempt, addr string) (net.Conn, error) {
-	ctx, stop := context.WithDeadline(context.Background(), u.clock.time(a.deadline))
-	defer stop()
+	ctx, cancel := context.WithDeadline(context.Background(), u.clock.time(a.deadline))
+	defer cancel()
 	a.mu.Lock()
 	if a.cancelled {
 		a.mu.Unlock()
 		return nil, context.Canceled
 	}
-	a.stopDial = stop
+	a.cancelDial = cancel
 	a.mu.Unlock()
 	u.mu.Lock()
-	dial := u.dial
+	dialer := u.dialer
 	u.mu.Unlock()
-	return dial.DialContext(ctx, "tcp", addr)
+	return dialer.DialContext(ctx, "tcp", addr)
 }
 
 // exchange writes the request in one call and reads the response. It also reports whether the
 // connection can be reused. The number of bytes written decides the outcome of a failure: until the
 // last byte is written the request can't have run; after that it may have.
-func (u *upstream) exchange(a *attempt, c *upConn, req *clientRequest, left time.Duration) (result, bool) {
-	if c.SetDeadline(u.clock.time(a.deadline)) != nil || c.SetWriteDeadline(u.clock.time(a.writeBy)) != nil {
+func (u *upstream) exchange(a *attempt, c *upstreamConn, req *clientRequest,
+	remaining time.Duration) (result, bool) {
+	if c.SetDeadline(u.clock.time(a.deadline)) != nil ||
+		c.SetWriteDeadline(u.clock.time(a.writeDeadline)) != nil {
 		return result{code: policy.ConnectFailed}, false
 	}
-	msg := buffers.Get().(*[]byte)
-	b := appendRequest((*msg)[:0], req, left)
+	msg := requestBuffers.Get().(*[]byte)
+	b := appendRequest((*msg)[:0], req, remaining)
 	if !c.quietBeforeWrite() {
-		buffers.Put(msg)
+		requestBuffers.Put(msg)
 		return result{code: policy.ConnectFailed}, false
 	}
-	c.request, c.moreUnread = len(b), false
+	c.requestLength, c.moreUnread = len(b), false
 	n, err := c.Write(b)
-	whole := n == len(b)
+	complete := n == len(b)
 	if *msg = b; cap(b) <= 4*minBuf {
-		buffers.Put(msg)
+		requestBuffers.Put(msg)
 	}
-	if !whole {
+	if !complete {
 		return result{code: policy.ConnectFailed}, false
 	}
 	var r result
 	status, body, framed := 0, []byte(nil), false
 	if err == nil {
-		status, body, framed, err = c.answer()
+		status, body, framed, err = c.readResponse()
 	}
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) && u.clock.now() >= a.deadline {
@@ -419,10 +421,10 @@
 		}
 		return result{code: policy.Reset}, false
 	}
-	if c.used > 0 && c.ambiguous() {
+	if c.lastUsed > 0 && c.ambiguous() {
 		return result{code: policy.Reset}, false
 	}
-	r.code, r.load = policy.Error, u.load(&c.head)
+	r.code, r.load = policy.Error, u.parseLoad(&c.head)
 	switch {
 	case status == 200 && !framed:
 		r.code = policy.Reset // the end of the body can't be told from a broken connection
@@ -431,26 +433,26 @@
 	case (status == 503 || status == 504) && string(c.head.get("X-Not-Run")) == "1":
 		r.code = policy.Full
 	case status/100 == 4:
-		r.code, r.unfit = policy.Moot, true
+		r.code, r.badRequest = policy.Moot, true
 	}
 	// Bytes that follow a response belong to no request.
-	reuse := framed && c.in.buffered() == 0 && !c.head.has("Connection", "close")
-	c.in.begin()
+	reuse := framed && c.input.buffered() == 0 && !c.head.has("Connection", "close")
+	c.input.begin()
 	return r, reuse
 }
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
+var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
-var passedOn = []string{"Host", "X-Request-Id", "Idempotency-Key", "X-Class", "Content-Type"}
+var forwardedHeaders = []string{"Host", "X-Request-Id", "Idempotency-Key", "X-Class", "Content-Type"}
 
 // appendRequest appends the request as it is sent to a server. Of the client's headers it
-// forwards only those in passedOn.
-func appendRequest(b []byte, req *clientRequest, left time.Duration) []byte {
+// forwards only those in forwardedHeaders.
+func appendRequest(b []byte, req *clientRequest, remaining time.Duration) []byte {
 	b = append(b, req.method...)
 	b = append(b, ' ')
 	b = append(b, req.target...)
 	b = append(b, " HTTP/1.1"...)
-	for _, key := range passedOn {
+	for _, key := range forwardedHeaders {
 		if v := req.get(key); len(v) > 0 {
 			b = append(b, "\r\n"...)
 			b = append(b, key...)
@@ -459,7 +461,7 @@
 		}
 	}
 	b = append(b, "\r\nX-Deadline-Ms: "...)
-	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
+	b = strconv.AppendInt(b, max(1, remaining.Milliseconds()), 10)
 	if string(req.method) != "GET" {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(req.body)), 10)
@@ -468,34 +470,34 @@
 	return append(b, req.body...)
 }
 
-// loadNames maps field names of the settings to the names that servers use in load reports,
+// loadFieldAliases maps field names of the settings to the names that servers use in load reports,
 // where the two differ.
-var loadNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util",
+var loadFieldAliases = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util",
 	"avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps"}
 
-// load parses a load report: a word, then name=value pairs. It returns nil for a report that lacks
+// parseLoad parses a load report: a word, then name=value pairs. It returns nil for a report that lacks
 // a field or has a value out of range.
-func (u *upstream) load(h *head) []float64 {
+func (u *upstream) parseLoad(h *head) []float64 {
 	text, n := h.one("X-Load")
-	if n != 1 || len(u.fields) == 0 {
+	if n != 1 || len(u.loadFields) == 0 {
 		return nil
 	}
-	out, found := make([]float64, len(u.fields)), 0
+	out, found := make([]float64, len(u.loadFields)), 0
 	_, rest, _ := strings.Cut(string(text), " ")
 	for pair := range strings.SplitSeq(rest, ",") {
 		k, v, _ := strings.Cut(strings.Trim(pair, " \t"), "=")
-		i := slices.IndexFunc(u.fields, func(f string) bool { return f == k || loadNames[f] == k })
+		i := slices.IndexFunc(u.loadFields, func(f string) bool { return f == k || loadFieldAliases[f] == k })
 		if i < 0 {
 			continue
 		}
 		x, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(x >= 0 && x <= maxLoad) { // also rejects NaN
+		if err != nil || !(x >= 0 && x <= maxLoadValue) { // also rejects NaN
 			return nil
 		}
 		out[i] = x
 		found++
 	}
-	if found < len(u.fields) {
+	if found < len(u.loadFields) {
 		return nil
 	}
 	return out
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -18,14 +18,14 @@
 // pool makes an upstream that knows one app server, number 1.
 func pool(addr string) *upstream {
 	u := newUpstream(clock{time.Now()}, roster.NewDirectory(), []string{"cpu", "rps"})
-	u.dial, u.idleFor, u.most, u.grace, u.rest = net.Dialer{Timeout: patience}, time.Minute, 10, 250*time.Millisecond, 0
+	u.dialer, u.idleTimeout, u.maxOpen, u.drainGrace, u.reuseDelay = net.Dialer{Timeout: patience}, time.Minute, 10, 250*time.Millisecond, 0
 	u.update(&serverList{Targets: []target{serving("s-00000001", addr)}}, true)
 	return u
 }
 
 func (u *upstream) try(deadline time.Duration) (*attempt, func() (result, string)) {
 	now := u.clock.now()
-	a := &attempt{id: 7, server: 1, sent: now, deadline: now + deadline, writeBy: now + deadline}
+	a := &attempt{id: 7, server: 1, startedAt: now, deadline: now + deadline, writeDeadline: now + deadline}
 	return a, func() (result, string) {
 		in := clientConn{in: stream{src: strings.NewReader("GET /lookup?q=1 HTTP/1.1\r\nHost: app.svc\r\n" +
 			"X-Request-Id: 9b1f03aa5c7e2d41\r\n\r\n")}}
@@ -213,7 +213,7 @@
 	if a.conns.Load() != 1 {
 		t.Errorf("%d connections for requests one after another", a.conns.Load())
 	}
-	u.idleFor = 0
+	u.idleTimeout = 0
 	u.sweep()
 	if u.open != 0 || len(u.idle[1]) != 0 {
 		t.Errorf("%d open after their time", u.open)
@@ -230,7 +230,7 @@
 		return answer("200 OK", "", "copy")(c, r, b)
 	})
 	u := pool(a.addr())
-	u.rest = time.Hour
+	u.reuseDelay = time.Hour
 	for i := range 2 {
 		_, do := u.try(patience)
 		if r, body := do(); r.code != policy.OK || body != "hits" || int(a.conns.Load()) != i+1 {
@@ -238,7 +238,7 @@
 		}
 	}
 	close(copied)
-	u.rest = 0
+	u.reuseDelay = 0
 	testkit.Eventually(t, "the copies", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
@@ -293,16 +293,16 @@
 		do()
 		u.mu.Lock()
 		for _, c := range u.idle[1] {
-			c.used -= 200 * time.Millisecond // as if it had stood for so long
+			c.lastUsed -= 200 * time.Millisecond // as if it had stood for so long
 		}
-		full := u.ages.most(u.idleFor) < u.idleFor
+		full := u.ages.most(u.idleTimeout) < u.idleTimeout
 		u.mu.Unlock()
 		if full {
 			break
 		}
 	}
-	if u.ages.most(u.idleFor) > 200*time.Millisecond {
-		t.Fatalf("%v learned where those of 200ms break", u.ages.most(u.idleFor))
+	if u.ages.most(u.idleTimeout) > 200*time.Millisecond {
+		t.Fatalf("%v learned where those of 200ms break", u.ages.most(u.idleTimeout))
 	}
 	before := a.conns.Load()
 	_, do := u.try(patience)
@@ -339,10 +339,10 @@
 	}
 	u.update(large, true)
 	_, do := u.try(patience)
-	if do(); len(u.idle) != 1 || u.list.Len() != 5000 {
-		t.Errorf("%d servers with idle connections, of %d", len(u.idle), u.list.Len())
+	if do(); len(u.idle) != 1 || u.directory.Len() != 5000 {
+		t.Errorf("%d servers with idle connections, of %d", len(u.idle), u.directory.Len())
 	}
-	if c, _, ok := u.take(1); !ok || c.Conn == nil {
+	if c, _, ok := u.acquire(1); !ok || c.Conn == nil {
 		t.Error("the idle connection is not used again")
 	}
 	if u.sweep(); len(u.idle) != 0 {
@@ -358,12 +358,12 @@
 	drains := serving("s-00000001", a.addr())
 	drains.State = "DRAINING"
 	u.update(&serverList{Targets: []target{drains}}, false)
-	s, _ := u.list.Find(1)
-	if u.closed(1, s.Incarnation) {
+	s, _ := u.directory.Find(1)
+	if u.closedToRequests(1, s.Incarnation) {
 		t.Error("closed before the grace is over")
 	}
 	u.update(&serverList{Targets: []target{serving("s-00000001", a.addr())}}, false)
-	u.list.Update(&serverList{Targets: []target{drains}}, false, u.clock.now()-u.grace, u.dropIdle) // as if heard then
+	u.directory.Update(&serverList{Targets: []target{drains}}, false, u.clock.now()-u.drainGrace, u.closeIdle) // as if heard then
 	_, do := u.try(patience)
 	if r, _ := do(); r.code != policy.ConnectFailed || a.seen.Load() != 0 {
 		t.Errorf("code %d after %d requests", r.code, a.seen.Load())
@@ -398,7 +398,7 @@
 	a := newApp(t, answer("200 OK", "", "hits"))
 	u := pool(a.addr())
 	at, do := u.try(patience)
-	at.writeBy = at.sent
+	at.writeDeadline = at.startedAt
 	if r, _ := do(); r.code != policy.ConnectFailed || a.seen.Load() != 0 {
 		t.Errorf("code %d after %d requests", r.code, a.seen.Load())
 	}
@@ -408,7 +408,7 @@
 func TestConnectionBound(t *testing.T) {
 	a, b := newApp(t, answer("200 OK", "", "hits")), newApp(t, deaf)
 	u := pool(a.addr())
-	u.most = 1
+	u.maxOpen = 1
 	u.update(&serverList{Targets: []target{serving("s-00000002", b.addr())}}, false)
 	_, do := u.try(patience)
 	do()
@@ -442,7 +442,7 @@
 		"TEXT":                              nil,
 		fmt.Sprintf("TEXT %0300d=,,,=,", 1): nil,
 	} {
-		if got := u.load(&head{fields: []field{{[]byte("X-Load"), []byte(text)}}}); !reflect.DeepEqual(got, want) {
+		if got := u.parseLoad(&head{fields: []field{{[]byte("X-Load"), []byte(text)}}}); !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
