--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -37,12 +37,19 @@
 
 // Durations within a shutdown.
 const (
-	shutdownFinalAccept     = 50 * time.Millisecond  // for pending connections; 512 take half of it
-	shutdownQuietTime       = 100 * time.Millisecond // without requests; also for idle connections
-	shutdownReadTimeout     = 2 * time.Second        // limit on a request that is still arriving
-	shutdownTimeout         = 65 * time.Second       // limit on the whole shutdown
-	shutdownPollInterval    = 10 * time.Millisecond  // between two steps
-	shutdownHandoverTimeout = time.Second            // for the counts that others depend on
+	// To accept pending connections before the listener closes. A backlog of 512 takes half of it.
+	shutdownFinalAccept = 50 * time.Millisecond
+
+	// Time without a new request before the listener closes, and before the shutdown ends. Connections that
+	// have been idle this long are closed.
+	shutdownQuietTime = 100 * time.Millisecond
+
+	shutdownReadTimeout  = 2 * time.Second       // limit on a request that is still arriving
+	shutdownTimeout      = 65 * time.Second      // limit on the whole shutdown
+	shutdownPollInterval = 10 * time.Millisecond // between two steps
+
+	// To hand over the counts that other edge nodes depend on.
+	shutdownHandoverTimeout = time.Second
 )
 
 // shutdownState is a shutdown as a state machine. Its inputs are the time and counts, its outputs are
