--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -32,28 +32,28 @@
 // looks waits until the loop has looked for clients that have gone, from now on.
 func (r *running) looks(t *testing.T) {
 	t.Helper()
-	from := r.loop.heartbeat.looks.Load()
-	testkit.Eventually(t, "two looks", func() bool { return r.loop.heartbeat.looks.Load() >= from+2 })
+	from := r.loop.heartbeat.beats.Load()
+	testkit.Eventually(t, "two looks", func() bool { return r.loop.heartbeat.beats.Load() >= from+2 })
 }
 
 // alone waits until no client is connected.
 func (r *running) alone(t *testing.T) {
 	t.Helper()
 	http.DefaultClient.CloseIdleConnections()
-	testkit.Eventually(t, "no connection", func() bool { open, _ := r.server.state(); return open == 0 })
+	testkit.Eventually(t, "no connection", func() bool { open, _ := r.server.activity(); return open == 0 })
 }
 
 // idle waits until the edge node has no attempt out.
 func (r *running) idle(t *testing.T) {
 	t.Helper()
 	testkit.Eventually(t, "no attempt out", func() bool {
-		r.up.mu.Lock()
-		defer r.up.mu.Unlock()
+		r.upstream.mu.Lock()
+		defer r.upstream.mu.Unlock()
 		kept := 0
-		for _, idle := range r.up.idle {
+		for _, idle := range r.upstream.idle {
 			kept += len(idle)
 		}
-		return r.up.open == kept
+		return r.upstream.open == kept
 	})
 }
 
@@ -73,7 +73,7 @@
 	t.Helper()
 	a := newApp(t, answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.addr())
-	begun, let := holdDials(n.up)
+	begun, let := holdDials(n.upstream)
 	c := dial(t, n)
 	send(t, c, request(n.url, "loan", patience))
 	<-begun
@@ -120,11 +120,11 @@
 	testkit.Eventually(t, "the request at the app server", func() bool { return a.seen.Load() == 1 })
 	c.Close()
 	n.looks(t)
-	n.up.mu.Lock()
-	if n.up.open != 1 {
+	n.upstream.mu.Lock()
+	if n.upstream.open != 1 {
 		t.Error("called back though it may have run")
 	}
-	n.up.mu.Unlock()
+	n.upstream.mu.Unlock()
 	let()
 	n.idle(t)
 }
@@ -201,19 +201,19 @@
 func TestCloseOverUnreadBytes(t *testing.T) {
 	const crossing = "GET /lookup HTTP/1.1\r\nHost: a\r\nX-Request-Id: crossed\r\n\r\n"
 	for name, end := range map[string]func(n *running, c net.Conn){
-		"over the bound": func(n *running, _ net.Conn) { n.server.keepTo(0) },
-		"stopping":       func(n *running, _ net.Conn) { n.server.shutIdle(0) },
+		"over the bound": func(n *running, _ net.Conn) { n.server.setLimit(0) },
+		"stopping":       func(n *running, _ net.Conn) { n.server.closeIdle(0) },
 		"for another": func(n *running, _ net.Conn) {
 			n.server.mu.Lock()
-			n.server.shutOne()
+			n.server.closeLeastUseful()
 			n.server.mu.Unlock()
 		},
 		"with its answer":      nil,
 		"turned away":          func(_ *running, c net.Conn) { _, _ = io.WriteString(c, "NONSENSE\r\n\r\n") },
-		"half a request there": func(n *running, c net.Conn) { _, _ = io.WriteString(c, crossing[:20]); n.server.shutIdle(0) },
+		"half a request there": func(n *running, c net.Conn) { _, _ = io.WriteString(c, crossing[:20]); n.server.closeIdle(0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newApp(t, answer("200 OK", "", strings.Repeat("h", maxBody)))
+			a := newApp(t, answer("200 OK", "", strings.Repeat("h", maxBodyBytes)))
 			n := nodeWith(t, a.addr())
 			n.alone(t)
 			c := dialNarrow(t, n)
@@ -235,12 +235,12 @@
 				}
 			}
 			testkit.Eventually(t, "the answer written", is(func(cc *clientConn) bool {
-				return cc != nil && (cc.good && cc.state == connIdle || cc.shut)
+				return cc != nil && (cc.carriedRequest && cc.state == connIdle || cc.closing)
 			}))
 			if end != nil {
 				end(n, c)
 			}
-			testkit.Eventually(t, "the close", is(func(cc *clientConn) bool { return cc == nil || cc.shut }))
+			testkit.Eventually(t, "the close", is(func(cc *clientConn) bool { return cc == nil || cc.closing }))
 			// The client has read nothing yet; what it sends now crosses the close.
 			if _, err := io.WriteString(c, crossing); err != nil {
 				t.Errorf("sending into the close: %v", err)
@@ -249,7 +249,7 @@
 			if err != nil {
 				t.Fatalf("the answer is lost: %v", err)
 			}
-			if b, err := io.ReadAll(resp.Body); len(b) != maxBody || err != nil {
+			if b, err := io.ReadAll(resp.Body); len(b) != maxBodyBytes || err != nil {
 				t.Errorf("%d bytes of the answer, then %v", len(b), err)
 			}
 			if _, err := io.Copy(io.Discard, c); err != nil {
@@ -327,11 +327,11 @@
 	}
 
 	l := newLoop(u.clock, nil, u)
-	c := &call{cmd: make(chan command, 1), class: &policy.Class{Effect: policy.Keyed, Window: time.Second}, ranAt: now, due: now + time.Minute}
+	c := &call{commands: make(chan command, 1), class: &policy.Class{Effect: policy.Keyed, Window: time.Second}, mayHaveRunAt: now, deadline: now + time.Minute}
 	c.ID = 1
 	l.calls[1] = c
-	l.send(policy.Send{ID: 1, Server: 1})
-	if got := (<-c.cmd).attempt.writeDeadline; got > now+time.Second-answerMargin {
+	l.startAttempt(policy.Send{ID: 1, Server: 1})
+	if got := (<-c.commands).attempt.writeDeadline; got > now+time.Second-responseMargin {
 		t.Errorf("may be written up to %v behind the first, of a window of 1s", got-now)
 	}
 }
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -9,29 +9,31 @@
 
 const (
 	// Shares of the file descriptors. A request needs one for its client and one for its server.
-	clientPart, serverPart = 0.5, 0.35
+	clientShare, serverShare = 0.5, 0.35
 
 	// Descriptors of the runtime, the log, the listeners, snapshots and the configuration file, and four for
 	// connections of operators.
-	ownDescriptors = 19
+	reservedDescriptors = 19
 
-	// Concurrent calls to discovery: one for each so many descriptors, but at least minCalls.
-	minCalls, descriptorsPerCall = 2, 16
+	// Concurrent calls to discovery: one for each so many descriptors, but at least minDiscoveryCalls.
+	minDiscoveryCalls, descriptorsPerDiscoveryCall = 2, 16
 )
 
-// descriptors returns the limits on client connections and on server connections for a configuration file.
-func descriptors(f *config.File) (clients, servers int) {
-	n, allowed := usable(f)
+// connLimits returns the limits on client connections and on server connections for a configuration file.
+func connLimits(f *config.File) (clients, servers int) {
+	n, allowed := usableDescriptors(f)
 	if n < f.Sockets {
-		slog.Warn("fewer descriptors than the configuration says", "allowed", allowed, "limits.sockets", f.Sockets)
+		slog.Warn("fewer descriptors than the configuration says", "allowed", allowed,
+			"limits.sockets", f.Sockets)
 	}
-	return parts(n)
+	return splitDescriptors(n)
 }
 
-// usable returns the number of descriptors that the process can use, and the limit of the system. The
-// system may allow fewer than the file says. With the figure of the file, client connections would then use
-// up the descriptors that their requests need for server connections, and no request would be served.
-func usable(f *config.File) (n int, allowed uint64) {
+// usableDescriptors returns the number of descriptors that the process can use, and the limit of the
+// system. The system may allow fewer than the file says. With the figure of the file, client connections
+// would then use up the descriptors that their requests need for server connections, and no request would
+// be served.
+func usableDescriptors(f *config.File) (n int, allowed uint64) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(f.Sockets) {
 		return int(limit.Cur), limit.Cur
@@ -39,11 +41,13 @@
 	return f.Sockets, limit.Cur
 }
 
-// callsFor returns the limit on concurrent calls to discovery with n descriptors.
-func callsFor(n int) int { return min(maxDiscoveryCalls, max(minCalls, n/descriptorsPerCall)) }
+// discoveryCalls returns the limit on concurrent calls to discovery with n descriptors.
+func discoveryCalls(n int) int {
+	return min(maxDiscoveryCalls, max(minDiscoveryCalls, n/descriptorsPerDiscoveryCall))
+}
 
-// parts divides n descriptors between clients and servers. Each gets at least one.
-func parts(n int) (clients, servers int) {
-	room := min(float64(n), float64(n-ownDescriptors-callsFor(n))/(clientPart+serverPart))
-	return max(1, int(clientPart*room)), max(1, int(serverPart*room))
+// splitDescriptors divides n descriptors between clients and servers. Each gets at least one.
+func splitDescriptors(n int) (clients, servers int) {
+	available := min(float64(n), float64(n-reservedDescriptors-discoveryCalls(n))/(clientShare+serverShare))
+	return max(1, int(clientShare*available)), max(1, int(serverShare*available))
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -97,8 +97,8 @@
 	}
 	hedgeDelay, maxCalls := min(pollTiming.hedgeDelay,
 		fractionOfGrace(hedgeDelayFraction, minHedgeDelay)), maxDiscoveryCalls
-	if n, _ := usable(f); n > 0 {
-		maxCalls = callsFor(n)
+	if n, _ := usableDescriptors(f); n > 0 {
+		maxCalls = discoveryCalls(n)
 	}
 	return callTiming{pollTimeout: min(pollTiming.pollTimeout,
 		fractionOfGrace(pollTimeoutFraction, minPollTime)),
--- a/internal/node/empty_line_test.go
+++ b/internal/node/empty_line_test.go
@@ -25,7 +25,7 @@
 	if _, err := c.Write([]byte("\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetReadDeadline(time.Now().Add(wholeRequest + wholeRequest/2))
+	_ = c.SetReadDeadline(time.Now().Add(requestTimeout + requestTimeout/2))
 	var b [64]byte
 	if got, err := c.Read(b[:]); got > 0 || !isTimeout(err) {
 		t.Errorf("a client that rests behind an empty line got %q, %v", b[:got], err)
--- a/internal/node/heartbeat_test.go
+++ b/internal/node/heartbeat_test.go
@@ -18,17 +18,17 @@
 	}
 	const s = time.Second
 	expect(5*s, 0, 0) // not begun
-	p.beat(10*s, 11*s)
+	p.record(10*s, 11*s)
 	expect(11*s, 0, 0)
 	expect(13*s, 2*s, 2*s) // standing still
-	p.beat(14*s, 15*s)
+	p.record(14*s, 15*s)
 	expect(15*s, 0, 3*s)
 	for at := 15 * s; at < 14*s+lagWindow; at += s { // on time again
-		p.beat(at, at+s)
+		p.record(at, at+s)
 	}
 	expect(14*s+lagWindow, 0, 3*s)
 	for at := 14*s + lagWindow; at <= 14*s+3*lagWindow; at += s {
-		p.beat(at, at+s)
+		p.record(at, at+s)
 	}
 	expect(14*s+3*lagWindow, 0, 0)
 }
@@ -38,12 +38,12 @@
 	h := testConfig(t, newRegistry(t).addr)
 	n := start(t, h)
 	held, let := make(chan struct{}), make(chan struct{})
-	stall := apply{gen: h.Current(), done: make(chan struct{})}
+	stall := applyGeneration{generation: h.Current(), done: make(chan struct{})}
 	n.loop.onApply = func(*config.Generation) { close(held); <-let }
 	n.loop.events <- stall
 	<-held
-	testkit.Eventually(t, "the standstill", func() bool { s := n.Status(); return s.Lag > 2*lookEvery && s.MostLag >= s.Lag })
+	testkit.Eventually(t, "the standstill", func() bool { s := n.Status(); return s.Lag > 2*checkInterval && s.MostLag >= s.Lag })
 	close(let)
 	<-stall.done
-	testkit.Eventually(t, "the loop's going on", func() bool { s := n.Status(); return s.Lag < lookEvery && s.MostLag > 2*lookEvery })
+	testkit.Eventually(t, "the loop's going on", func() bool { s := n.Status(); return s.Lag < checkInterval && s.MostLag > 2*checkInterval })
 }
--- a/internal/node/left_client_test.go
+++ b/internal/node/left_client_test.go
@@ -53,7 +53,7 @@
 	for _, whole := range []bool{true, false} {
 		a := newApp(t, answer("200 OK", "", "hits"))
 		n := nodeWith(t, a.addr())
-		begun, let := holdDials(n.up)
+		begun, let := holdDials(n.upstream)
 		c := dial(t, n)
 		r := request(n.url, "loan", patience)
 		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n", r.URL.RequestURI())
@@ -67,7 +67,7 @@
 			n.server.mu.Lock()
 			defer n.server.mu.Unlock()
 			for cc := range n.server.conns {
-				if cc.state == connReading && !cc.probe {
+				if cc.state == connReading && !cc.carriedProbe {
 					return true
 				}
 			}
--- a/internal/node/linger.go
+++ b/internal/node/linger.go
@@ -11,28 +11,28 @@
 // the client could lose a response that it has not read yet. A request that crosses the shutdown of sending
 // is not processed: its client sees the end of the connection and repeats the request elsewhere.
 const (
-	lingerFor  = 500 * time.Millisecond // a round trip and the delay of a slow client
-	lingerMost = 256 << 10              // bytes that are read and discarded
-	lingerPart = 0.125                  // share of the clients' descriptors for connections being closed
+	lingerTimeout  = 500 * time.Millisecond // a round trip and the delay of a slow client
+	maxLingerBytes = 256 << 10              // bytes that are read and discarded
+	lingerShare    = 0.125                  // share of the clients' descriptors for connections being closed
 )
 
-// end begins the lingering close of a connection that is not busy. The read of the connection's goroutine
-// fails, and the goroutine continues with leave. The caller holds the mutex.
-func (s *server) end(cc *clientConn) {
-	if s.shut >= s.spare {
+// beginClose begins the lingering close of a connection that is not busy. The read of the connection's
+// goroutine fails, and the goroutine continues with finishClose. The caller holds the mutex.
+func (s *httpServer) beginClose(cc *clientConn) {
+	if s.closingConns >= s.maxClosing {
 		s.closeOldestLingering()
 	}
-	cc.shut, cc.since = true, s.clock.now()
-	s.shut++
+	cc.closing, cc.stateSince = true, s.clock.now()
+	s.closingConns++
 	closeWrite(cc.Conn)
-	_ = cc.SetReadDeadline(time.Unix(1, 0)) // become no longer changes it
+	_ = cc.SetReadDeadline(time.Unix(1, 0)) // setState no longer changes it
 }
 
 // closeOldestLingering closes the connection whose lingering close began first.
-func (s *server) closeOldestLingering() {
+func (s *httpServer) closeOldestLingering() {
 	var oldest *clientConn
 	for cc := range s.conns {
-		if cc.shut && !cc.closed && (oldest == nil || cc.since < oldest.since) {
+		if cc.closing && !cc.closed && (oldest == nil || cc.stateSince < oldest.stateSince) {
 			oldest = cc
 		}
 	}
@@ -42,20 +42,20 @@
 	}
 }
 
-// leave completes the lingering close of a connection, as the last step of the connection's goroutine.
-func (s *server) leave(cc *clientConn) {
+// finishClose completes the lingering close of a connection, as the last step of the connection's goroutine.
+func (s *httpServer) finishClose(cc *clientConn) {
 	s.mu.Lock()
-	if !cc.shut {
-		s.end(cc)
+	if !cc.closing {
+		s.beginClose(cc)
 	}
 	s.mu.Unlock()
-	if cc.SetReadDeadline(time.Now().Add(lingerFor)) == nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(cc.Conn, lingerMost))
+	if cc.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
+		_, _ = io.Copy(io.Discard, io.LimitReader(cc.Conn, maxLingerBytes))
 	}
 	cc.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shut--
+	s.closingConns--
 	delete(s.conns, cc)
 }
 
--- a/internal/node/liveness_test.go
+++ b/internal/node/liveness_test.go
@@ -41,7 +41,7 @@
 	for n := syscall.Errno(1); n <= lastErrno; n++ {
 		gone := n == syscall.EBADF || n == syscall.EINVAL || n == syscall.ENOTSOCK
 		synctest.Test(t, func(t *testing.T) {
-			s := newServer(clock{time.Now()}, nil, nil, nil, 4)
+			s := newHTTPServer(clock{time.Now()}, nil, nil, nil, 4)
 			d, done := door{make(chan any)}, make(chan error, 1)
 			go func() { done <- s.serve(d) }()
 			for range 3 {
@@ -76,7 +76,7 @@
 // that lingered would have the next error come 5 ms later, and another close.
 func TestDescriptorsUsedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServer(clock{time.Now()}, nil, nil, nil, 100)
+		s := newHTTPServer(clock{time.Now()}, nil, nil, nil, 100)
 		d, done := door{make(chan any)}, make(chan error, 1)
 		go func() { done <- s.serve(d) }()
 		var mine []net.Conn
@@ -88,7 +88,7 @@
 		synctest.Wait()
 		d.next <- syscall.EMFILE
 		synctest.Wait()
-		if open, _ := s.state(); open != 2 {
+		if open, _ := s.activity(); open != 2 {
 			t.Errorf("%d of 3 connections open behind an error", open)
 		}
 		d.next <- nil
@@ -117,12 +117,12 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			tries, began := 0, time.Now()
-			err := patiently(began.Add(addressWait), func() error {
+			err := retryListen(began.Add(listenRetryTimeout), func() error {
 				tries++
 				return c.errs[min(tries, len(c.errs))-1]
 			})
 			took := time.Since(began)
-			if !errors.Is(err, c.want) || (c.tries > 0) != (tries == c.tries) || took > addressWait+addressPause || c.tries == 0 && took < addressWait {
+			if !errors.Is(err, c.want) || (c.tries > 0) != (tries == c.tries) || took > listenRetryTimeout+listenRetryDelay || c.tries == 0 && took < listenRetryTimeout {
 				t.Errorf("%v: %v after %d tries, %v", c.errs, err, tries, took)
 			}
 		})
@@ -133,10 +133,10 @@
 // connection carried an answer.
 func TestContinueOnAnOldConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newServer(clock{time.Now()}, nil, nil, nil, 4)
+		s := newHTTPServer(clock{time.Now()}, nil, nil, nil, 4)
 		mine, theirs := net.Pipe()
-		cc := s.enter(theirs)
-		go s.talk(cc)
+		cc := s.addConn(theirs)
+		go s.serveConn(cc)
 		r := bufio.NewReader(mine)
 		line := func(want string) {
 			t.Helper()
@@ -166,7 +166,7 @@
 	synctest.Test(t, func(t *testing.T) { // the clock stands still while the loop works
 		l := newLoop(clock{time.Now()}, nil, nil)
 		for range 3 {
-			l.act(policy.SetTimer{Token: "again", After: -time.Second})
+			l.perform(policy.SetTimer{Token: "again", After: -time.Second})
 		}
 		now := l.clock.now()
 		for _, x := range l.timers {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -22,14 +22,14 @@
 }
 
 const (
-	eventQueue = 4096
-	// answerMargin is the time before a client's deadline at which its response is decided. It covers the
+	eventQueueSize = 4096
+	// responseMargin is the time before a client's deadline at which its response is decided. It covers the
 	// network delay of the request and of the response.
-	answerMargin = 10 * time.Millisecond
-	backstop     = 3 * time.Millisecond  // after the margin, before a request that policy left open is failed
-	lookEvery    = 50 * time.Millisecond // between two checks for disconnected clients
-	soon         = time.Millisecond      // Retry-After of a shortened shutdown: others may have room
-	minTimer     = time.Microsecond      // a timer of policy fires strictly after the event that set it
+	responseMargin    = 10 * time.Millisecond
+	backstopDelay     = 3 * time.Millisecond  // after the margin, until an open request is failed
+	checkInterval     = 50 * time.Millisecond // between two checks for disconnected clients
+	refusalRetryAfter = time.Millisecond      // Retry-After during a shortened shutdown
+	minTimerDelay     = time.Microsecond      // timers fire strictly after the event that set them
 
 	statusBadRequest, statusConflict = 400, 409
 )
@@ -38,340 +38,344 @@
 // carries them out one at a time. The loop owns all other fields.
 type call struct {
 	policy.Request
-	name    string             // X-Request-Id
-	gen     *config.Generation // the generation that the request was parsed with
-	req     *clientRequest     // the connection's buffer, unchanged until the response
-	class   *policy.Class
-	client  *clientConn // nil in tests of the loop alone
-	arrived time.Duration
-	budget  time.Duration // X-Deadline-Ms
-	cmd     chan command  // capacity 1: the next is sent once the last is carried out
-
-	due      time.Duration // the client's deadline less answerMargin
-	backstop *timer
-	attempts int
-	ranAt    time.Duration // start of the first attempt that the server may have run; 0: none
-	out      *attempt      // in flight; nil: none is
-	final    *command      // sent once the attempt in flight has ended; nil: not decided
+	requestID  string             // X-Request-Id
+	generation *config.Generation // the generation that the request was parsed with
+	message    *clientRequest     // the connection's buffer, unchanged until the response
+	class      *policy.Class
+	client     *clientConn // nil in tests of the loop alone
+	arrivedAt  time.Duration
+	timeout    time.Duration // X-Deadline-Ms
+	commands   chan command  // capacity 1: the next is sent once the last is carried out
+
+	deadline     time.Duration // the client's deadline less responseMargin
+	backstop     *timer
+	attemptCount int
+	mayHaveRunAt time.Duration // start of the first attempt that the server may have run; 0: none
+	inFlight     *attempt      // nil: none
+	finalCommand *command      // sent once the attempt in flight has ended; nil: not decided
 }
 
 // command is an attempt to carry out or, if attempt is nil, the final answer to the client.
 type command struct {
 	attempt    *attempt
 	refuse     bool
-	bad        int // status of the answer to an invalid request; 0: the request is valid
+	badStatus  int // status of the answer to an invalid request; 0: the request is valid
 	retryAfter time.Duration
 }
 
 // outcome is the event that an attempt has ended.
 type outcome struct {
-	c *call
-	a *attempt
+	call    *call
+	attempt *attempt
 	result
 }
 
-// apply is the event that puts a generation in force. The loop closes done afterwards.
-type apply struct {
-	gen  *config.Generation
-	done chan struct{}
+// applyGeneration is the event that puts a generation in force. The loop closes done afterwards.
+type applyGeneration struct {
+	generation *config.Generation
+	done       chan struct{}
 }
 
-// shutdown is the event that ends the loop. Policy first hands its counts to other edge nodes. Once it
+// endLoop is the event that ends the loop. Policy first hands its counts to other edge nodes. Once it
 // reports ShutdownDone the loop handles no further event, so that the last messages and the last snapshot are
 // complete. With now set the loop ends at once.
-type shutdown struct{ now bool }
+type endLoop struct{ now bool }
 
-// giveUp is the event that turns on or off that all requests without an attempt in flight are answered at
-// once, so that their clients can send them to another edge node.
-type giveUp bool
+// refuseWaiting is the event that turns on or off that all requests without an attempt in flight are
+// answered at once, so that their clients can send them to another edge node.
+type refuseWaiting bool
 
 // loop owns the policy.Gateway and the state of all open requests. Other goroutines post events to it.
 // It never waits for a socket.
 type loop struct {
-	clock   clock
-	gateway *policy.Gateway
-	up      *upstream
-	tell    func(to int, data []byte)
-	mustAsk bool
-	onList  func(kind policy.MembersKind)
-	gen     *config.Generation           // in force
-	onApply func(gen *config.Generation) // applies its limits outside the loop
-	reread  func(c *call) error          // parses a request again with the generation in force
-
-	hasty       bool            // set by giveUp
-	ended       bool            // policy has completed its shutdown
-	keep        *snapshotWriter // nil: no snapshots are written
-	over        chan struct{}   // closed when run returns
-	events      chan any
-	nextID      policy.RequestID
-	calls       map[policy.RequestID]*call
-	names       map[string]*call // by X-Request-Id
-	heartbeat   heartbeat
-	disconnects disconnectCounts
-	timers      timerHeap
-	timer       *time.Timer
-	wake        time.Duration // time that the timer is set to; 0: not set
-	queue       []policy.Event
-	acts        []policy.Action
+	clock          clock
+	gateway        *policy.Gateway
+	upstream       *upstream
+	sendToPeer     func(to int, data []byte)
+	pollsDiscovery bool
+	onServerList   func(kind policy.MembersKind)
+	generation     *config.Generation                  // in force
+	onApply        func(generation *config.Generation) // applies its limits outside the loop
+	reparse        func(c *call) error                 // parses a request again with the generation in force
+
+	refusesWaiting bool            // set by the event refuseWaiting
+	ended          bool            // policy has completed its shutdown
+	snapshots      *snapshotWriter // nil: no snapshots are written
+	done           chan struct{}   // closed when run returns
+	events         chan any
+	nextID         policy.RequestID
+	calls          map[policy.RequestID]*call
+	byRequestID    map[string]*call // by X-Request-Id
+	heartbeat      heartbeat
+	disconnects    disconnectCounts
+	timers         timerHeap
+	timer          *time.Timer
+	timerAt        time.Duration // time that the timer is set to; 0: not set
+	pending        []policy.Event
+	actions        []policy.Action
 }
 
 func newLoop(c clock, g *policy.Gateway, up *upstream) *loop {
-	return &loop{clock: c, gateway: g, up: up, events: make(chan any, eventQueue), over: make(chan struct{}),
-		calls: map[policy.RequestID]*call{}, names: map[string]*call{}, timer: time.NewTimer(time.Hour)}
+	return &loop{clock: c, gateway: g, upstream: up, events: make(chan any, eventQueueSize),
+		done: make(chan struct{}), calls: map[policy.RequestID]*call{}, byRequestID: map[string]*call{},
+		timer: time.NewTimer(time.Hour)}
 }
 
 // post queues an event. It blocks while the queue is full, unless the loop has ended.
 func (l *loop) post(ev any) {
 	select {
 	case l.events <- ev:
-	case <-l.over:
+	case <-l.done:
 	}
 }
 
-// run handles events until done is closed or policy has completed its shutdown.
-func (l *loop) run(done <-chan struct{}) {
-	defer close(l.over)
+// run handles events until stop is closed or policy has completed its shutdown.
+func (l *loop) run(stop <-chan struct{}) {
+	defer close(l.done)
 	defer l.timer.Stop()
-	l.look()
+	l.checkDisconnects()
 	for {
-		l.arm()
+		l.armTimer()
 		select {
-		case <-done:
+		case <-stop:
 			return
 		case ev := <-l.events:
 			l.handle(ev)
 		case <-l.timer.C:
-			l.wake = 0
+			l.timerAt = 0
 		}
-		if l.fire(); l.ended {
-			if l.keep != nil {
-				l.keep.writer.Offer(l.keep.nextState(l, true))
+		if l.fireTimers(); l.ended {
+			if l.snapshots != nil {
+				l.snapshots.writer.Offer(l.snapshots.nextState(l, true))
 			}
 			return
 		}
 	}
 }
 
-// arm sets the timer to the earliest entry of the heap.
-func (l *loop) arm() {
-	if len(l.timers) == 0 || l.wake != 0 && l.wake <= l.timers[0].at {
+// armTimer sets the timer to the earliest entry of the heap.
+func (l *loop) armTimer() {
+	if len(l.timers) == 0 || l.timerAt != 0 && l.timerAt <= l.timers[0].at {
 		return
 	}
-	l.wake = l.timers[0].at
-	l.timer.Reset(max(0, l.wake-l.clock.now()))
+	l.timerAt = l.timers[0].at
+	l.timer.Reset(max(0, l.timerAt-l.clock.now()))
 }
 
-// fire handles the timers that have expired. Timers set meanwhile wait for the next call, however short they
-// are, so that events are handled in between.
-func (l *loop) fire() {
+// fireTimers handles the timers that have expired. Timers set meanwhile wait for the next call, however
+// short they are, so that events are handled in between.
+func (l *loop) fireTimers() {
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].at <= now; {
 		t := heap.Pop(&l.timers).(*timer)
 		switch {
 		case t.call != nil:
-			l.overdue(t.call)
-		case t.look:
-			l.look()
+			l.failOverdue(t.call)
+		case t.disconnectCheck:
+			l.checkDisconnects()
 		default:
-			l.decide(policy.Timer{Token: t.token})
+			l.dispatch(policy.Timer{Token: t.token})
 		}
 	}
 }
 
+// handle handles one event from the queue.
 func (l *loop) handle(ev any) {
 	switch ev := ev.(type) {
 	case *call:
-		l.arrive(ev)
+		l.addCall(ev)
 	case outcome:
-		l.end(ev)
+		l.endAttempt(ev)
 	case policy.PeerMessage:
-		l.decide(ev)
+		l.dispatch(ev)
 	case listUpdate:
-		l.members(ev)
+		l.updateServers(ev)
 	case barrier:
 		close(ev.done)
-	case apply:
-		l.apply(ev)
+	case applyGeneration:
+		l.applyGeneration(ev)
 	case policy.Restore:
-		l.decide(ev)
-	case shutdown:
+		l.dispatch(ev)
+	case endLoop:
 		if l.ended = l.ended || ev.now; !ev.now {
-			l.decide(policy.Shutdown{})
+			l.dispatch(policy.Shutdown{})
 		}
-	case giveUp:
-		l.hasty = bool(ev)
+	case refuseWaiting:
+		l.refusesWaiting = bool(ev)
 	case captureState:
-		if st := l.keep.nextState(l, false); st != nil {
-			l.keep.writer.Offer(st)
+		if st := l.snapshots.nextState(l, false); st != nil {
+			l.snapshots.writer.Offer(st)
 		}
 	}
-	if l.hasty {
-		l.giveUp()
+	if l.refusesWaiting {
+		l.refuseAllWaiting()
 	}
 }
 
-// apply is the only place where a new generation comes into force. A request that was parsed with the
-// previous generation and arrives later is parsed again, so that no decision mixes two generations.
-func (l *loop) apply(ev apply) {
-	l.gen = ev.gen
-	l.decide(policy.Reconfigure{Settings: ev.gen.File.Settings})
-	l.onApply(ev.gen)
+// applyGeneration is the only place where a new generation comes into force. A request that was parsed with
+// the previous generation and arrives later is parsed again, so that no decision mixes two generations.
+func (l *loop) applyGeneration(ev applyGeneration) {
+	l.generation = ev.generation
+	l.dispatch(policy.Reconfigure{Settings: ev.generation.File.Settings})
+	l.onApply(ev.generation)
 	close(ev.done)
 }
 
-// giveUp refuses all requests without an attempt in flight. A request that may have run and is not safe to
-// repeat is failed instead, since a refusal invites the client to retry.
-func (l *loop) giveUp() {
+// refuseAllWaiting refuses all requests without an attempt in flight. A request that may have run and is
+// not safe to repeat is failed instead, since a refusal invites the client to retry.
+func (l *loop) refuseAllWaiting() {
 	for id, c := range l.calls {
-		if c.out != nil {
+		if c.inFlight != nil {
 			continue
 		}
-		l.finish(c, command{refuse: c.ranAt == 0 || c.class.Effect == policy.Safe, retryAfter: soon})
-		l.decide(policy.Gone{ID: id})
+		l.finish(c, command{refuse: c.mayHaveRunAt == 0 || c.class.Effect == policy.Safe,
+			retryAfter: refusalRetryAfter})
+		l.dispatch(policy.Gone{ID: id})
 	}
 }
 
-func (l *loop) arrive(c *call) {
-	if c.gen != l.gen && l.reread(c) != nil {
-		c.cmd <- command{bad: statusBadRequest}
+// addCall registers a new request, unless it is invalid or its id belongs to an open request.
+func (l *loop) addCall(c *call) {
+	if c.generation != l.generation && l.reparse(c) != nil {
+		c.commands <- command{badStatus: statusBadRequest}
 		return
 	}
-	if l.names[c.name] != nil {
-		c.cmd <- command{bad: statusConflict} // the open request with this id continues
+	if l.byRequestID[c.requestID] != nil {
+		c.commands <- command{badStatus: statusConflict} // the open request with this id continues
 		return
 	}
 	l.nextID++
 	c.ID = l.nextID
-	c.due = c.arrived + max(0, c.budget-answerMargin)
-	c.Remaining = max(0, c.due-l.clock.now())
-	l.calls[c.ID], l.names[c.name] = c, c
-	c.backstop = &timer{at: c.due + backstop, call: c}
+	c.deadline = c.arrivedAt + max(0, c.timeout-responseMargin)
+	c.Remaining = max(0, c.deadline-l.clock.now())
+	l.calls[c.ID], l.byRequestID[c.requestID] = c, c
+	c.backstop = &timer{at: c.deadline + backstopDelay, call: c}
 	heap.Push(&l.timers, c.backstop)
-	l.decide(c.Request)
+	l.dispatch(c.Request)
 }
 
-// end handles the end of an attempt. The connection's goroutine has already begun to write a successful
-// response to the client.
-func (l *loop) end(o outcome) {
-	c, ev := o.c, policy.Outcome{ID: o.a.id, Attempt: o.a.num, Server: o.a.server, Code: o.code,
-		Latency: l.clock.now() - o.a.startedAt, Load: o.load}
-	c.out = nil
+// endAttempt handles the end of an attempt. The connection's goroutine has already begun to write a
+// successful response to the client.
+func (l *loop) endAttempt(o outcome) {
+	c, ev := o.call, policy.Outcome{ID: o.attempt.id, Attempt: o.attempt.num, Server: o.attempt.server,
+		Code: o.code, Latency: l.clock.now() - o.attempt.startedAt, Load: o.load}
+	c.inFlight = nil
 	switch {
-	case o.a.num > 0:
-	case o.a.clientDisconnected:
+	case o.attempt.num > 0:
+	case o.attempt.clientDisconnected:
 		l.disconnects.writing.Add(1)
-	case o.a.disconnectHidden:
+	case o.attempt.disconnectHidden:
 		l.disconnects.hidden.Add(1)
 	}
-	if c.ranAt == 0 && !o.code.NeverRan() {
-		c.ranAt = o.a.startedAt
+	if c.mayHaveRunAt == 0 && !o.code.NeverRan() {
+		c.mayHaveRunAt = o.attempt.startedAt
 	}
 	switch {
 	case o.code == policy.OK:
-		l.forget(c)
-	case o.badRequest && c.final == nil:
-		l.answer(c, command{bad: statusBadRequest})
-	case c.final != nil:
-		l.answer(c, *c.final)
+		l.removeCall(c)
+	case o.badRequest && c.finalCommand == nil:
+		l.respond(c, command{badStatus: statusBadRequest})
+	case c.finalCommand != nil:
+		l.respond(c, *c.finalCommand)
 	}
 	ev.Over = l.calls[c.ID] == nil
-	l.decide(ev)
+	l.dispatch(ev)
 }
 
-// overdue fails a request that policy has not answered by its deadline.
-func (l *loop) overdue(c *call) {
+// failOverdue fails a request that policy has not answered by its deadline.
+func (l *loop) failOverdue(c *call) {
 	if l.calls[c.ID] == nil {
 		return
 	}
 	l.finish(c, command{})
-	l.decide(policy.Gone{ID: c.ID})
+	l.dispatch(policy.Gone{ID: c.ID})
 }
 
-// look finds the clients that have disconnected. Their requests get no further attempts, and an attempt that
-// still waits for its connection is withdrawn. An attempt that may have been written continues, since the
-// server would not stop working on it either.
-func (l *loop) look() {
+// checkDisconnects finds the clients that have disconnected. Their requests get no further attempts, and an
+// attempt that still waits for its connection is withdrawn. An attempt that may have been written
+// continues, since the server would not stop working on it either.
+func (l *loop) checkDisconnects() {
 	for id, c := range l.calls {
 		if c.client == nil || !c.client.disconnected() {
 			continue
 		}
-		if c.out == nil {
-			if c.attempts == 0 {
+		if c.inFlight == nil {
+			if c.attemptCount == 0 {
 				l.disconnects.held.Add(1)
 			}
-			l.answer(c, command{})
+			l.respond(c, command{})
 		} else {
-			if c.out.withdraw() && c.out.num == 0 {
+			if c.inFlight.withdraw() && c.inFlight.num == 0 {
 				l.disconnects.dialing.Add(1)
 			}
-			l.forget(c)
-			c.final = &command{}
+			l.removeCall(c)
+			c.finalCommand = &command{}
 		}
-		l.decide(policy.Gone{ID: id})
+		l.dispatch(policy.Gone{ID: id})
 	}
 	now := l.clock.now()
-	heap.Push(&l.timers, &timer{at: now + lookEvery, look: true})
-	l.heartbeat.beat(now, now+lookEvery)
+	heap.Push(&l.timers, &timer{at: now + checkInterval, disconnectCheck: true})
+	l.heartbeat.record(now, now+checkInterval)
 }
 
 // finish gives a request its final answer. If an attempt is in flight, it cancels the attempt, and the answer
 // follows at the attempt's end.
 func (l *loop) finish(c *call, cmd command) {
-	if c.out == nil {
-		l.answer(c, cmd)
+	if c.inFlight == nil {
+		l.respond(c, cmd)
 		return
 	}
-	if c.final == nil {
+	if c.finalCommand == nil {
 		// The attempt may run, so the answer can't be a refusal.
-		c.final = &command{}
-		c.out.cancel()
+		c.finalCommand = &command{}
+		c.inFlight.cancel()
 	}
 }
 
-func (l *loop) answer(c *call, cmd command) {
-	l.forget(c)
-	c.cmd <- cmd
+func (l *loop) respond(c *call, cmd command) {
+	l.removeCall(c)
+	c.commands <- cmd
 }
 
-// forget removes a request from the loop once its answer is decided.
-func (l *loop) forget(c *call) {
+// removeCall removes a request from the loop once its answer is decided.
+func (l *loop) removeCall(c *call) {
 	delete(l.calls, c.ID)
-	if l.names[c.name] == c {
-		delete(l.names, c.name)
+	if l.byRequestID[c.requestID] == c {
+		delete(l.byRequestID, c.requestID)
 	}
-	if c.backstop != nil && c.backstop.place >= 0 {
-		heap.Remove(&l.timers, c.backstop.place)
+	if c.backstop != nil && c.backstop.index >= 0 {
+		heap.Remove(&l.timers, c.backstop.index)
 	}
 }
 
-// members handles a list of servers, changes to it, or a failed call to discovery.
-func (l *loop) members(m listUpdate) {
+// updateServers handles a list of servers, changes to it, or a failed call to discovery.
+func (l *loop) updateServers(m listUpdate) {
 	if m.done != nil {
 		defer close(m.done)
 	}
 	if m.list == nil {
-		if l.mustAsk {
-			l.decide(policy.Members{Kind: policy.AskFailed})
+		if l.pollsDiscovery {
+			l.dispatch(policy.Members{Kind: policy.AskFailed})
 		}
-		if l.onList != nil {
-			l.onList(policy.AskFailed)
+		if l.onServerList != nil {
+			l.onServerList(policy.AskFailed)
 		}
 		return
 	}
-	l.up.directory.SetPartial(m.more)
-	if l.keep != nil && !m.more {
-		l.keep.listChanged = true
+	l.upstream.directory.SetPartial(m.more)
+	if l.snapshots != nil && !m.more {
+		l.snapshots.listChanged = true
 	}
-	l.up.update(m.list, m.kind != policy.Changes)
+	l.upstream.update(m.list, m.kind != policy.Changes)
 	if len(m.list.Targets) > 0 || m.kind != policy.Changes {
-		l.decide(policy.Members{Kind: m.kind, Servers: servers(m.list.Targets)})
+		l.dispatch(policy.Members{Kind: m.kind, Servers: policyServers(m.list.Targets)})
 	}
-	if !m.more && l.onList != nil {
-		l.onList(m.listKind)
+	if !m.more && l.onServerList != nil {
+		l.onServerList(m.listKind)
 	}
 }
 
-// servers converts lines of discovery's list for policy.
-func servers(lines []target) []policy.Server {
+// policyServers converts lines of discovery's list for policy.
+func policyServers(lines []target) []policy.Server {
 	out := make([]policy.Server, 0, len(lines))
 	for i := range lines {
 		out = append(out, lines[i].Server())
@@ -379,24 +383,24 @@
 	return out
 }
 
-// decide has policy handle an event and carries out the resulting actions.
-func (l *loop) decide(ev policy.Event) {
-	l.queue = append(l.queue[:0], ev)
-	for i := 0; i < len(l.queue); i++ {
-		l.acts = l.gateway.Handle(l.clock.now(), l.queue[i], l.acts[:0])
-		for _, a := range l.acts {
-			l.act(a)
+// dispatch has policy handle an event and carries out the resulting actions.
+func (l *loop) dispatch(ev policy.Event) {
+	l.pending = append(l.pending[:0], ev)
+	for i := 0; i < len(l.pending); i++ {
+		l.actions = l.gateway.Handle(l.clock.now(), l.pending[i], l.actions[:0])
+		for _, a := range l.actions {
+			l.perform(a)
 		}
 	}
 }
 
-func (l *loop) act(a policy.Action) {
+func (l *loop) perform(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
-		l.send(a)
+		l.startAttempt(a)
 	case policy.Cancel:
-		if c := l.calls[a.ID]; c != nil && c.out != nil && c.out.num == a.Attempt {
-			c.out.cancel()
+		if c := l.calls[a.ID]; c != nil && c.inFlight != nil && c.inFlight.num == a.Attempt {
+			c.inFlight.cancel()
 		}
 	case policy.Refuse:
 		if c := l.calls[a.ID]; c != nil {
@@ -407,10 +411,10 @@
 			l.finish(c, command{})
 		}
 	case policy.SetTimer:
-		heap.Push(&l.timers, &timer{at: l.clock.now() + max(minTimer, a.After), token: a.Token})
+		heap.Push(&l.timers, &timer{at: l.clock.now() + max(minTimerDelay, a.After), token: a.Token})
 	case policy.Tell:
-		if l.tell != nil {
-			l.tell(a.To, a.Data)
+		if l.sendToPeer != nil {
+			l.sendToPeer(a.To, a.Data)
 		}
 	case policy.Watch:
 		// Package node watches the list from the start.
@@ -421,19 +425,19 @@
 	}
 }
 
-// send starts an attempt. If that is no longer possible, policy gets the outcome Moot.
-func (l *loop) send(s policy.Send) {
+// startAttempt starts an attempt. If that is no longer possible, policy gets the outcome Moot.
+func (l *loop) startAttempt(s policy.Send) {
 	c, now := l.calls[s.ID], l.clock.now()
 	moot := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.Moot, Over: c == nil}
 	if c != nil {
-		moot.Attempt = c.attempts
-		c.attempts++
+		moot.Attempt = c.attemptCount
+		c.attemptCount++
 	}
-	if c == nil || c.out != nil || c.final != nil || now >= c.due {
-		l.queue = append(l.queue, moot)
+	if c == nil || c.inFlight != nil || c.finalCommand != nil || now >= c.deadline {
+		l.pending = append(l.pending, moot)
 		return
 	}
-	a := &attempt{id: s.ID, num: c.attempts - 1, server: s.Server, startedAt: now, deadline: c.due}
+	a := &attempt{id: s.ID, num: c.attemptCount - 1, server: s.Server, startedAt: now, deadline: c.deadline}
 	if c.client != nil {
 		a.client = c.client
 	}
@@ -441,20 +445,20 @@
 		a.deadline = min(a.deadline, now+s.Timeout)
 	}
 	a.writeDeadline = a.deadline
-	if c.ranAt > 0 && c.class.Effect == policy.Keyed {
-		a.writeDeadline = min(a.writeDeadline, c.ranAt+c.class.Window-answerMargin) // network delay
+	if c.mayHaveRunAt > 0 && c.class.Effect == policy.Keyed {
+		a.writeDeadline = min(a.writeDeadline, c.mayHaveRunAt+c.class.Window-responseMargin) // network delay
 	}
-	c.out = a
-	c.cmd <- command{attempt: a}
+	c.inFlight = a
+	c.commands <- command{attempt: a}
 }
 
 // timer is a timer of policy, the backstop of a request, or the next check for disconnected clients.
 type timer struct {
-	at    time.Duration
-	token string
-	call  *call
-	look  bool // check for disconnected clients
-	place int  // index in the heap; -1: removed
+	at              time.Duration
+	token           string
+	call            *call
+	disconnectCheck bool // check for disconnected clients
+	index           int  // index in the heap; -1: removed
 }
 
 type timerHeap []*timer
@@ -463,17 +467,17 @@
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].index, h[j].index = i, j
 }
 func (h *timerHeap) Push(x any) {
 	t := x.(*timer)
-	t.place = len(*h)
+	t.index = len(*h)
 	*h = append(*h, t)
 }
 func (h *timerHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
-	old[len(old)-1], t.place = nil, -1
+	old[len(old)-1], t.index = nil, -1
 	*h = old[:len(old)-1]
 	return t
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -14,7 +14,7 @@
 
 	// Parts of a list that is queued before the loop starts. Longer lists have larger parts, so that they
 	// don't fill the loop's queue.
-	maxQueuedParts = eventQueue / 4
+	maxQueuedParts = eventQueueSize / 4
 )
 
 // listUpdate is an event that brings the loop a list, changes to it, or a part of either.
@@ -33,7 +33,7 @@
 func (l *loop) postList(list *serverList, kind policy.MembersKind) {
 	if list == nil ||
 		len(list.Targets) <= maxUnsplitLines &&
-			(kind == policy.Changes || l.up.directory.Len() <= maxUnsplitLines) {
+			(kind == policy.Changes || l.upstream.directory.Len() <= maxUnsplitLines) {
 		l.post(listUpdate{list: list, kind: kind, listKind: kind})
 		return
 	}
@@ -45,10 +45,10 @@
 		// The order of the lines stays: a server has several, and the last one counts.
 	case kind == policy.Changes:
 		roster.EndsFirst(lines)
-	case l.up.directory.Len() == 0:
+	case l.upstream.directory.Len() == 0:
 		firstKind = kind
 	default:
-		lines = l.up.directory.Difference(list)
+		lines = l.upstream.directory.Difference(list)
 	}
 	for _, part := range splitList(list.Rev, lines, maxPartLines, firstKind, kind) {
 		l.postAndWait(func(done chan struct{}) any {
@@ -67,7 +67,7 @@
 	l.post(event(done))
 	select {
 	case <-done:
-	case <-l.over:
+	case <-l.done:
 	}
 }
 
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -30,8 +30,8 @@
 		switch ev := ev.(type) {
 		case listUpdate:
 			got = append(got, ev)
-			l.events <- giveUp(false)
-		case giveUp:
+			l.events <- refuseWaiting(false)
+		case refuseWaiting:
 			between++
 		}
 		l.handle(ev)
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.end()
+	defer n.cancel()
 	defer n.listener.Close()
 	const servers, zones = 6000, 18
 	zone := func(change func(*target)) *serverList {
@@ -95,7 +95,7 @@
 		{"a short list", largeFleet(10, 1), policy.Whole, 0, policy.Changes, 10, 10},
 	} {
 		told := []policy.MembersKind{}
-		n.loop.onList = func(kind policy.MembersKind) { told = append(told, kind) }
+		n.loop.onServerList = func(kind policy.MembersKind) { told = append(told, kind) }
 		got, between := fed(t, n.loop, c.list, c.kind)
 		lines := 0
 		for i, part := range got {
@@ -113,12 +113,12 @@
 		}
 		running := 0
 		for id := range policy.ServerID(servers) {
-			if e, listed := n.up.directory.Find(id + 1); listed && e.State == policy.Running {
+			if e, listed := n.upstream.directory.Find(id + 1); listed && e.State == policy.Running {
 				running++
 			}
 		}
-		if n.up.directory.Len() != c.listed || running != c.running {
-			t.Errorf("%s: %d listed and %d running, want %d and %d", c.name, n.up.directory.Len(), running, c.listed, c.running)
+		if n.upstream.directory.Len() != c.listed || running != c.running {
+			t.Errorf("%s: %d listed and %d running, want %d and %d", c.name, n.upstream.directory.Len(), running, c.listed, c.running)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.end()
+	defer n.cancel()
 	defer n.listener.Close()
 	list := largeFleet(2*maxUnsplitLines, 1)
 	last := &list.Targets[len(list.Targets)-1]
@@ -142,7 +142,7 @@
 	list.Twice = roster.ErrTwice
 	list.Targets[len(list.Targets)-1] = target{UID: list.Targets[0].UID, State: roster.Gone}
 	fed(t, n.loop, list, policy.Changes)
-	if _, listed := n.up.directory.Find(1); listed {
+	if _, listed := n.upstream.directory.Find(1); listed {
 		t.Error("of two lines of a server the first counts")
 	}
 }
@@ -153,7 +153,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.end()
+	defer n.cancel()
 	defer n.listener.Close()
 	for _, kind := range []policy.MembersKind{policy.Whole, policy.Changes, policy.Whole} {
 		list := largeFleet(maxUnsplitLines, 3)
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -9,11 +9,11 @@
 
 // Limits on an HTTP/1.1 message, in bytes unless noted.
 const (
-	maxBody   = 64 << 10
-	maxHead   = 16 << 10
-	maxFields = 100     // header or trailer fields
-	maxLine   = 256     // chunk size line with its extensions
-	minBuf    = 2 << 10 // initial size of a read buffer
+	maxBodyBytes      = 64 << 10
+	maxHeadBytes      = 16 << 10
+	maxFields         = 100     // header or trailer fields
+	maxChunkLineBytes = 256     // chunk size line with its extensions
+	minBufferBytes    = 2 << 10 // initial size of a read buffer
 )
 
 // Errors in a message. After any of them nothing more can be read from the connection, since the start of the
@@ -26,7 +26,7 @@
 )
 
 // stream reads HTTP messages from a connection. It rejects ambiguous messages, since a server or a proxy
-// might interpret them differently (request smuggling). Slices that it returns are valid until begin.
+// might interpret them differently (request smuggling). Slices that it returns are valid until discardRead.
 type stream struct {
 	src io.Reader
 	buf []byte
@@ -35,11 +35,11 @@
 
 func (s *stream) buffered() int { return len(s.buf) - s.off }
 
-// begin discards the bytes that have been read, and shrinks a large buffer.
-func (s *stream) begin() {
+// discardRead discards the bytes that have been read, and shrinks a large buffer.
+func (s *stream) discardRead() {
 	rest := s.buf[s.off:]
-	if cap(s.buf) > 2*minBuf && len(rest) < minBuf {
-		s.buf = append(make([]byte, 0, minBuf), rest...)
+	if cap(s.buf) > 2*minBufferBytes && len(rest) < minBufferBytes {
+		s.buf = append(make([]byte, 0, minBufferBytes), rest...)
 	} else {
 		s.buf = s.buf[:copy(s.buf, rest)]
 	}
@@ -55,10 +55,10 @@
 	return empty
 }
 
-// more reads at least one byte from the connection into the buffer.
-func (s *stream) more() error {
+// fill reads at least one byte from the connection into the buffer.
+func (s *stream) fill() error {
 	if len(s.buf) == cap(s.buf) {
-		s.buf = append(make([]byte, 0, max(minBuf, 2*cap(s.buf))), s.buf...)
+		s.buf = append(make([]byte, 0, max(minBufferBytes, 2*cap(s.buf))), s.buf...)
 	}
 	n, err := s.src.Read(s.buf[len(s.buf):cap(s.buf)])
 	s.buf = s.buf[:len(s.buf)+n]
@@ -71,10 +71,10 @@
 	return err
 }
 
-// take returns the next n bytes.
-func (s *stream) take(n int) ([]byte, error) {
+// readN returns the next n bytes.
+func (s *stream) readN(n int) ([]byte, error) {
 	for s.buffered() < n {
-		if err := s.more(); err != nil {
+		if err := s.fill(); err != nil {
 			return nil, err
 		}
 	}
@@ -82,27 +82,27 @@
 	return s.buf[s.off-n : s.off], nil
 }
 
-// lines returns the bytes up to and including the first CRLF or, with whole set, the first empty line. It
-// checks each byte as it arrives, so that an invalid line fails early. The first bytes must equal start,
-// and the length must be below most.
-func (s *stream) lines(start string, whole bool, most int) ([]byte, error) {
+// readLines returns the bytes up to and including the first CRLF or, with untilEmptyLine set, the first
+// empty line. It checks each byte as it arrives, so that an invalid line fails early. The first bytes must
+// equal prefix, and the length must be below limit.
+func (s *stream) readLines(prefix string, untilEmptyLine bool, limit int) ([]byte, error) {
 	for i := 0; ; i++ {
 		for s.buffered() <= i {
-			if err := s.more(); err != nil {
+			if err := s.fill(); err != nil {
 				return nil, err
 			}
 		}
 		b := s.buf[s.off:]
 		switch c := b[i]; {
-		case i >= most:
+		case i >= limit:
 			return nil, errLongHead
-		case i < len(start) && c != start[i]:
+		case i < len(prefix) && c != prefix[i]:
 			return nil, errSyntax
 		case c == '\n':
 			if i == 0 || b[i-1] != '\r' {
 				return nil, errSyntax
 			}
-			if !whole || i < 2 || b[i-2] == '\n' {
+			if !untilEmptyLine || i < 2 || b[i-2] == '\n' {
 				s.off += i + 1
 				return b[:i+1], nil
 			}
@@ -114,21 +114,21 @@
 
 // head is the head of a message.
 type head struct {
-	first  []byte // the start line
-	fields []field
-	length int // of the body; -1: chunked, -2: not specified
+	startLine  []byte // request line or status line
+	fields     []field
+	bodyLength int // of the body; -1: chunked, -2: not specified
 }
 
 type field struct{ name, value []byte }
 
-// readHead reads a head whose first bytes equal start.
-func (s *stream) readHead(h *head, start string) error {
-	b, err := s.lines(start, true, maxHead)
+// readHead reads a head whose first bytes equal prefix.
+func (s *stream) readHead(h *head, prefix string) error {
+	b, err := s.readLines(prefix, true, maxHeadBytes)
 	if err != nil {
 		return err
 	}
-	h.first, b, _ = bytes.Cut(b, []byte("\r\n"))
-	h.fields, h.length = h.fields[:0], -2
+	h.startLine, b, _ = bytes.Cut(b, []byte("\r\n"))
+	h.fields, h.bodyLength = h.fields[:0], -2
 	for string(b) != "\r\n" && len(b) > 0 {
 		var line []byte
 		line, b, _ = bytes.Cut(b, []byte("\r\n"))
@@ -138,34 +138,34 @@
 		}
 		h.fields = append(h.fields, field{name, bytes.Trim(value, " \t")})
 	}
-	return h.frame()
+	return h.setBodyLength()
 }
 
-// frame determines the length of the body. More than one framing field is an error.
-func (h *head) frame() error {
-	length, n := h.one("Content-Length")
-	coding, m := h.one("Transfer-Encoding")
+// setBodyLength determines the length of the body. More than one framing field is an error.
+func (h *head) setBodyLength() error {
+	length, n := h.lookup("Content-Length")
+	coding, m := h.lookup("Transfer-Encoding")
 	switch {
 	case n+m > 1:
 		return errFraming
 	case n == 1:
-		if h.length, n = decimal(length); n == 0 {
+		if h.bodyLength, n = parseDecimal(length); n == 0 {
 			return errFraming
 		}
-		if h.length > maxBody {
+		if h.bodyLength > maxBodyBytes {
 			return errLongBody
 		}
 	case m == 1:
 		if !strings.EqualFold(string(coding), "chunked") {
 			return errFraming
 		}
-		h.length = -1
+		h.bodyLength = -1
 	}
 	return nil
 }
 
-// one returns the first value of a field and the number of its occurrences.
-func (h *head) one(name string) (value []byte, n int) {
+// lookup returns the first value of a field and the number of its occurrences.
+func (h *head) lookup(name string) (value []byte, n int) {
 	for i := range h.fields {
 		if f := &h.fields[i]; len(f.name) == len(name) && strings.EqualFold(string(f.name), name) {
 			if n++; n == 1 {
@@ -178,12 +178,12 @@
 
 // get returns the first value of a field, or nil.
 func (h *head) get(name string) []byte {
-	v, _ := h.one(name)
+	v, _ := h.lookup(name)
 	return v
 }
 
-// has reports whether the comma-separated list in a field contains a word.
-func (h *head) has(name, word string) bool {
+// listContains reports whether the comma-separated list in a field contains a word.
+func (h *head) listContains(name, word string) bool {
 	for i := range h.fields {
 		if !strings.EqualFold(string(h.fields[i].name), name) {
 			continue
@@ -199,26 +199,26 @@
 
 // readBody reads the body that the head announces. Without a specified length the body is empty.
 func (s *stream) readBody(h *head) ([]byte, error) {
-	if h.length >= 0 {
-		return s.take(h.length)
+	if h.bodyLength >= 0 {
+		return s.readN(h.bodyLength)
 	}
 	var body []byte
-	for h.length == -1 {
-		line, err := s.lines("", false, maxLine)
+	for h.bodyLength == -1 {
+		line, err := s.readLines("", false, maxChunkLineBytes)
 		if err != nil {
 			return nil, err
 		}
 		size, _, _ := bytes.Cut(line[:len(line)-2], []byte(";"))
-		n, ok := hexadecimal(size)
+		n, ok := parseHex(size)
 		switch {
 		case !ok:
 			return nil, errFraming
-		case len(body)+n > maxBody:
+		case len(body)+n > maxBodyBytes:
 			return nil, errLongBody
 		case n == 0:
-			return body, s.trailer()
+			return body, s.skipTrailer()
 		}
-		chunk, err := s.take(n + 2)
+		chunk, err := s.readN(n + 2)
 		if err != nil {
 			return nil, err
 		}
@@ -230,26 +230,26 @@
 	return body, nil
 }
 
-// rest reads a body that extends to the end of the connection.
-func (s *stream) rest() ([]byte, error) {
+// readToEOF reads a body that extends to the end of the connection.
+func (s *stream) readToEOF() ([]byte, error) {
 	for {
-		if s.buffered() > maxBody {
+		if s.buffered() > maxBodyBytes {
 			return nil, errLongBody
 		}
-		switch err := s.more(); err {
+		switch err := s.fill(); err {
 		case nil:
 		case io.EOF:
-			return s.take(s.buffered())
+			return s.readN(s.buffered())
 		default:
 			return nil, err
 		}
 	}
 }
 
-// trailer skips the trailer fields after the last chunk.
-func (s *stream) trailer() error {
+// skipTrailer skips the trailer fields after the last chunk.
+func (s *stream) skipTrailer() error {
 	for range maxFields {
-		line, err := s.lines("", false, maxHead)
+		line, err := s.readLines("", false, maxHeadBytes)
 		if err != nil {
 			return err
 		}
@@ -274,8 +274,9 @@
 	return len(b) > 0
 }
 
-// decimal parses a number that consists of digits alone. It returns the number of digits, or 0 on failure.
-func decimal(b []byte) (v, n int) {
+// parseDecimal parses a number that consists of digits alone. It returns the number of digits, or 0 on
+// failure.
+func parseDecimal(b []byte) (v, n int) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, 0
 	}
@@ -288,8 +289,8 @@
 	return v, len(b)
 }
 
-// hexadecimal parses a number of 1 to 8 hexadecimal digits.
-func hexadecimal(b []byte) (v int, ok bool) {
+// parseHex parses a number of 1 to 8 hexadecimal digits.
+func parseHex(b []byte) (v int, ok bool) {
 	for _, c := range b {
 		d := strings.IndexByte("0123456789abcdef", c|0x20)
 		if d < 0 || c < '0' {
--- a/internal/node/message_test.go
+++ b/internal/node/message_test.go
@@ -23,17 +23,17 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := clientConn{in: stream{src: bytes.NewReader(data)}}
-		err := c.read()
-		slow := clientConn{in: stream{src: iotest.OneByteReader(bytes.NewReader(data))}}
-		if slowErr := slow.read(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.req.body, slow.req.body) {
-			t.Fatalf("whole: %v %q; byte by byte: %v %q", err, c.req.body, slowErr, slow.req.body)
+		c := clientConn{input: stream{src: bytes.NewReader(data)}}
+		err := c.readRequest()
+		slow := clientConn{input: stream{src: iotest.OneByteReader(bytes.NewReader(data))}}
+		if slowErr := slow.readRequest(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.request.body, slow.request.body) {
+			t.Fatalf("whole: %v %q; byte by byte: %v %q", err, c.request.body, slowErr, slow.request.body)
 		}
 		if err != nil {
 			return
 		}
-		if len(c.req.body) > maxBody {
-			t.Fatalf("a body of %d bytes", len(c.req.body))
+		if len(c.request.body) > maxBodyBytes {
+			t.Fatalf("a body of %d bytes", len(c.request.body))
 		}
 		br := bufio.NewReader(bytes.NewReader(data))
 		r, err := http.ReadRequest(br)
@@ -44,11 +44,11 @@
 			return // a target that is no URL: it goes on as it is
 		}
 		body, err := io.ReadAll(r.Body)
-		if err != nil || !bytes.Equal(body, c.req.body) {
-			t.Fatalf("body %q, elsewhere %q, %v", c.req.body, body, err)
+		if err != nil || !bytes.Equal(body, c.request.body) {
+			t.Fatalf("body %q, elsewhere %q, %v", c.request.body, body, err)
 		}
 		there, _ := io.ReadAll(br)
-		here, _ := io.ReadAll(io.MultiReader(bytes.NewReader(c.in.buf[c.in.off:]), c.in.src))
+		here, _ := io.ReadAll(io.MultiReader(bytes.NewReader(c.input.buf[c.input.off:]), c.input.src))
 		if !bytes.Equal(here, there) {
 			t.Fatalf("rest %q, elsewhere %q", here, there)
 		}
@@ -91,12 +91,12 @@
 
 // The buffer grows with a large message and is let go after it.
 func TestStreamLetsGo(t *testing.T) {
-	s := stream{src: strings.NewReader(strings.Repeat("a", maxBody) + "b")}
-	if b, err := s.take(maxBody); err != nil || len(b) != maxBody {
+	s := stream{src: strings.NewReader(strings.Repeat("a", maxBodyBytes) + "b")}
+	if b, err := s.readN(maxBodyBytes); err != nil || len(b) != maxBodyBytes {
 		t.Fatal(len(b), err)
 	}
-	s.begin()
-	if b, err := s.take(1); err != nil || string(b) != "b" || cap(s.buf) > 2*minBuf {
+	s.discardRead()
+	if b, err := s.readN(1); err != nil || string(b) != "b" || cap(s.buf) > 2*minBufferBytes {
 		t.Errorf("%q, %v, %d bytes kept", b, err, cap(s.buf))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	sweepEvery = time.Second
-	knownWait  = time.Second // time for discovery to answer before the remembered list is used
+	sweepInterval       = time.Second
+	rememberedListDelay = time.Second // time for discovery to answer before the remembered list is used
 
 	// Opening the listen addresses at the start. An edge node must be ready 30 s after its start.
-	addressWait  = 10 * time.Second
-	addressPause = 20 * time.Millisecond // between two tries
+	listenRetryTimeout = 10 * time.Second
+	listenRetryDelay   = 20 * time.Millisecond // between two tries
 )
 
 // Node is an edge node with open sockets.
 type Node struct {
-	cfg      *config.File // as read at the start
-	changing sync.Mutex   // held while a new generation is checked and applied
-	history  *config.History
-	kept     *Kept
-	keep     *snapshotWriter // nil: no snapshots are written
-	duties   *duties         // nil: the configuration names none
-	status   atomic.Pointer[Status]
-	ctx      context.Context // cancelled when Run returns
-	end      context.CancelFunc
-	loop     *loop
-	server   *server
-	up       *upstream
-	peers    *peers
-	disc     *discovery
-	listener *net.TCPListener
-	phase    atomic.Int32
-	stay     chan chan error // requests to cancel a shutdown, each with the channel for its result
+	cfg            *config.File // as read at the start
+	changeMu       sync.Mutex   // held while a new generation is checked and applied
+	history        *config.History
+	restoreFrom    *Kept
+	snapshots      *snapshotWriter // nil: no snapshots are written
+	duties         *duties         // nil: the configuration names none
+	status         atomic.Pointer[Status]
+	ctx            context.Context // cancelled when Run returns
+	cancel         context.CancelFunc
+	loop           *loop
+	server         *httpServer
+	upstream       *upstream
+	peers          *peers
+	discovery      *discovery
+	listener       *net.TCPListener
+	phase          atomic.Int32
+	cancelShutdown chan chan error // requests to cancel a shutdown, each with the channel for its result
 }
 
 // New opens the sockets of an edge node. Run restores the state that kept holds and then writes snapshots
@@ -60,32 +60,32 @@
 	}
 	clk := clock{time.Now()}
 	up := newUpstream(clk, roster.NewDirectory(), cfg.Settings.ReportNames)
-	clients, servers := descriptors(cfg)
+	clients, servers := connLimits(cfg)
 	up.applyConfig(cfg, servers)
-	n := &Node{cfg: cfg, history: h, kept: kept, stay: make(chan chan error), up: up,
+	n := &Node{cfg: cfg, history: h, restoreFrom: kept, cancelShutdown: make(chan chan error), upstream: up,
 		loop: newLoop(clk, g, up)}
-	n.ctx, n.end = context.WithCancel(context.Background())
-	n.server = newServer(clk, h.Current(), up, n.loop.events, clients)
+	n.ctx, n.cancel = context.WithCancel(context.Background())
+	n.server = newHTTPServer(clk, h.Current(), up, n.loop.events, clients)
 	n.publish()
-	n.loop.gen, n.loop.onApply, n.loop.reread = h.Current(), n.onApply, n.server.read
-	n.loop.mustAsk = cfg.Settings.MustAsk
-	held := false // whether there is a remembered list
-	n.loop.onList = func(kind policy.MembersKind) {
+	n.loop.generation, n.loop.onApply, n.loop.reparse = h.Current(), n.onApply, n.server.parseHeaders
+	n.loop.pollsDiscovery = cfg.Settings.MustAsk
+	hasRememberedList := false // whether there is a remembered list
+	n.loop.onServerList = func(kind policy.MembersKind) {
 		switch kind {
 		case policy.Whole:
 			n.server.ready.Store(true)
 		case policy.Remembered: // used if discovery does not answer
-			held = true
-			time.AfterFunc(knownWait, func() { n.server.ready.Store(true) })
+			hasRememberedList = true
+			time.AfterFunc(rememberedListDelay, func() { n.server.ready.Store(true) })
 		case policy.AskFailed: // no need to wait for discovery any longer
-			if held {
+			if hasRememberedList {
 				n.server.ready.Store(true)
 			}
 		}
 	}
-	free := time.Now().Add(addressWait)
+	listenDeadline := time.Now().Add(listenRetryTimeout)
 	if cfg.Settings.CanTell {
-		hear := func(from int, data []byte) {
+		onMessage := func(from int, data []byte) {
 			if n.duties != nil && n.duties.receive(from, data) {
 				return
 			}
@@ -94,27 +94,27 @@
 			default: // dropped: datagrams may be lost anyway
 			}
 		}
-		err := patiently(free, func() (err error) {
-			n.peers, err = listenPeers(cfg.PeerListen, cfg.Peers, cfg.PeersAll, hear)
+		err := retryListen(listenDeadline, func() (err error) {
+			n.peers, err = listenPeers(cfg.PeerListen, cfg.Peers, cfg.PeersAll, onMessage)
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
-		n.loop.tell = n.peers.send
+		n.loop.sendToPeer = n.peers.send
 		if len(cfg.Duties) > 0 {
 			n.duties = newDuties(cfg.Duties, cfg.Settings.Me, cfg.Settings.Gateways, cfg.Seed, clk,
 				n.peers.send)
 		}
 	}
-	if err := patiently(free, n.listen); err != nil {
+	if err := retryListen(listenDeadline, n.listen); err != nil {
 		n.closePeers()
 		return nil, err
 	}
-	n.disc = newDiscovery(cfg, n.loop.postList)
+	n.discovery = newDiscovery(cfg, n.loop.postList)
 	if kept != nil {
-		n.keep = newSnapshotWriter(kept.Store, up.directory, n.status.Load)
-		n.loop.keep = n.keep
+		n.snapshots = newSnapshotWriter(kept.Store, up.directory, n.status.Load)
+		n.loop.snapshots = n.snapshots
 	}
 	return n, nil
 }
@@ -132,19 +132,19 @@
 // shortens the shutdown. A signal on hup means that the configuration file has changed.
 func (n *Node) Run(term, hup <-chan os.Signal) error {
 	ctx := n.ctx
-	defer n.end()
+	defer n.cancel()
 	defer n.closePeers()
 	for _, w := range n.cfg.Warnings {
 		slog.Warn("configuration", "passed over", w)
 	}
-	fresh := n.restore(n.kept)
-	if n.server.ready.Store(fresh); n.keep != nil {
-		go every(ctx, snapshotCheckInterval, n.requestSnapshot)
+	listFresh := n.restore(n.restoreFrom)
+	if n.server.ready.Store(listFresh); n.snapshots != nil {
+		go runEvery(ctx, snapshotCheckInterval, n.requestSnapshot)
 	}
 	go n.loop.run(ctx.Done())
-	go n.disc.run(ctx)
+	go n.discovery.run(ctx)
 	go n.reload(ctx, hup)
-	go every(ctx, sweepEvery, n.up.sweep)
+	go runEvery(ctx, sweepInterval, n.upstream.sweep)
 	if n.peers != nil {
 		if n.duties != nil {
 			go n.duties.run(ctx)
@@ -155,13 +155,13 @@
 	if err := n.serve(term); err != nil {
 		return err
 	}
-	n.loop.post(shutdown{})
+	n.loop.post(endLoop{})
 	select {
-	case <-n.loop.over:
+	case <-n.loop.done:
 	case <-time.After(shutdownHandoverTimeout):
 		slog.Warn("counts were not handed to other edge nodes in time")
-		n.loop.post(shutdown{now: true})
-		<-n.loop.over
+		n.loop.post(endLoop{now: true})
+		<-n.loop.done
 	}
 	if n.duties != nil {
 		n.duties.releaseAll()
@@ -169,7 +169,7 @@
 	if n.peers != nil {
 		n.peers.flush()
 	}
-	if n.keep != nil {
+	if n.snapshots != nil {
 		n.writeLastSnapshot()
 	}
 	return nil
@@ -186,66 +186,66 @@
 	poll := time.NewTicker(shutdownPollInterval)
 	defer poll.Stop()
 	poll.Stop() // runs only during a shutdown
-	var d shutdownState
-	var s shutdownActions
-	for !s.done {
-		s = shutdownActions{}
+	var state shutdownState
+	var actions shutdownActions
+	for !actions.done {
+		actions = shutdownActions{}
 		select {
 		case err := <-served:
 			return fmt.Errorf("serve: %w", cmp.Or(err, net.ErrClosed)) // not caused by a shutdown
 		case <-term:
-			was := d.phase
-			if s = d.signal(n.loop.clock.now()); s.refuseWaiting {
+			previous := state.phase
+			if actions = state.signal(n.loop.clock.now()); actions.refuseWaiting {
 				slog.Info("shutdown shortened by a second signal")
 			}
-			if was == phaseServing { // only at the first signal: later ones must not delay the poll
+			if previous == phaseServing { // only at the first signal: later ones must not delay the poll
 				slog.Info("shutdown begins")
 				poll.Reset(shutdownPollInterval)
 			}
-		case back := <-n.stay:
-			shut := d.phase == phaseFinishing
-			err := d.cancel()
-			if err == nil && shut {
+		case reply := <-n.cancelShutdown:
+			listenerClosed := state.phase == phaseFinishing
+			err := state.cancel()
+			if err == nil && listenerClosed {
 				if err = n.listen(); err != nil { // another process has taken the address
-					d.signal(n.loop.clock.now())
+					state.signal(n.loop.clock.now())
 				} else {
 					accept()
 				}
 			}
 			if err == nil {
 				poll.Stop()
-				n.loop.post(giveUp(false))
+				n.loop.post(refuseWaiting(false))
 				slog.Info("shutdown cancelled")
 			}
-			n.enter(d.phase)
-			back <- err
+			n.setPhase(state.phase)
+			reply <- err
 			continue
 		case <-poll.C:
-			open, quiet := n.server.state()
-			s = d.step(n.loop.clock.now(), open, quiet)
+			open, quiet := n.server.activity()
+			actions = state.step(n.loop.clock.now(), open, quiet)
 		}
 		// SetDeadline fails when the listener is closed already and could not be opened again.
-		if s.closeListener && n.listener.SetDeadline(time.Unix(1, 0)) == nil {
+		if actions.closeListener && n.listener.SetDeadline(time.Unix(1, 0)) == nil {
 			if err := <-served; err != nil {
 				return fmt.Errorf("serve: %w", err)
 			}
 		}
-		n.enter(d.phase)
-		if s.refuseWaiting {
-			n.loop.post(giveUp(true))
+		n.setPhase(state.phase)
+		if actions.refuseWaiting {
+			n.loop.post(refuseWaiting(true))
 		}
-		if s.closeIdle {
-			n.server.shutIdle(shutdownQuietTime)
+		if actions.closeIdle {
+			n.server.closeIdle(shutdownQuietTime)
 		}
 	}
-	if open, _ := n.server.state(); open > 0 {
+	if open, _ := n.server.activity(); open > 0 {
 		return fmt.Errorf("shutdown: %d %w", open, ErrOpenConnections)
 	}
 	return nil
 }
 
-// enter sets the phase of the shutdown that clients and operators see.
-func (n *Node) enter(p phase) {
+// setPhase sets the phase of the shutdown that clients and operators see.
+func (n *Node) setPhase(p phase) {
 	n.phase.Store(int32(p))
 	n.server.draining.Store(p != phaseServing)
 }
@@ -262,27 +262,27 @@
 	return nil
 }
 
-// patiently calls open, and repeats it until the deadline while the address is in use or not yet assigned:
+// retryListen calls open, and repeats it until the deadline while the address is in use or not yet assigned:
 // the previous process may be about to exit.
-func patiently(until time.Time, open func() error) error {
+func retryListen(deadline time.Time, open func() error) error {
 	for first := true; ; first = false {
 		err := open()
-		if !among(err, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL) || !time.Now().Before(until) {
+		if !isAny(err, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL) || !time.Now().Before(deadline) {
 			return err
 		}
 		if first {
-			slog.Warn("an address can't be had yet; trying again", "err", err, "for", addressWait)
+			slog.Warn("an address can't be had yet; trying again", "err", err, "for", listenRetryTimeout)
 		}
-		time.Sleep(addressPause)
+		time.Sleep(listenRetryDelay)
 	}
 }
 
 // Stay cancels a shutdown that is not complete yet, and returns to serving.
 func (n *Node) Stay(ctx context.Context) error {
-	back := make(chan error, 1)
+	reply := make(chan error, 1)
 	select {
-	case n.stay <- back:
-		return <-back
+	case n.cancelShutdown <- reply:
+		return <-reply
 	case <-n.ctx.Done():
 		return errEnded
 	case <-ctx.Done():
@@ -290,16 +290,16 @@
 	}
 }
 
-// every calls do periodically until ctx ends.
-func every(ctx context.Context, d time.Duration, do func()) {
-	t := time.NewTicker(d)
+// runEvery calls f periodically until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, f func()) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			do()
+			f()
 		}
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -99,17 +99,17 @@
 	c := clock{time.Now()}
 	l := newLoop(c, nil, nil)
 	out := &attempt{id: 1, cancelled: false}
-	k := &call{cmd: make(chan command, 1), out: out}
+	k := &call{commands: make(chan command, 1), inFlight: out}
 	k.ID = 1
 	l.calls[1] = k
 	l.finish(k, command{refuse: true})
-	if !out.cancelled || len(k.cmd) != 0 {
-		t.Fatalf("called back %v, answers %d", out.cancelled, len(k.cmd))
+	if !out.cancelled || len(k.commands) != 0 {
+		t.Fatalf("called back %v, answers %d", out.cancelled, len(k.commands))
 	}
 	l.finish(k, command{}) // a second end changes nothing
-	k.out = nil
-	l.answer(k, *k.final)
-	if cmd := <-k.cmd; cmd.refuse || cmd.attempt != nil || len(l.calls) != 0 {
+	k.inFlight = nil
+	l.respond(k, *k.finalCommand)
+	if cmd := <-k.commands; cmd.refuse || cmd.attempt != nil || len(l.calls) != 0 {
 		t.Errorf("%+v, %d open", cmd, len(l.calls))
 	}
 }
@@ -138,23 +138,23 @@
 	defer conn.Close()
 	l := newLoop(clock{time.Now()}, g, pool(refusing(t)))
 	cc := &clientConn{Conn: conn}
-	cc.readAhead.await()
-	held, out := &call{client: cc, cmd: make(chan command, 1)}, &call{client: cc, cmd: make(chan command, 1)}
-	held.ID, out.ID, out.out = 1, 2, &attempt{id: 2, writeBegun: true}
-	held.due, out.due = l.clock.now()+time.Hour, l.clock.now()+time.Hour
+	cc.readAhead.beginWait()
+	held, out := &call{client: cc, commands: make(chan command, 1)}, &call{client: cc, commands: make(chan command, 1)}
+	held.ID, out.ID, out.inFlight = 1, 2, &attempt{id: 2, writeBegun: true}
+	held.deadline, out.deadline = l.clock.now()+time.Hour, l.clock.now()+time.Hour
 	l.calls[1], l.calls[2] = held, out
-	l.look()
+	l.checkDisconnects()
 	if len(l.calls) != 2 {
 		t.Fatalf("%d open while the client is there", len(l.calls))
 	}
 	client.Close()
-	testkit.Eventually(t, "notice of the close", func() bool { l.look(); return len(l.calls) == 0 })
-	if len(held.cmd) != 1 || len(out.cmd) != 0 || out.out.cancelled {
-		t.Errorf("held let go %d, out told %d, called back %v", len(held.cmd), len(out.cmd), out.out.cancelled)
+	testkit.Eventually(t, "notice of the close", func() bool { l.checkDisconnects(); return len(l.calls) == 0 })
+	if len(held.commands) != 1 || len(out.commands) != 0 || out.inFlight.cancelled {
+		t.Errorf("held let go %d, out told %d, called back %v", len(held.commands), len(out.commands), out.inFlight.cancelled)
 	}
-	l.send(policy.Send{ID: 2, Server: 1})
-	l.end(outcome{out, out.out, result{code: policy.Error}})
-	if cmd := <-out.cmd; cmd.attempt != nil || len(out.cmd) != 0 {
+	l.startAttempt(policy.Send{ID: 2, Server: 1})
+	l.endAttempt(outcome{out, out.inFlight, result{code: policy.Error}})
+	if cmd := <-out.commands; cmd.attempt != nil || len(out.commands) != 0 {
 		t.Errorf("after the attempt: %+v", cmd)
 	}
 }
@@ -288,7 +288,7 @@
 	if all, err := io.ReadAll(half); err != nil || !strings.HasPrefix(string(all), "HTTP/1.1 408 ") {
 		t.Errorf("half a request: %q, %v", all, err)
 	}
-	if firstRequest > 2500*time.Millisecond || time.Since(began) > patience-time.Second {
+	if firstRequestTimeout > 2500*time.Millisecond || time.Since(began) > patience-time.Second {
 		t.Errorf("let go after %v", time.Since(began))
 	}
 }
@@ -299,9 +299,9 @@
 	a := newApp(t, answer("200 OK", "", "hits"))
 	n := nodeWith(t, a.addr())
 	http.DefaultClient.CloseIdleConnections()
-	testkit.Eventually(t, "no connection", func() bool { open, _ := n.server.state(); return open == 0 })
+	testkit.Eventually(t, "no connection", func() bool { open, _ := n.server.activity(); return open == 0 })
 	n.server.mu.Lock()
-	n.server.most = 4
+	n.server.maxConns = 4
 	n.server.mu.Unlock()
 	useful := dial(t, n)
 	send(t, useful, request(n.url, "lookup", patience))()
@@ -309,7 +309,7 @@
 		dial(t, n)
 	}
 	silent := dial(t, n)
-	testkit.Eventually(t, "room made", func() bool { open, _ := n.server.state(); return open <= 4 })
+	testkit.Eventually(t, "room made", func() bool { open, _ := n.server.activity(); return open <= 4 })
 	if resp := send(t, useful, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
@@ -385,8 +385,8 @@
 	c = dial(t, n)
 	bad := strings.Repeat("GET /none HTTP/1.1\r\nX-Request-Id: 1\r\nX-Class: none\r\n\r\n", 50)
 	_, _ = io.WriteString(c, bad)
-	if all, _ := io.ReadAll(c); strings.Count(string(all), "HTTP/1.1 400 ") != maxBad {
-		t.Errorf("%d answers to useless requests, want %d", strings.Count(string(all), "HTTP/1.1 400 "), maxBad)
+	if all, _ := io.ReadAll(c); strings.Count(string(all), "HTTP/1.1 400 ") != maxBadRequests {
+		t.Errorf("%d answers to useless requests, want %d", strings.Count(string(all), "HTTP/1.1 400 "), maxBadRequests)
 	}
 }
 
@@ -488,15 +488,15 @@
 	})
 	n := nodeWith(t, a.addr())
 	http.DefaultClient.CloseIdleConnections()
-	testkit.Eventually(t, "no connection", func() bool { open, _ := n.server.state(); return open == 0 })
+	testkit.Eventually(t, "no connection", func() bool { open, _ := n.server.activity(); return open == 0 })
 	n.server.mu.Lock()
-	n.server.most = 2
+	n.server.maxConns = 2
 	n.server.mu.Unlock()
 	busy := dial(t, n)
 	held := send(t, busy, request(n.url, "loan", patience))
 	testkit.Eventually(t, "the open request at the app server", func() bool { return a.seen.Load() == 1 })
 	idle := dial(t, n)
-	testkit.Eventually(t, "two connections", func() bool { open, _ := n.server.state(); return open == 2 })
+	testkit.Eventually(t, "two connections", func() bool { open, _ := n.server.activity(); return open == 2 })
 	dial(t, n)
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("idle connection over the bound: %v", err)
@@ -513,19 +513,19 @@
 	n := nodeWith(t, refusing(t))
 	pipe, other := net.Pipe()
 	defer other.Close()
-	c := n.server.enter(pipe)
-	n.server.shutIdle(0)
-	if n.server.take(c) {
+	c := n.server.addConn(pipe)
+	n.server.closeIdle(0)
+	if n.server.markBusy(c) {
 		t.Error("a shut connection counts as open")
 	}
-	c = n.server.enter(pipe)
-	if !n.server.take(c) {
+	c = n.server.addConn(pipe)
+	if !n.server.markBusy(c) {
 		t.Error("an open connection counts as shut")
 	}
-	n.server.shutIdle(0)
+	n.server.closeIdle(0)
 	n.server.mu.Lock()
 	defer n.server.mu.Unlock()
-	if c.shut {
+	if c.closing {
 		t.Error("a busy connection was shut")
 	}
 }
@@ -537,7 +537,7 @@
 	n := nodeWith(t, a.addr())
 	http.DefaultClient.CloseIdleConnections()
 	n.server.mu.Lock()
-	n.server.most = 4
+	n.server.maxConns = 4
 	n.server.mu.Unlock()
 	first := dial(t, n)
 	if _, err := first.Write([]byte("GET /lookup HTTP/1.1\r\nHost: a")); err != nil {
@@ -562,9 +562,9 @@
 		return answer("200 OK", "", body)(c, r, body)
 	})
 	n := nodeWith(t, a.addr())
-	want := strings.Repeat("0123456789abcdef", maxBody/16)
+	want := strings.Repeat("0123456789abcdef", maxBodyBytes/16)
 	r := request(n.url, "loan", patience)
-	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(want)), maxBody
+	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(want)), maxBodyBytes
 	r.Header.Set("X-Padding", strings.Repeat("p", 8<<10))
 	if resp, body := ask(t, r); resp.StatusCode != 200 || body != want {
 		t.Errorf("%d, %d bytes", resp.StatusCode, len(body))
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -116,7 +116,7 @@
 				return
 			}
 			// An ICMP error of an earlier send, or a lack of memory. The pause prevents a busy loop.
-			time.Sleep(acceptPause)
+			time.Sleep(minAcceptDelay)
 			continue
 		}
 		number, known := numbers[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
--- a/internal/node/random_test.go
+++ b/internal/node/random_test.go
@@ -191,14 +191,14 @@
 	cfg := fileConfig(t, g.addr, "", fmt.Sprintf(crossingSettings, 15000))
 	fds, routines := openFiles(t), runtime.NumGoroutine()
 	n := start(t, cfg)
-	n.up.mu.Lock()
-	n.up.dialer.Control = func(string, string, syscall.RawConn) error {
+	n.upstream.mu.Lock()
+	n.upstream.dialer.Control = func(string, string, syscall.RawConn) error {
 		if draw(2) == 0 {
 			time.Sleep(some(time.Second))
 		}
 		return nil
 	}
-	n.up.mu.Unlock()
+	n.upstream.mu.Unlock()
 
 	var clients, events sync.WaitGroup
 	for k := range 8 {
@@ -248,13 +248,13 @@
 	clients.Wait()
 	stop()
 	events.Wait()
-	<-n.loop.over
-	if len(n.loop.calls)+len(n.loop.names) != 0 {
+	<-n.loop.done
+	if len(n.loop.calls)+len(n.loop.byRequestID) != 0 {
 		t.Errorf("%d requests left open", len(n.loop.calls))
 	}
-	n.up.update(&serverList{}, true) // which closes what is idle
-	if n.up.open != 0 {
-		t.Errorf("%d connections to servers counted as open, and there are none", n.up.open)
+	n.upstream.update(&serverList{}, true) // which closes what is idle
+	if n.upstream.open != 0 {
+		t.Errorf("%d connections to servers counted as open, and there are none", n.upstream.open)
 	}
 	http.DefaultClient.CloseIdleConnections()
 	testkit.Eventually(t, "no goroutine and no descriptor left", func() bool {
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// maxAhead limits the bytes that are read from a client before its response is sent, for each open
+// maxReadAhead limits the bytes that are read from a client before its response is sent, for each open
 // connection. It is the size of the largest head. Further bytes stay in the kernel's receive buffer.
-const maxAhead = maxHead
+const maxReadAhead = maxHeadBytes
 
 // States of a TCP connection on Linux in which the peer has not closed its side.
 const (
@@ -24,31 +24,31 @@
 	held    atomic.Int64 // while waiting for quota, a root or a server
 	dialing atomic.Int64 // while the connection to a server was being opened
 	writing atomic.Int64 // immediately before the write
-	hidden  atomic.Int64 // written although a disconnect could not have been detected (clientConn.hidden)
+	hidden  atomic.Int64 // written while clientConn.disconnectHidden was true
 }
 
 // readAhead buffers the pipelined bytes that a client sends before the response to its current request. The
-// end of a connection is only visible after all bytes before it have been read, so clientConn.gone must
-// read to detect a disconnect. The connection's goroutine waits for the loop meanwhile and reads these
+// end of a connection is only visible after all bytes before it have been read, so clientConn.disconnected
+// must read to detect a disconnect. The connection's goroutine waits for the loop meanwhile and reads these
 // bytes later.
 type readAhead struct {
-	mu    sync.Mutex
-	waits bool // the client waits for a response: the connection's goroutine does not read
-	buf   []byte
-	end   error // read error or io.EOF, after the bytes in buf
+	mu               sync.Mutex
+	awaitingResponse bool // the client waits for a response: the connection's goroutine does not read
+	buf              []byte
+	readErr          error // read error or io.EOF, after the bytes in buf
 }
 
-// await marks that the client waits for a response.
-func (a *readAhead) await() {
+// beginWait marks that the client waits for a response.
+func (a *readAhead) beginWait() {
 	a.mu.Lock()
-	a.waits = true
+	a.awaitingResponse = true
 	a.mu.Unlock()
 }
 
-// answered marks that the client no longer waits for a response.
-func (a *readAhead) answered() {
+// endWait marks that the client no longer waits for a response.
+func (a *readAhead) endWait() {
 	a.mu.Lock()
-	a.waits = false
+	a.awaitingResponse = false
 	a.mu.Unlock()
 }
 
@@ -64,7 +64,7 @@
 		a.mu.Unlock()
 		return n, nil
 	}
-	end := a.end
+	end := a.readErr
 	a.mu.Unlock()
 	if end != nil {
 		return 0, end
@@ -72,22 +72,22 @@
 	return cc.Conn.Read(b)
 }
 
-// disconnectHidden reports whether a disconnect may go undetected because the read-ahead buffer is full. The kernel
-// buffers a limited number of further bytes, and the end of the connection follows all of them.
+// disconnectHidden reports whether a disconnect may go undetected because the read-ahead buffer is full.
+// The kernel buffers a limited number of further bytes, and the end of the connection follows all of them.
 func (cc *clientConn) disconnectHidden() bool {
 	cc.readAhead.mu.Lock()
 	defer cc.readAhead.mu.Unlock()
-	return len(cc.readAhead.buf) >= maxAhead
+	return len(cc.readAhead.buf) >= maxReadAhead
 }
 
-// disconnected reports whether the client has closed or reset its connection or shut down sending. It does not
-// block and may be called at any time. It returns false after the request has been answered.
+// disconnected reports whether the client has closed or reset its connection or shut down sending. It does
+// not block and may be called at any time. It returns false after the request has been answered.
 func (cc *clientConn) disconnected() bool {
 	a := &cc.readAhead
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.waits || a.end != nil {
-		return a.waits
+	if !a.awaitingResponse || a.readErr != nil {
+		return a.awaitingResponse
 	}
 	sc, ok := cc.Conn.(syscall.Conn)
 	if !ok {
@@ -97,32 +97,33 @@
 	if err != nil {
 		return true
 	}
-	left := false
+	ended := false
 	err = raw.Control(func(fd uintptr) {
 		var b [2 << 10]byte
-		for len(a.buf) < maxAhead {
-			n, _, err := syscall.Recvfrom(int(fd), b[:min(len(b), maxAhead-len(a.buf))], syscall.MSG_DONTWAIT)
+		for len(a.buf) < maxReadAhead {
+			n, _, err := syscall.Recvfrom(int(fd), b[:min(len(b), maxReadAhead-len(a.buf))],
+				syscall.MSG_DONTWAIT)
 			switch {
 			case err == syscall.EAGAIN || err == syscall.EINTR: // the next call reads more
 				return
 			case err != nil:
-				a.end = err
+				a.readErr = err
 				return
 			case n == 0:
-				a.end = io.EOF
+				a.readErr = io.EOF
 				return
 			}
 			a.buf = append(a.buf, b[:n]...)
 		}
-		left = endedBehind(int(fd))
+		ended = peerEndedSending(int(fd))
 	})
-	return err != nil || a.end != nil || left
+	return err != nil || a.readErr != nil || ended
 }
 
-// endedBehind reports whether the peer has closed the connection or shut down sending after bytes that are
-// still unread. A read does not show that, but the state of the TCP connection does. It returns false if
-// the state is not available, or if the kernel has not received all bytes yet.
-func endedBehind(fd int) bool {
+// peerEndedSending reports whether the peer has closed the connection or shut down sending after bytes that
+// are still unread. A read does not show that, but the state of the TCP connection does. It returns false
+// if the state is not available, or if the kernel has not received all bytes yet.
+func peerEndedSending(fd int) bool {
 	// The call returns the first four bytes of struct tcp_info.
 	info, err := syscall.GetsockoptInet4Addr(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 	if err != nil {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -53,16 +53,16 @@
 	p := phase(n.phase.Load())
 	s.Ready, s.Phase = n.server.ready.Load() && p == phaseServing, p.String()
 	s.Lag, s.MostLag = n.loop.heartbeat.lag(n.loop.clock.now())
-	s.Looks = n.loop.heartbeat.looks.Load()
+	s.Looks = n.loop.heartbeat.beats.Load()
 	disconnects := &n.loop.disconnects
 	s.Disconnects = Disconnects{disconnects.held.Load(), disconnects.dialing.Load(),
 		disconnects.writing.Load(), disconnects.hidden.Load()}
-	s.Unsolicited = n.up.unsolicited.load()
+	s.Unsolicited = n.upstream.unsolicited.load()
 	if n.duties != nil {
 		s.Duties = n.duties.status()
 	}
-	if n.keep != nil {
-		counts := n.keep.writer.Counts()
+	if n.snapshots != nil {
+		counts := n.snapshots.writer.Counts()
 		s.Keeping = &counts
 	}
 	return s
@@ -112,8 +112,8 @@
 // changeGeneration puts the proposed generation in force and returns once the loop has applied it.
 // Changes run one at a time.
 func (n *Node) changeGeneration(ctx context.Context, propose func() (*config.Generation, error)) error {
-	n.changing.Lock()
-	defer n.changing.Unlock()
+	n.changeMu.Lock()
+	defer n.changeMu.Unlock()
 	defer n.publish()
 	next, err := propose()
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 	done := make(chan struct{})
 	select {
-	case n.loop.events <- apply{next, done}:
+	case n.loop.events <- applyGeneration{next, done}:
 	case <-n.ctx.Done():
 		return errEnded
 	}
@@ -142,8 +142,8 @@
 
 // Check returns the faults that prevent a file from being put in force here.
 func (n *Node) Check(raw []byte) error {
-	n.changing.Lock()
-	defer n.changing.Unlock()
+	n.changeMu.Lock()
+	defer n.changeMu.Unlock()
 	_, err := n.history.Check(raw)
 	return err
 }
@@ -158,11 +158,11 @@
 
 // onApply applies a generation outside the policy module. The loop calls it between two events.
 func (n *Node) onApply(next *config.Generation) {
-	n.server.gen.Store(next)
-	clients, servers := descriptors(next.File)
-	n.up.applyConfig(next.File, servers)
-	n.server.keepTo(clients)
-	n.disc.applyConfig(next.File)
+	n.server.generation.Store(next)
+	clients, servers := connLimits(next.File)
+	n.upstream.applyConfig(next.File, servers)
+	n.server.setLimit(clients)
+	n.discovery.applyConfig(next.File)
 }
 
 // sleep pauses for d. It returns false if ctx was done first.
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -23,7 +23,7 @@
 // reloaded tells whether the file as it is now is in force.
 func (r *running) reloaded(path string) bool {
 	raw, err := os.ReadFile(path)
-	return err == nil && r.server.gen.Load().Digest == config.DigestOf(raw)
+	return err == nil && r.server.generation.Load().Digest == config.DigestOf(raw)
 }
 
 func (r *running) signal() {
@@ -293,7 +293,7 @@
 	testkit.Eventually(t, "the new file in force", func() bool { return n.reloaded(cfg.Path()) })
 	g.set(false, first, second)
 	testkit.Eventually(t, "the second server known", func() bool {
-		return n.up.directory.Len() == 2
+		return n.upstream.directory.Len() == 2
 	})
 	close(hold)
 	for range 2 {
@@ -313,12 +313,12 @@
 	cfg := fileConfig(t, newRegistry(t, serving("s-00000001", a.addr())).addr, "", testSettings)
 	n := start(t, cfg)
 	var cr clientRequest
-	cr.first, cr.length = []byte("GET /lookup HTTP/1.1"), -2
+	cr.startLine, cr.bodyLength = []byte("GET /lookup HTTP/1.1"), -2
 	for k, v := range map[string]string{"X-Request-Id": "1", "X-Class": "lookup", "X-Tier": "tiny",
 		"Cookie": "key=00000000b4d65521", "X-Deadline-Ms": "9000"} {
 		cr.fields = append(cr.fields, field{[]byte(k), []byte(v)})
 	}
-	if err := cr.startLine(); err != nil {
+	if err := cr.parseRequestLine(); err != nil {
 		t.Fatal(err)
 	}
 	early, err := n.server.parse(&cr)
@@ -329,7 +329,7 @@
 	n.signal()
 	testkit.Eventually(t, "the new file in force", func() bool { return n.reloaded(cfg.Path()) })
 	n.loop.events <- early
-	if cmd := <-early.cmd; cmd.bad != statusBadRequest {
+	if cmd := <-early.commands; cmd.badStatus != statusBadRequest {
 		t.Errorf("%+v for a plan that is gone", cmd)
 	}
 }
--- a/internal/node/sent_ahead_test.go
+++ b/internal/node/sent_ahead_test.go
@@ -15,7 +15,7 @@
 // system knows of the end all the same: the connection is in the state CLOSE_WAIT then,
 // whatever is left to read.
 func TestClientLeavesBehindMoreThanIsReadAhead(t *testing.T) {
-	for _, bytesAhead := range []int{maxAhead - 1, maxAhead, maxAhead + 1, 2 * maxAhead} {
+	for _, bytesAhead := range []int{maxReadAhead - 1, maxReadAhead, maxReadAhead + 1, 2 * maxReadAhead} {
 		if attempts, left := leaveWhileDialing(t, bytes.Repeat([]byte("x"), bytesAhead)); attempts != 0 || left != (Disconnects{Dialing: 1}) {
 			t.Errorf("%d bytes ahead: sent on %d times for a client that had gone, %+v", bytesAhead, attempts, left)
 		}
@@ -29,7 +29,7 @@
 	c := dial(t, n)
 	answered := send(t, c, request(n.url, "loan", patience))
 	testkit.Eventually(t, "the request at the app server", func() bool { return a.seen.Load() == 1 })
-	if _, err := c.Write(bytes.Repeat([]byte("x"), 2*maxAhead)); err != nil {
+	if _, err := c.Write(bytes.Repeat([]byte("x"), 2*maxReadAhead)); err != nil {
 		t.Fatal(err)
 	}
 	n.looks(t)
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -19,55 +19,55 @@
 
 const (
 	// Timeouts of a client connection.
-	firstRequest = 2 * time.Second  // from the accept to the last byte of the first request
-	wholeRequest = 2 * time.Second  // from the first to the last byte of a later request
-	clientIdle   = 10 * time.Second // between requests
-	writeTimeout = 5 * time.Second
+	firstRequestTimeout = 2 * time.Second  // from the accept to the last byte of the first request
+	requestTimeout      = 2 * time.Second  // from the first to the last byte of a later request
+	clientIdleTimeout   = 10 * time.Second // between requests
+	writeTimeout        = 5 * time.Second
 
 	// Delay after a failed accept. It doubles with each further error.
-	acceptPause = 5 * time.Millisecond
-	acceptMost  = time.Second
+	minAcceptDelay = 5 * time.Millisecond
+	maxAcceptDelay = time.Second
 
 	// Limits on invalid input.
-	maxEmptyLines = 4                      // skipped ahead of a request
-	maxBad        = 3                      // invalid requests in a row after which the connection is closed
-	badPause      = 100 * time.Millisecond // delay after each: a single client must not use up the CPU
+	maxEmptyLines   = 4                      // skipped ahead of a request
+	maxBadRequests  = 3                      // invalid requests in a row after which the connection is closed
+	badRequestDelay = 100 * time.Millisecond // delay after each: a single client must not use up the CPU
 )
 
-// server is the HTTP server for clients. It reads requests, passes them to the loop, carries out the loop's
-// commands and writes one response to each request.
-type server struct {
-	clock    clock
-	gen      atomic.Pointer[config.Generation] // in force
-	up       *upstream
-	events   chan<- any
-	ready    atomic.Bool
-	draining atomic.Bool
-	tight    atomic.Bool // set when more connections than the limit are open
-
-	mu     sync.Mutex
-	most   int // limit on open connections, without those that are being closed
-	spare  int // limit on connections that are being closed
-	conns  map[*clientConn]struct{}
-	shut   int           // number of conns that are being closed
-	active time.Duration // when the last request began to be processed
+// httpServer is the HTTP server for clients. It reads requests, passes them to the loop, carries out the
+// loop's commands and writes one response to each request.
+type httpServer struct {
+	clock      clock
+	generation atomic.Pointer[config.Generation] // in force
+	upstream   *upstream
+	events     chan<- any
+	ready      atomic.Bool
+	draining   atomic.Bool
+	overLimit  atomic.Bool // set when more connections than the limit are open
+
+	mu           sync.Mutex
+	maxConns     int // limit on open connections, without those that are being closed
+	maxClosing   int // limit on connections that are being closed
+	conns        map[*clientConn]struct{}
+	closingConns int           // number of conns that are being closed
+	lastRequest  time.Duration // when the last request began to be processed
 }
 
 // clientConn is the connection of a client.
 type clientConn struct {
 	net.Conn
-	in        stream
-	readAhead readAhead
-	req       clientRequest
-	out       []byte
-	bad       int // invalid requests since the last valid one
+	input       stream
+	readAhead   readAhead
+	request     clientRequest
+	writeBuf    []byte
+	badRequests int // invalid requests since the last valid one
 
 	// Guarded by the server's mutex.
-	state connState
-	since time.Duration // start of the state
-	good  bool          // has carried a valid request
-	probe bool          // has carried a readiness probe
-	shut  bool          // is being closed: nothing more is sent, and no request is processed
+	state          connState
+	stateSince     time.Duration // start of the state
+	carriedRequest bool          // has carried a valid request
+	carriedProbe   bool          // has carried a readiness probe
+	closing        bool          // is being closed: nothing more is sent, and no request is processed
 	// closed is set when the lingering close was cut short because its descriptor was needed.
 	closed bool
 }
@@ -87,51 +87,53 @@
 	body           []byte
 }
 
-// newServer returns a server for at most so many connections at once, including those that are being closed.
-func newServer(c clock, gen *config.Generation, up *upstream, events chan<- any, most int) *server {
-	s := &server{clock: c, up: up, events: events, conns: map[*clientConn]struct{}{}}
-	s.bound(most)
-	s.gen.Store(gen)
+// newHTTPServer returns a server for at most so many connections at once, including those that are being
+// closed.
+func newHTTPServer(c clock, generation *config.Generation, up *upstream, events chan<- any,
+	limit int) *httpServer {
+	s := &httpServer{clock: c, upstream: up, events: events, conns: map[*clientConn]struct{}{}}
+	s.divideLimit(limit)
+	s.generation.Store(generation)
 	return s
 }
 
-// bound divides the limit between open connections and those that are being closed. The caller holds the
-// mutex or is the only user.
-func (s *server) bound(most int) {
-	s.spare = int(lingerPart * float64(most))
-	s.most = most - s.spare
+// divideLimit divides the limit between open connections and those that are being closed. The caller holds
+// the mutex or is the only user.
+func (s *httpServer) divideLimit(limit int) {
+	s.maxClosing = int(lingerShare * float64(limit))
+	s.maxConns = limit - s.maxClosing
 }
 
-// keepTo changes the limit on connections. To meet it, idle connections are closed at once, the longest idle
-// first, and others after their next response.
-func (s *server) keepTo(most int) {
+// setLimit changes the limit on connections. To meet it, idle connections are closed at once, the longest
+// idle first, and others after their next response.
+func (s *httpServer) setLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bound(most)
+	s.divideLimit(limit)
 	var idle []*clientConn
 	for cc := range s.conns {
-		if !cc.shut && cc.state == connIdle {
+		if !cc.closing && cc.state == connIdle {
 			idle = append(idle, cc)
 		}
 	}
-	slices.SortFunc(idle, func(a, b *clientConn) int { return cmp.Compare(a.since, b.since) })
+	slices.SortFunc(idle, func(a, b *clientConn) int { return cmp.Compare(a.stateSince, b.stateSince) })
 	for _, cc := range idle {
-		if len(s.conns)-s.shut > s.most {
-			s.end(cc)
+		if len(s.conns)-s.closingConns > s.maxConns {
+			s.beginClose(cc)
 		}
 	}
-	s.tight.Store(len(s.conns)-s.shut > s.most)
+	s.overLimit.Store(len(s.conns)-s.closingConns > s.maxConns)
 }
 
-// crowded reports whether a connection must be closed after its response to meet the limit.
-func (s *server) crowded() bool {
-	if !s.tight.Load() {
+// exceedsLimit reports whether a connection must be closed after its response to meet the limit.
+func (s *httpServer) exceedsLimit() bool {
+	if !s.overLimit.Load() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	over := len(s.conns)-s.shut > s.most
-	s.tight.Store(over)
+	over := len(s.conns)-s.closingConns > s.maxConns
+	s.overLimit.Store(over)
 	return over
 }
 
@@ -139,153 +141,157 @@
 // accepts the connections that the kernel has queued and then closes the listener itself, since a close would
 // reset queued connections. An accept error ends serve only if the listener is unusable. Any other error may
 // belong to a single connection that failed before it was accepted, so serve retries after a delay.
-func (s *server) serve(ln net.Listener) error {
-	last := false
-	for pause := acceptPause; ; {
+func (s *httpServer) serve(ln net.Listener) error {
+	finalAccepts := false
+	for pause := minAcceptDelay; ; {
 		c, err := ln.Accept()
 		switch {
 		case err == nil:
-			pause = acceptPause
-			go s.talk(s.enter(c))
+			pause = minAcceptDelay
+			go s.serveConn(s.addConn(c))
 			continue
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			d, ok := ln.(interface{ SetDeadline(time.Time) error })
-			if last || !ok || d.SetDeadline(time.Now().Add(shutdownFinalAccept)) != nil {
+			if finalAccepts || !ok || d.SetDeadline(time.Now().Add(shutdownFinalAccept)) != nil {
 				return ln.Close()
 			}
-			last = true
+			finalAccepts = true
 			continue
-		case among(err, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK):
+		case isAny(err, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK):
 			return err
 		// Out of descriptors or memory.
-		case among(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM):
+		case isAny(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM):
 			s.mu.Lock()
-			s.shutOne()
+			s.closeLeastUseful()
 			s.closeOldestLingering() // frees a descriptor at once
 			s.mu.Unlock()
-			pause = acceptPause
-		case pause == acceptPause:
+			pause = minAcceptDelay
+		case pause == minAcceptDelay:
 			slog.Warn("a connection could not be accepted", "err", err)
 		}
 		time.Sleep(pause)
-		pause = min(2*pause, acceptMost)
+		pause = min(2*pause, maxAcceptDelay)
 	}
 }
 
-// among reports whether err is one of list.
-func among(err error, list ...error) bool {
+// isAny reports whether err is one of list.
+func isAny(err error, list ...error) bool {
 	return slices.ContainsFunc(list, func(e error) bool { return errors.Is(err, e) })
 }
 
-// enter registers a new connection. At the limit it closes another connection, or the new one if all others
+// addConn registers a new connection. At the limit it closes another connection, or the new one if all others
 // are busy.
-func (s *server) enter(c net.Conn) *clientConn {
+func (s *httpServer) addConn(c net.Conn) *clientConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	full := len(s.conns)-s.shut >= s.most && !s.shutOne()
-	cc := &clientConn{Conn: c, since: s.clock.now()}
-	cc.in.src = cc
+	full := len(s.conns)-s.closingConns >= s.maxConns && !s.closeLeastUseful()
+	cc := &clientConn{Conn: c, stateSince: s.clock.now()}
+	cc.input.src = cc
 	s.conns[cc] = struct{}{}
 	if full {
-		s.end(cc)
+		s.beginClose(cc)
 	}
 	return cc
 }
 
-// shutOne closes one connection that is not busy. It prefers connections without a valid request so far, then
-// the one that has been in its state for the longest time. It returns false if all are busy.
-func (s *server) shutOne() bool {
-	var least *clientConn
+// closeLeastUseful closes one connection that is not busy. It prefers connections without a valid request
+// so far, then the one that has been in its state for the longest time. It returns false if all are busy.
+func (s *httpServer) closeLeastUseful() bool {
+	var candidate *clientConn
 	rank := func(cc *clientConn) int {
-		if cc.good {
+		if cc.carriedRequest {
 			return 1
 		}
 		return 0
 	}
 	for cc := range s.conns {
-		if cc.state == connBusy || cc.shut {
+		if cc.state == connBusy || cc.closing {
 			continue
 		}
-		if least == nil || rank(cc) < rank(least) || rank(cc) == rank(least) && cc.since < least.since {
-			least = cc
+		if candidate == nil || rank(cc) < rank(candidate) ||
+			rank(cc) == rank(candidate) && cc.stateSince < candidate.stateSince {
+			candidate = cc
 		}
 	}
-	if least != nil {
-		s.end(least)
+	if candidate != nil {
+		s.beginClose(candidate)
 	}
-	return least != nil
+	return candidate != nil
 }
 
-// shutIdle closes the connections that have been idle for at least the given time, and those that have been
-// sending a request for stopReading.
-func (s *server) shutIdle(least time.Duration) {
+// closeIdle closes the connections that have been idle for at least the given time, and those that have been
+// sending a request for shutdownReadTimeout.
+func (s *httpServer) closeIdle(minIdle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.now()
 	for cc := range s.conns {
-		age := now - cc.since
-		if !cc.shut && (cc.state == connIdle && age >= least || cc.state == connReading && age >= shutdownReadTimeout) {
-			s.end(cc)
+		age := now - cc.stateSince
+		if !cc.closing && (cc.state == connIdle && age >= minIdle ||
+			cc.state == connReading && age >= shutdownReadTimeout) {
+			s.beginClose(cc)
 		}
 	}
 }
 
-// state returns the number of connections and the time since the last sign of a client's request: a request
-// that was processed, a partial request, or a new connection. Readiness probes don't count, since the
-// load balancer in front continues to send them during a shutdown.
-func (s *server) state() (open int, quiet time.Duration) {
+// activity returns the number of connections and the time since the last sign of a client's request: a
+// request that was processed, a partial request, or a new connection. Readiness probes don't count, since
+// the load balancer in front continues to send them during a shutdown.
+func (s *httpServer) activity() (open int, quiet time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := s.active
+	last := s.lastRequest
 	for cc := range s.conns {
-		if !cc.shut && (cc.state == connReading || cc.state == connIdle && !cc.good && !cc.probe) {
-			last = max(last, cc.since)
+		if !cc.closing && (cc.state == connReading ||
+			cc.state == connIdle && !cc.carriedRequest && !cc.carriedProbe) {
+			last = max(last, cc.stateSince)
 		}
 	}
 	return len(s.conns), s.clock.now() - last
 }
 
-// become sets the state of a connection and its read timeout; 0 leaves the read deadline unchanged. It
+// setState sets the state of a connection and its read timeout; 0 leaves the read deadline unchanged. It
 // returns false if nothing may be read because the connection is being closed.
-func (s *server) become(cc *clientConn, state connState, wait time.Duration) bool {
+func (s *httpServer) setState(cc *clientConn, state connState, readTimeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cc.shut {
+	if cc.closing {
 		return false
 	}
-	cc.state, cc.since = state, s.clock.now()
-	return wait == 0 || cc.SetReadDeadline(time.Now().Add(wait)) == nil
+	cc.state, cc.stateSince = state, s.clock.now()
+	return readTimeout == 0 || cc.SetReadDeadline(time.Now().Add(readTimeout)) == nil
 }
 
-// take marks a connection as busy. It returns false if the connection is being closed. A client repeats a
-// request that crossed the close of its connection, so that request must not be processed here.
-func (s *server) take(cc *clientConn) bool {
+// markBusy sets the state of a connection to busy. It returns false if the connection is being closed. A
+// client repeats a request that crossed the close of its connection, so that request must not be processed
+// here.
+func (s *httpServer) markBusy(cc *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cc.shut {
+	if cc.closing {
 		return false
 	}
-	cc.state, cc.good, s.active = connBusy, true, s.clock.now()
+	cc.state, cc.carriedRequest, s.lastRequest = connBusy, true, s.clock.now()
 	return true
 }
 
-// talk serves a connection, one request at a time.
-func (s *server) talk(cc *clientConn) {
-	defer s.leave(cc)
-	whole := time.Duration(0) // firstRequest covers the whole first request
-	for wait := firstRequest; ; wait, whole = clientIdle, wholeRequest {
-		cc.in.begin()
-		if !s.awaitRequest(cc, wait) {
+// serveConn serves a connection, one request at a time.
+func (s *httpServer) serveConn(cc *clientConn) {
+	defer s.finishClose(cc)
+	readTimeout := time.Duration(0) // firstRequestTimeout covers the whole first request
+	for idleTimeout := firstRequestTimeout; ; idleTimeout, readTimeout = clientIdleTimeout, requestTimeout {
+		cc.input.discardRead()
+		if !s.awaitRequest(cc, idleTimeout) {
 			return // idle timeout, disconnected, or being closed
 		}
-		if !s.become(cc, connReading, whole) {
+		if !s.setState(cc, connReading, readTimeout) {
 			return
 		}
-		if err := cc.read(); err != nil {
-			if status := statusOf(err); status != 0 {
-				s.turnAway(cc, status, err)
+		if err := cc.readRequest(); err != nil {
+			if status := errorStatus(err); status != 0 {
+				s.rejectAndClose(cc, status, err)
 			}
 			return
 		}
@@ -298,40 +304,40 @@
 // awaitRequest waits for the first bytes of a request. It skips empty lines ahead of the request, as RFC
 // 9112, section 2.2, asks of servers. A connection on which only such lines were received counts as idle.
 // Any further empty line after maxEmptyLines is left to the parser, which rejects it.
-func (s *server) awaitRequest(cc *clientConn, wait time.Duration) bool {
+func (s *httpServer) awaitRequest(cc *clientConn, idleTimeout time.Duration) bool {
 	for lines := 0; ; {
-		for ; lines < maxEmptyLines && cc.in.dropEmptyLine(); lines++ {
+		for ; lines < maxEmptyLines && cc.input.dropEmptyLine(); lines++ {
 		}
-		if cc.in.buffered() > 0 {
+		if cc.input.buffered() > 0 {
 			return true
 		}
-		if !s.become(cc, connIdle, wait) || cc.in.more() != nil {
+		if !s.setState(cc, connIdle, idleTimeout) || cc.input.fill() != nil {
 			return false
 		}
 	}
 }
 
-// read reads a whole request into cc.req.
-func (cc *clientConn) read() error {
-	r := &cc.req
-	if err := cc.in.readHead(&r.head, ""); err != nil {
+// readRequest reads a whole request into cc.req.
+func (cc *clientConn) readRequest() error {
+	r := &cc.request
+	if err := cc.input.readHead(&r.head, ""); err != nil {
 		return err
 	}
-	if err := r.startLine(); err != nil {
+	if err := r.parseRequestLine(); err != nil {
 		return err
 	}
-	if _, n := r.one("Expect"); n > 0 && r.length > cc.in.buffered() {
-		if err := cc.write(append(cc.out[:0], "HTTP/1.1 100 Continue\r\n\r\n"...)); err != nil {
+	if _, n := r.lookup("Expect"); n > 0 && r.bodyLength > cc.input.buffered() {
+		if err := cc.write(append(cc.writeBuf[:0], "HTTP/1.1 100 Continue\r\n\r\n"...)); err != nil {
 			return err
 		}
 	}
 	var err error
-	r.body, err = cc.in.readBody(&r.head)
+	r.body, err = cc.input.readBody(&r.head)
 	return err
 }
 
-// statusOf returns the status of the response to a request that can't be read, or 0 for no response.
-func statusOf(err error) int {
+// errorStatus returns the status of the response to a request that can't be read, or 0 for no response.
+func errorStatus(err error) int {
 	switch {
 	case errors.Is(err, errLongBody):
 		return 413
@@ -345,24 +351,24 @@
 	return 0
 }
 
-// turnAway answers an invalid request, after which the connection is closed.
-func (s *server) turnAway(cc *clientConn, status int, err error) {
-	if s.become(cc, connReading, 0) { // false: it is being closed already
-		_ = s.answer(cc, status, "Connection: close\r\n", err.Error())
+// rejectAndClose answers an invalid request, after which the connection is closed.
+func (s *httpServer) rejectAndClose(cc *clientConn, status int, err error) {
+	if s.setState(cc, connReading, 0) { // false: it is being closed already
+		_ = s.writeResponse(cc, status, "Connection: close\r\n", err.Error())
 	}
 }
 
-// answer writes a response with a single write.
-func (s *server) answer(cc *clientConn, status int, fields, body string) error {
-	return cc.write(append(appendHead(cc.out[:0], status, fields, len(body)), body...))
+// writeResponse writes a response with a single write.
+func (s *httpServer) writeResponse(cc *clientConn, status int, fields, body string) error {
+	return cc.write(append(appendResponseHead(cc.writeBuf[:0], status, fields, len(body)), body...))
 }
 
-// appendHead appends the head of a response. Each of fields ends with CRLF.
-func appendHead(b []byte, status int, fields string, length int) []byte {
+// appendResponseHead appends the head of a response. Each of fields ends with CRLF.
+func appendResponseHead(b []byte, status int, fields string, length int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[status]...)
+	b = append(b, reasonPhrases[status]...)
 	b = append(b, "\r\n"...)
 	b = append(b, fields...)
 	b = append(b, "Content-Length: "...)
@@ -370,14 +376,14 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 408: "Request Timeout", 409: "Conflict",
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 408: "Request Timeout", 409: "Conflict",
 	413: "Content Too Large", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
 	502: "Bad Gateway", 503: "Service Unavailable"}
 
 // write writes b, whose memory is reused for the next response.
 func (cc *clientConn) write(b []byte) error {
-	if cc.out = b; cap(b) > 4*minBuf {
-		cc.out = nil // frees a large buffer
+	if cc.writeBuf = b; cap(b) > 4*minBufferBytes {
+		cc.writeBuf = nil // frees a large buffer
 	}
 	if err := cc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -387,80 +393,80 @@
 }
 
 // handle processes a request that has been read. It returns false if the connection must be closed.
-func (s *server) handle(cc *clientConn) bool {
-	r := &cc.req
-	if path(r.target) == "/healthz" && string(r.method) == "GET" {
+func (s *httpServer) handle(cc *clientConn) bool {
+	r := &cc.request
+	if requestPath(r.target) == "/healthz" && string(r.method) == "GET" {
 		s.mu.Lock()
-		cc.probe = true
+		cc.carriedProbe = true
 		s.mu.Unlock()
 		if !s.ready.Load() || s.draining.Load() {
-			return s.reply(cc, 503, "", "not ready")
+			return s.respond(cc, 503, "", "not ready")
 		}
-		return s.reply(cc, 200, "", "")
+		return s.respond(cc, 200, "", "")
 	}
 	c, err := s.parse(r)
 	if err != nil {
-		return s.bad(cc, 400, err.Error())
+		return s.rejectInvalid(cc, 400, err.Error())
 	}
-	if !s.take(cc) {
+	if !s.markBusy(cc) {
 		return false
 	}
 	c.client = cc
-	cc.readAhead.await()
+	cc.readAhead.beginWait()
 	s.events <- c
-	for cmd := range c.cmd {
+	for cmd := range c.commands {
 		if cmd.attempt == nil {
-			return s.final(cc, cmd)
+			return s.respondUnserved(cc, cmd)
 		}
-		res := s.up.do(cmd.attempt, r)
+		res := s.upstream.do(cmd.attempt, r)
 		s.events <- outcome{c, cmd.attempt, res}
 		if res.code == policy.OK {
-			cc.bad = 0
+			cc.badRequests = 0
 			fields := ""
 			if len(res.contentType) > 0 {
 				fields = "Content-Type: " + res.contentType + "\r\n"
 			}
-			return s.reply(cc, 200, fields, res.body)
+			return s.respond(cc, 200, fields, res.body)
 		}
 	}
 	return false
 }
 
-// reply writes the response to a request. It returns false if the connection must be closed.
-func (s *server) reply(cc *clientConn, status int, fields, body string) bool {
-	cc.readAhead.answered()
-	over := s.draining.Load() || cc.req.over() || s.crowded()
-	if over {
+// respond writes the response to a request. It returns false if the connection must be closed.
+func (s *httpServer) respond(cc *clientConn, status int, fields, body string) bool {
+	cc.readAhead.endWait()
+	closeAfter := s.draining.Load() || cc.request.wantsClose() || s.exceedsLimit()
+	if closeAfter {
 		fields += "Connection: close\r\n"
 	}
-	return s.answer(cc, status, fields, body) == nil && !over
+	return s.writeResponse(cc, status, fields, body) == nil && !closeAfter
 }
 
-// bad answers an invalid request at once and delays the next one. After maxBad invalid requests in a row the
-// connection is closed. It returns false if the connection must be closed.
-func (s *server) bad(cc *clientConn, status int, why string) bool {
-	if cc.bad++; cc.bad < maxBad {
-		on := s.reply(cc, status, "", why)
-		time.Sleep(badPause)
-		return on
+// rejectInvalid answers an invalid request at once and delays the next one. After maxBadRequests invalid
+// requests in a row the connection is closed. It returns false if the connection must be closed.
+func (s *httpServer) rejectInvalid(cc *clientConn, status int, reason string) bool {
+	if cc.badRequests++; cc.badRequests < maxBadRequests {
+		keepOpen := s.respond(cc, status, "", reason)
+		time.Sleep(badRequestDelay)
+		return keepOpen
 	}
-	s.turnAway(cc, status, errors.New(why))
+	s.rejectAndClose(cc, status, errors.New(reason))
 	return false
 }
 
-// final writes the response to a request that was not served successfully.
-func (s *server) final(cc *clientConn, cmd command) bool {
+// respondUnserved writes the response to a request that was not served successfully.
+func (s *httpServer) respondUnserved(cc *clientConn, cmd command) bool {
 	switch {
-	case cmd.bad != 0:
-		return s.bad(cc, cmd.bad, "this request can't be used")
+	case cmd.badStatus != 0:
+		return s.rejectInvalid(cc, cmd.badStatus, "this request can't be used")
 	case !cmd.refuse:
-		cc.bad = 0
-		return s.reply(cc, 502, "", "failed")
+		cc.badRequests = 0
+		return s.respond(cc, 502, "", "failed")
 	}
-	cc.bad = 0
+	cc.badRequests = 0
 	fields := ""
 	if cmd.retryAfter > 0 {
 		fields = "Retry-After: " + strconv.FormatFloat(cmd.retryAfter.Seconds(), 'f', -1, 64) + "\r\n"
 	}
-	return s.reply(cc, 429, fields, "refused")
+	return s.respond(cc, 429, fields, "refused")
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -191,7 +191,7 @@
 			got <- fmt.Sprint(id, " ", resp.StatusCode, " ", resp.Header.Get("Retry-After") != "")
 		}()
 		testkit.Eventually(t, id, func() bool {
-			open, _ := n.server.state()
+			open, _ := n.server.activity()
 			return open >= i+1 && a.seen.Load() == 1
 		})
 	}
--- a/internal/node/snapshots.go
+++ b/internal/node/snapshots.go
@@ -114,13 +114,13 @@
 			"planned stop", event.Clean, "list", listFresh)
 	}
 	st := n.status.Load()
-	n.keep.writer.Offer(&snapshot.State{Taken: snapshot.Now(), List: known, Current: st.Current.Kept(),
+	n.snapshots.writer.Offer(&snapshot.State{Taken: snapshot.Now(), List: known, Current: st.Current.Kept(),
 		Before: st.Before.Kept(), Left: st.Left, Memory: policy.Memory{Servers: event.Servers}})
 	ctx, cancel := context.WithTimeout(n.ctx, firstSnapshotTimeout)
 	defer cancel()
-	if !n.keep.writer.First(ctx) {
+	if !n.snapshots.writer.First(ctx) {
 		slog.Error("could not write a snapshot before the start, which is now treated as one after a crash",
-			"err", n.keep.writer.Counts().Error)
+			"err", n.snapshots.writer.Counts().Error)
 		event.Clean = false
 	}
 	n.postRememberedList(known)
@@ -149,8 +149,8 @@
 func (n *Node) writeLastSnapshot() {
 	ctx, cancel := context.WithTimeout(context.Background(), lastSnapshotTimeout)
 	defer cancel()
-	if !n.keep.writer.Close(ctx) {
+	if !n.snapshots.writer.Close(ctx) {
 		slog.Error("could not write the last snapshot; the next start will be treated as one after a crash",
-			"err", n.keep.writer.Counts().Error)
+			"err", n.snapshots.writer.Counts().Error)
 	}
 }
--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -85,8 +85,8 @@
 	close()
 	n, letGo = open()
 	spend(n, 1) // of the three that were left
-	n.end()     // as a crash does: the process is not heard of again
-	<-n.loop.over
+	n.cancel()  // as a crash does: the process is not heard of again
+	<-n.loop.done
 	letGo()
 	n, letGo = open()
 	if got := units(t, n); got != 0 {
@@ -119,7 +119,7 @@
 		_, found := snapshot.Open(dir, "n0")
 		return found.State != nil && found.State.List != nil && len(found.State.List.Targets) == 1
 	})
-	n.end() // the loop ends where it stands
+	n.cancel() // the loop ends where it stands
 	letGo()
 	k, letGo = kept(t, path)
 	defer letGo()
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	ready := func(kind policy.MembersKind) bool {
-		n.loop.onList(kind)
+		n.loop.onServerList(kind)
 		return n.server.ready.Load()
 	}
 	if ready(policy.AskFailed) {
@@ -223,7 +223,7 @@
 		t.Error("not ready though discovery refuses")
 	}
 	n.listener.Close()
-	n.end()
+	n.cancel()
 }
 
 // Where the configuration names no duty no message of one is sent or heard; where it
@@ -256,18 +256,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.end()
+	defer n.cancel()
 	defer n.listener.Close()
 	n.loop.handle(listUpdate{list: largeFleet(3, 1), kind: policy.Whole, listKind: policy.Whole})
 	n.loop.handle(policy.Restore{Memory: policy.Memory{Servers: []policy.ServerMemory{{ID: 2, Slow: 2, Pace: 2}}}})
-	st := n.keep.nextState(n.loop, false)
+	st := n.snapshots.nextState(n.loop, false)
 	if st == nil || len(st.Memory.Servers) != 1 || st.Memory.Servers[0].ID != 2 {
 		t.Fatalf("%+v", st)
 	}
 	if l, err := roster.ParseBinary(st.Lines()); err != nil || len(l.Targets) != 3 {
 		t.Errorf("%+v, %v", l, err)
 	}
-	if n.keep.nextState(n.loop, false) != nil {
+	if n.snapshots.nextState(n.loop, false) != nil {
 		t.Error("kept again at once, though nothing has changed")
 	}
 }
--- a/internal/node/unsolicited.go
+++ b/internal/node/unsolicited.go
@@ -91,7 +91,7 @@
 // readAvailable reads the bytes in the receive buffer without blocking.
 func (c *upstreamConn) readAvailable() {
 	if len(c.input.buf) == cap(c.input.buf) {
-		c.input.buf = slices.Grow(c.input.buf, minBuf)
+		c.input.buf = slices.Grow(c.input.buf, minBufferBytes)
 	}
 	space := c.input.buf[len(c.input.buf):cap(c.input.buf)]
 	_ = c.control(func(fd int) error {
--- a/internal/node/upconn.go
+++ b/internal/node/upconn.go
@@ -66,7 +66,7 @@
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
 			state = idleQuiet
-		case n > 0 && !endedBehind(fd): // bytes right before a close may announce that close
+		case n > 0 && !peerEndedSending(fd): // bytes right before a close may announce that close
 			state = idleUnsolicited
 		}
 		return nil
@@ -86,22 +86,22 @@
 		if err = c.input.readHead(&c.head, responsePrefix); err != nil {
 			return 0, nil, false, err
 		}
-		code := c.head.first[len(responsePrefix):]
-		status, n := decimal(code[:min(3, len(code))])
+		code := c.head.startLine[len(responsePrefix):]
+		status, n := parseDecimal(code[:min(3, len(code))])
 		switch {
 		case n != 3 || status < 100 || status > 599 || len(code) > 3 && code[3] != ' ':
 			return 0, nil, false, errSyntax
-		case status == 101 || status < 200 && c.head.length != -2:
+		case status == 101 || status < 200 && c.head.bodyLength != -2:
 			return 0, nil, false, errFraming
 		case status < 200:
-			c.input.begin() // an interim response; the final one may take longer than the stall timeout
+			c.input.discardRead() // an interim response; the final one may take longer than the stall timeout
 			continue
 		case status == 204 || status == 304:
 			return status, nil, true, nil
-		case c.head.length == -2 && status == 200 && c.head.has("Connection", "close"):
-			body, err = c.input.rest()
+		case c.head.bodyLength == -2 && status == 200 && c.head.listContains("Connection", "close"):
+			body, err = c.input.readToEOF()
 			return status, body, true, err
-		case c.head.length == -2:
+		case c.head.bodyLength == -2:
 			return status, nil, false, nil
 		}
 		body, err = c.input.readBody(&c.head)
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -48,7 +48,7 @@
 	drainGrace  time.Duration
 	maxOpen     int // limit on open connections, over all servers
 	open        int // open connections, idle ones included
-	ages        idleAges
+	ages        idleAgeStats
 	reusePauses reusePauses
 	idle        map[policy.ServerID][]*upstreamConn // most recently used last
 }
@@ -207,7 +207,7 @@
 	if !listed {
 		return nil, "", false
 	}
-	now, maxAge := u.clock.now(), u.ages.most(u.idleTimeout)
+	now, maxAge := u.clock.now(), u.ages.maxIdleAge(u.idleTimeout)
 	idle := u.idle[id]
 	for i := len(idle) - 1; i >= 0; i-- {
 		c := idle[i]
@@ -284,8 +284,8 @@
 func (u *upstream) sweep() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now, maxAge := u.clock.now(), u.ages.most(u.idleTimeout)
-	u.ages.fade()
+	now, maxAge := u.clock.now(), u.ages.maxIdleAge(u.idleTimeout)
+	u.ages.decay()
 	for id, idle := range u.idle {
 		unsolicited := false
 		idle = slices.DeleteFunc(idle, func(c *upstreamConn) bool {
@@ -347,7 +347,7 @@
 	r, reuse := u.exchange(a, c, req, a.deadline-now)
 	if c.lastUsed > 0 {
 		u.mu.Lock()
-		u.ages.note(now-c.lastUsed, u.clock.now()-now, r.code, len(c.input.buf) > 0 || c.unsolicited)
+		u.ages.record(now-c.lastUsed, u.clock.now()-now, r.code, len(c.input.buf) > 0 || c.unsolicited)
 		u.mu.Unlock()
 	}
 	if !a.detach() { // cancelled: the connection is already closed
@@ -404,7 +404,7 @@
 	c.requestLength, c.moreUnread = len(b), false
 	n, err := c.Write(b)
 	complete := n == len(b)
-	if *msg = b; cap(b) <= 4*minBuf {
+	if *msg = b; cap(b) <= 4*minBufferBytes {
 		requestBuffers.Put(msg)
 	}
 	if !complete {
@@ -436,8 +436,8 @@
 		r.code, r.badRequest = policy.Moot, true
 	}
 	// Bytes that follow a response belong to no request.
-	reuse := framed && c.input.buffered() == 0 && !c.head.has("Connection", "close")
-	c.input.begin()
+	reuse := framed && c.input.buffered() == 0 && !c.head.listContains("Connection", "close")
+	c.input.discardRead()
 	return r, reuse
 }
 
@@ -478,7 +478,7 @@
 // parseLoad parses a load report: a word, then name=value pairs. It returns nil for a report that lacks
 // a field or has a value out of range.
 func (u *upstream) parseLoad(h *head) []float64 {
-	text, n := h.one("X-Load")
+	text, n := h.lookup("X-Load")
 	if n != 1 || len(u.loadFields) == 0 {
 		return nil
 	}
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -27,12 +27,12 @@
 	now := u.clock.now()
 	a := &attempt{id: 7, server: 1, startedAt: now, deadline: now + deadline, writeDeadline: now + deadline}
 	return a, func() (result, string) {
-		in := clientConn{in: stream{src: strings.NewReader("GET /lookup?q=1 HTTP/1.1\r\nHost: app.svc\r\n" +
+		in := clientConn{input: stream{src: strings.NewReader("GET /lookup?q=1 HTTP/1.1\r\nHost: app.svc\r\n" +
 			"X-Request-Id: 9b1f03aa5c7e2d41\r\n\r\n")}}
-		if err := in.read(); err != nil {
+		if err := in.readRequest(); err != nil {
 			panic(err)
 		}
-		r := u.do(a, &in.req)
+		r := u.do(a, &in.request)
 		return r, r.body
 	}
 }
@@ -84,7 +84,7 @@
 		"no end told":        {raw("HTTP/1.1 200 OK\r\n\r\nhits"), policy.Reset, false},
 		"ended by the close": {raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhits"), policy.OK, false},
 		"reset, no length":   {reset("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhits"), policy.Reset, false},
-		"endless body":       {raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + strings.Repeat("h", maxBody+1)), policy.Reset, false},
+		"endless body":       {raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + strings.Repeat("h", maxBodyBytes+1)), policy.Reset, false},
 		"stalled, no length": {stays("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhits"), policy.Reset, false},
 		"not HTTP":           {raw("hello\r\n\r\n"), policy.Reset, false},
 		// Spoilt answers, on connections that stay open: the deadline must not be waited for.
@@ -254,26 +254,26 @@
 // request is written, cost that request: the age from which they do is learned,
 // and unlearned once they do so no longer.
 func TestLearnsHowLongConnectionsLast(t *testing.T) {
-	var x idleAges
+	var x idleAgeStats
 	for range 40 {
-		x.note(20*time.Millisecond, time.Millisecond, policy.OK, true)
-		x.note(150*time.Millisecond, time.Millisecond, policy.OK, true)
-		x.note(150*time.Millisecond, time.Second, policy.Reset, false) // broke at work
-		x.note(150*time.Millisecond, time.Millisecond, policy.Reset, true)
+		x.record(20*time.Millisecond, time.Millisecond, policy.OK, true)
+		x.record(150*time.Millisecond, time.Millisecond, policy.OK, true)
+		x.record(150*time.Millisecond, time.Second, policy.Reset, false) // broke at work
+		x.record(150*time.Millisecond, time.Millisecond, policy.Reset, true)
 	}
-	if got := x.most(time.Minute); got != time.Minute {
+	if got := x.maxIdleAge(time.Minute); got != time.Minute {
 		t.Fatalf("%v while none broke for its age", got)
 	}
 	for range 40 {
-		x.note(150*time.Millisecond, time.Millisecond, policy.Reset, false)
+		x.record(150*time.Millisecond, time.Millisecond, policy.Reset, false)
 	}
-	if got := x.most(time.Minute); got != 128*time.Millisecond {
+	if got := x.maxIdleAge(time.Minute); got != 128*time.Millisecond {
 		t.Fatalf("%v, want 128ms: those of 150ms break", got)
 	}
 	for range 300 {
-		x.fade()
+		x.decay()
 	}
-	if got := x.most(time.Minute); got != time.Minute {
+	if got := x.maxIdleAge(time.Minute); got != time.Minute {
 		t.Errorf("%v long after the last broke", got)
 	}
 }
@@ -295,14 +295,14 @@
 		for _, c := range u.idle[1] {
 			c.lastUsed -= 200 * time.Millisecond // as if it had stood for so long
 		}
-		full := u.ages.most(u.idleTimeout) < u.idleTimeout
+		full := u.ages.maxIdleAge(u.idleTimeout) < u.idleTimeout
 		u.mu.Unlock()
 		if full {
 			break
 		}
 	}
-	if u.ages.most(u.idleTimeout) > 200*time.Millisecond {
-		t.Fatalf("%v learned where those of 200ms break", u.ages.most(u.idleTimeout))
+	if u.ages.maxIdleAge(u.idleTimeout) > 200*time.Millisecond {
+		t.Fatalf("%v learned where those of 200ms break", u.ages.maxIdleAge(u.idleTimeout))
 	}
 	before := a.conns.Load()
 	_, do := u.try(patience)
