--- a/internal/node/sent_ahead_test.go
+++ b/internal/node/sent_ahead_test.go
@@ -9,7 +9,7 @@
 )
 
 // A client sends a request, much more behind it, and closes its connection before the
-// request's attempt has begun. An edge node reads no more than maxAhead bytes before the
+// request's attempt has begun. An edge node reads no more than maxReadAhead bytes before the
 // answer, so the end of the connection never came up, and the attempt was written for a client
 // that had gone: /status counted it under sent_on_unseen, and the app server saw the request. The
 // system knows of the end all the same: the connection is in the state CLOSE_WAIT then,
