--- a/cmd/machine/machine_test.go
+++ b/cmd/machine/machine_test.go
@@ -334,7 +334,7 @@
 		if err != nil && !errors.As(err, &exit) {
 			s.t.Fatal(err)
 		}
-	case <-time.After(2 * testkit.Patience):
+	case <-time.After(2 * testkit.WaitTimeout):
 		s.t.Fatalf("did not end\n%s", s.log)
 	}
 	lines := strings.Split(strings.TrimSpace(s.log.String()), "\n")
--- a/cmd/valvering/main.go
+++ b/cmd/valvering/main.go
@@ -85,7 +85,7 @@
 // recall reads the configuration, and what is kept where that or the environment
 // names a state directory. A directory that can't be used is no reason not to
 // serve: the edge node starts without it.
-func recall(src config.Source) (*config.History, *node.Kept, error) {
+func recall(src config.Source) (*config.History, *node.Snapshots, error) {
 	loaded := src.Load()
 	path, name := src.Getenv(config.StateDirEnv), src.Getenv("GW_NAME")
 	if loaded.Err == nil {
@@ -109,7 +109,7 @@
 		h, err := config.Start(loaded, time.Now())
 		return h, kept, err
 	}
-	h, notes, err := config.Resume(loaded, found.State.Current, found.State.Before, found.State.Left, time.Now())
+	h, notes, err := config.Resume(loaded, found.State.Current, found.State.Previous, found.State.RolledBackDigest, time.Now())
 	for _, n := range notes {
 		slog.Warn("configuration", "note", n)
 	}
@@ -120,14 +120,14 @@
 const openWait = 5 * time.Second
 
 // open reads what is kept in a state directory.
-func open(path, name string) (*node.Kept, error) {
-	kept, err := bounded.Do(openWait, func() (*node.Kept, error) {
+func open(path, name string) (*node.Snapshots, error) {
+	kept, err := bounded.Do(openWait, func() (*node.Snapshots, error) {
 		dir, err := snapshot.OpenDir(path)
 		if err != nil {
 			return nil, err
 		}
 		store, found := snapshot.Open(dir, name)
-		return &node.Kept{Store: store, Found: found}, nil
+		return &node.Snapshots{Store: store, Found: found}, nil
 	})
 	if errors.Is(err, bounded.ErrLate) {
 		return nil, fmt.Errorf("%s: not read within %v", path, openWait)
--- a/cmd/valvering/measure_test.go
+++ b/cmd/valvering/measure_test.go
@@ -249,14 +249,14 @@
 		m.b.Fatal(err)
 	}
 	st := &snapshot.State{Taken: snapshot.Now(), Clean: true, List: &roster.List{Rev: 7, All: true},
-		Current: config.Kept{Number: 1, Digest: config.DigestOf(raw), Time: time.Now(), Raw: raw},
-		Memory:  policy.Memory{Tokens: map[uint64]float64{}}}
+		Current: config.StoredGeneration{Number: 1, Digest: config.DigestOf(raw), Time: time.Now(), Raw: raw},
+		Memory:  policy.SavedState{Tokens: map[uint64]float64{}}}
 	for i := range measuredServers {
 		uid := fmt.Sprintf("s-%08x", i+1)
 		st.List.Targets = append(st.List.Targets, roster.Target{UID: uid, Endpoint: m.server.Listener.Addr().String(),
 			Zone: "a", State: "SERVING", Weight: 1})
-		st.Memory.Servers = append(st.Memory.Servers, policy.ServerMemory{ID: roster.ID(uid), Slow: 1.2, Pace: 1.2,
-			Faults: []policy.FaultMemory{{Class: "katalog", Errs: 0.1}}})
+		st.Memory.Servers = append(st.Memory.Servers, policy.SavedServer{ID: roster.ID(uid), RelativeLatency: 1.2, MonitoredLatency: 1.2,
+			Health: []policy.SavedHealth{{Class: "katalog", FailureAverage: 0.1}}})
 	}
 	for i := range measuredCustomers {
 		st.Memory.Tokens[uint64(i)] = float64(i % 5000)
--- a/cmd/valvering/service_test.go
+++ b/cmd/valvering/service_test.go
@@ -495,7 +495,7 @@
 			if err != nil {
 				t.Errorf("%v\n%s", err, s.log)
 			}
-		case <-time.After(testkit.Patience):
+		case <-time.After(testkit.WaitTimeout):
 			t.Fatalf("did not end\n%s", s.log)
 		}
 		s.start()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -48,7 +48,7 @@
 	Check(raw []byte) error
 	Apply(ctx context.Context) error
 	RollBack(ctx context.Context) error
-	Stay(ctx context.Context) error
+	CancelShutdown(ctx context.Context) error
 }
 
 // Listen opens the listener, which must be on a loopback address.
@@ -135,9 +135,9 @@
 			err := do(r.Context())
 			slog.Info("operator's command", "what", what, "from", r.RemoteAddr, "err", err)
 			switch {
-			case err == nil, errors.Is(err, config.ErrPassedOver):
+			case err == nil, errors.Is(err, config.ErrUnchanged):
 				reply(w, http.StatusOK, statusOf(o.Status()))
-			case errors.Is(err, config.ErrNoneBefore), what == "stay":
+			case errors.Is(err, config.ErrNoPrevious), what == "stay":
 				fail(w, http.StatusConflict, err)
 			default:
 				fail(w, http.StatusUnprocessableEntity, err)
@@ -146,7 +146,7 @@
 	}
 	mux.HandleFunc("POST /apply", change("apply", o.Apply))
 	mux.HandleFunc("POST /rollback", change("rollback", o.RollBack))
-	mux.HandleFunc("POST /stay", change("stay", o.Stay))
+	mux.HandleFunc("POST /stay", change("stay", o.CancelShutdown))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := checkLocal(r); err != nil {
 			fail(w, http.StatusForbidden, err)
@@ -196,18 +196,18 @@
 type unsolicited struct {
 	Idle      int64 `json:"idle"`
 	Write     int64 `json:"before_write"`
-	Answer    int64 `json:"as_answer"`
+	Response  int64 `json:"as_answer"`
 	Unchecked int64 `json:"unchecked_answers"`
 }
 
 // disconnects counts requests whose client disconnected before their first attempt, by where
-// that was detected. They were not sent to a server, except for Hidden: requests that
-// were sent although the client may have disconnected.
+// that was detected. They were not sent to a server, except for Undetectable: requests
+// that were sent although the client may have disconnected.
 type disconnects struct {
-	Held    int64 `json:"held"`
-	Dialing int64 `json:"dialing"`
-	Writing int64 `json:"before_write"`
-	Hidden  int64 `json:"sent_on_unseen"`
+	Waiting      int64 `json:"held"`
+	Dialing      int64 `json:"dialing"`
+	Writing      int64 `json:"before_write"`
+	Undetectable int64 `json:"sent_on_unseen"`
 }
 
 // loopLag is the delay of the event loop in milliseconds. It grows while the loop is
@@ -264,16 +264,16 @@
 func statusOf(s node.Status) status {
 	out := status{Name: s.Name, Ready: s.Ready, Phase: s.Phase,
 		Generation:  generation{s.Current.Number, s.Current.Digest, s.Current.Time},
-		Loop:        loopLag{milliseconds(s.Lag), milliseconds(s.MostLag), s.Looks},
+		Loop:        loopLag{milliseconds(s.Lag), milliseconds(s.MaxLag), s.Heartbeats},
 		Disconnects: disconnects(s.Disconnects),
 		Unsolicited: unsolicited(s.Unsolicited)}
-	if s.Before != nil {
-		out.Before = &generation{s.Before.Number, s.Before.Digest, s.Before.Time}
+	if s.Previous != nil {
+		out.Before = &generation{s.Previous.Number, s.Previous.Digest, s.Previous.Time}
 	}
 	for _, d := range s.Duties {
 		out.Duties = append(out.Duties, dutyOf(d))
 	}
-	if counts := s.Keeping; counts != nil {
+	if counts := s.Snapshots; counts != nil {
 		out.Snapshots = &snapshots{counts.Written, counts.Failed, counts.Dropped, counts.Bytes,
 			counts.Last, counts.Error}
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -32,7 +32,7 @@
 	o.calls = append(o.calls, "apply")
 	return o.err
 }
-func (o *fakeNode) Stay(context.Context) error {
+func (o *fakeNode) CancelShutdown(context.Context) error {
 	o.calls = append(o.calls, "stay")
 	return o.err
 }
@@ -44,12 +44,12 @@
 func startAPI(t *testing.T) (*fakeNode, string) {
 	t.Helper()
 	o := &fakeNode{status: node.Status{Name: "n3", Ready: true, Phase: "serving",
-		Current: &config.Generation{Number: 4, Digest: "d4", Time: time.Unix(4, 0)},
-		Before:  &config.Generation{Number: 3, Digest: "d3", Time: time.Unix(3, 0)},
-		Refused: &config.Refusal{Digest: "d5", Time: time.Unix(5, 0), Err: config.Faults{{Field: "listen", What: "no port"}}}}}
-	o.status.Disconnects = node.Disconnects{Held: 1, Dialing: 2, Writing: 3, Hidden: 4}
-	o.status.Unsolicited = node.Unsolicited{Idle: 5, Write: 6, Answer: 7, Unchecked: 8}
-	o.status.Lag, o.status.MostLag, o.status.Looks = 1500*time.Microsecond, 2*time.Second, 7
+		Current:  &config.Generation{Number: 4, Digest: "d4", Time: time.Unix(4, 0)},
+		Previous: &config.Generation{Number: 3, Digest: "d3", Time: time.Unix(3, 0)},
+		Refused:  &config.Refusal{Digest: "d5", Time: time.Unix(5, 0), Err: config.Faults{{Field: "listen", What: "no port"}}}}}
+	o.status.Disconnects = node.Disconnects{Waiting: 1, Dialing: 2, Writing: 3, Undetectable: 4}
+	o.status.Unsolicited = node.Unsolicited{Idle: 5, Write: 6, Response: 7, Unchecked: 8}
+	o.status.Lag, o.status.MaxLag, o.status.Heartbeats = 1500*time.Microsecond, 2*time.Second, 7
 	ln, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		t.Fatal(err)
@@ -130,10 +130,10 @@
 		{"POST", "/check", nil, 200, "check {}", `"good": true`},
 		{"POST", "/check", config.Faults{{Field: "name", What: "x"}}, 422, "check {}", `"field": "name"`},
 		{"POST", "/apply", nil, 200, "apply", `"number": 4`},
-		{"POST", "/apply", config.ErrPassedOver, 200, "apply", `"number": 4`},
+		{"POST", "/apply", config.ErrUnchanged, 200, "apply", `"number": 4`},
 		{"POST", "/apply", config.ErrUnreadable, 422, "apply", "not readable"},
 		{"POST", "/rollback", nil, 200, "rollback", `"number": 4`},
-		{"POST", "/rollback", config.ErrNoneBefore, 409, "rollback", "no generation"},
+		{"POST", "/rollback", config.ErrNoPrevious, 409, "rollback", "no generation"},
 		{"POST", "/stay", nil, 200, "stay", `"phase": "serving"`},
 		{"POST", "/stay", io.ErrClosedPipe, 409, "stay", "closed"},
 		{"GET", "/stay", nil, 405, "", ""},
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -167,7 +167,7 @@
 		{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","pod_group":2,"state":"SERVING","capacity_hint":1.5,"boot_ms":7},
 		{"uid":"s-2","state":"DELETED"}]},"valvering":{"admin":"127.0.0.1:7"},"limits"`, 1)
 	want, err := parse(text)
-	if err != nil || len(want.Warnings) > 0 || len(want.Known.Targets) != 2 || want.Admin.Port() != 7 {
+	if err != nil || len(want.Warnings) > 0 || len(want.KnownServers.Targets) != 2 || want.Admin.Port() != 7 {
 		t.Fatal(err, want)
 	}
 	for seed := range uint64(2000) {
@@ -292,7 +292,7 @@
 	b.t.Helper()
 	b.write(strings.Replace(testFile, from, to, 1))
 	b.now = b.now.Add(time.Second)
-	g, err := b.Offer(b.now, false)
+	g, err := b.Propose(b.now, false)
 	if err == nil {
 		b.Accept(g)
 	}
@@ -310,8 +310,8 @@
 		t.Errorf("%v, %v, %+v", err, b.Refused(), b.Current())
 	}
 	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); err != nil || b.Current().Number != 3 ||
-		b.Current().File.Discovery != "127.0.0.1:3" || b.Before().Number != 2 || b.Refused() != nil {
-		t.Errorf("%v, %+v, %+v", err, b.Current(), b.Before())
+		b.Current().File.Discovery != "127.0.0.1:3" || b.Previous().Number != 2 || b.Refused() != nil {
+		t.Errorf("%v, %+v, %+v", err, b.Current(), b.Previous())
 	}
 }
 
@@ -352,13 +352,13 @@
 // force again by an operator's command or once it has changed, but not by a signal.
 func TestRollBack(t *testing.T) {
 	b := newTestHistory(t)
-	if _, err := b.Back(b.now); !errors.Is(err, ErrNoneBefore) {
+	if _, err := b.RollBack(b.now); !errors.Is(err, ErrNoPrevious) {
 		t.Errorf("%v with one generation", err)
 	}
 	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:2"`); err != nil {
 		t.Fatal(err)
 	}
-	g, err := b.Back(b.now)
+	g, err := b.RollBack(b.now)
 	if err != nil || b.Current().Number != 2 {
 		t.Fatal(err, b.Current())
 	}
@@ -366,19 +366,19 @@
 	if b.Current().Number != 3 || b.Current().File.Discovery != "127.0.0.1:1" {
 		t.Errorf("%+v", b.Current())
 	}
-	if _, err := b.Back(b.now); !errors.Is(err, ErrNoneBefore) {
+	if _, err := b.RollBack(b.now); !errors.Is(err, ErrNoPrevious) {
 		t.Errorf("%v at the second rollback", err)
 	}
-	if _, err := b.Offer(b.now, false); !errors.Is(err, ErrPassedOver) {
+	if _, err := b.Propose(b.now, false); !errors.Is(err, ErrUnchanged) {
 		t.Errorf("%v for the file that was rolled back from", err)
 	}
-	if g, err = b.Offer(b.now, true); err != nil || g.File.Discovery != "127.0.0.1:2" {
+	if g, err = b.Propose(b.now, true); err != nil || g.File.Discovery != "127.0.0.1:2" {
 		t.Errorf("%v for the same file by an operator's command", err)
 	}
-	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); err != nil || b.Left() != "" {
+	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); err != nil || b.RolledBackDigest() != "" {
 		t.Errorf("%v for another file", err)
 	}
-	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); !errors.Is(err, ErrPassedOver) {
+	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); !errors.Is(err, ErrUnchanged) {
 		t.Errorf("%v for the file in force", err)
 	}
 }
@@ -387,7 +387,7 @@
 func TestProposedIsNotInForce(t *testing.T) {
 	b := newTestHistory(t)
 	b.write(strings.Replace(testFile, `"127.0.0.1:1"`, `"127.0.0.1:2"`, 1))
-	if _, err := b.Offer(b.now, false); err != nil || b.Current().Number != 1 || b.Before() != nil {
+	if _, err := b.Propose(b.now, false); err != nil || b.Current().Number != 1 || b.Previous() != nil {
 		t.Error(err, b.Current())
 	}
 }
@@ -415,8 +415,8 @@
 // the file.
 func TestResume(t *testing.T) {
 	alter := func(port string) string { return strings.Replace(testFile, `"127.0.0.1:1"`, `"127.0.0.1:`+port+`"`, 1) }
-	kept := func(n uint64, text string) Kept {
-		return Kept{Number: n, Digest: DigestOf([]byte(text)), Time: time.Unix(int64(n), 0), Raw: []byte(text)}
+	kept := func(n uint64, text string) StoredGeneration {
+		return StoredGeneration{Number: n, Digest: DigestOf([]byte(text)), Time: time.Unix(int64(n), 0), Raw: []byte(text)}
 	}
 	broken := kept(5, alter("5"))
 	broken.Raw = broken.Raw[:40]
@@ -424,7 +424,7 @@
 	for _, c := range []struct {
 		name            string
 		file            string
-		current, before Kept
+		current, before StoredGeneration
 		rolledBack      string
 		number          uint64 // in force; 0: the start fails
 		port            string // of discovery
@@ -435,13 +435,13 @@
 		{"the same file", alter("5"), kept(5, alter("5")), kept(4, alter("4")), "", 5, "5", 4, false, 0},
 		{"a newer file", alter("6"), kept(5, alter("5")), kept(4, alter("4")), "", 6, "6", 5, false, 0},
 		{"a faulty file", faulty, kept(5, alter("5")), kept(4, alter("4")), "", 5, "5", 4, true, 1},
-		{"half a file", alter("6")[:50], kept(5, alter("5")), Kept{}, "", 5, "5", 0, true, 1},
-		{"rolled back from", alter("6"), kept(7, alter("5")), Kept{}, DigestOf([]byte(alter("6"))), 7, "5", 0, false, 1},
+		{"half a file", alter("6")[:50], kept(5, alter("5")), StoredGeneration{}, "", 5, "5", 0, true, 1},
+		{"rolled back from", alter("6"), kept(7, alter("5")), StoredGeneration{}, DigestOf([]byte(alter("6"))), 7, "5", 0, false, 1},
 		{"stored one damaged", alter("6"), broken, kept(4, alter("4")), "", 6, "6", 0, false, 1},
-		{"stored one faulty", alter("6"), kept(5, faulty), Kept{}, "", 6, "6", 0, false, 1},
+		{"stored one faulty", alter("6"), kept(5, faulty), StoredGeneration{}, "", 6, "6", 0, false, 1},
 		{"previous one damaged", alter("5"), kept(5, alter("5")), broken, "", 5, "5", 0, false, 1},
-		{"nothing valid", faulty, broken, Kept{}, "", 0, "", 0, false, 0},
-		{"nothing stored", faulty, Kept{}, Kept{}, "", 0, "", 0, false, 0},
+		{"nothing valid", faulty, broken, StoredGeneration{}, "", 0, "", 0, false, 0},
+		{"nothing stored", faulty, StoredGeneration{}, StoredGeneration{}, "", 0, "", 0, false, 0},
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(c.file), 0o600); err != nil {
@@ -456,8 +456,8 @@
 			continue
 		}
 		previous := uint64(0)
-		if h.Before() != nil {
-			previous = h.Before().Number
+		if h.Previous() != nil {
+			previous = h.Previous().Number
 		}
 		if h.Current().Number != c.number || h.Current().File.Discovery != "127.0.0.1:"+c.port ||
 			previous != c.previous || (h.Refused() != nil) != c.refused || len(notes) != c.notes {
@@ -473,9 +473,9 @@
 	b := newTestHistory(t)
 	other := strings.Replace(testFile, `["127.0.0.1:5"]`, `["127.0.0.1:6"]`, 1)
 	h, _, err := Resume(Source{func(key string) string { return map[string]string{"GW_CONFIG": b.path}[key] }}.Load(),
-		Kept{1, DigestOf([]byte(other)), b.now, []byte(other)}, Kept{}, "", b.now)
+		StoredGeneration{1, DigestOf([]byte(other)), b.now, []byte(other)}, StoredGeneration{}, "", b.now)
 	if err == nil {
-		_, err = h.Back(b.now)
+		_, err = h.RollBack(b.now)
 	}
 	if err == nil || !strings.Contains(err.Error(), "peers: can't change") {
 		t.Error(err)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -33,20 +33,20 @@
 // File is the configuration of an edge node, from its file and the environment.
 // It is immutable once parsed.
 type File struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Seed       uint64
-	MemoryMB   int
-	Sockets    int
-	PeerListen string
-	Peers      []netip.AddrPort
-	PeersAll   netip.AddrPort // one datagram to it reaches all edge nodes; zero: none
-	Known      *roster.List   // servers known before discovery answers; nil: none
-	Admin      netip.AddrPort // operators' address; zero: none
-	StateDir   string         // directory of the snapshots; empty: no snapshots
-	Duties     []string       // leases to request, each held by one edge node at a time
-	Settings   policy.Settings
+	Name         string
+	Listen       string
+	Discovery    string
+	Seed         uint64
+	MemoryMB     int
+	Sockets      int
+	PeerListen   string
+	Peers        []netip.AddrPort
+	PeersAll     netip.AddrPort // one datagram to it reaches all edge nodes; zero: none
+	KnownServers *roster.List   // servers known before discovery answers; nil: none
+	Admin        netip.AddrPort // operators' address; zero: none
+	StateDir     string         // directory of the snapshots; empty: no snapshots
+	Duties       []string       // leases to request, each held by one edge node at a time
+	Settings     policy.Settings
 
 	DialTimeout time.Duration // limit for connecting to a server
 	ConnIdle    time.Duration // servers close connections that are idle for longer
@@ -266,7 +266,7 @@
 	if settingsValid {
 		p.peerAddresses(c, peers, peersAll)
 	}
-	p.ownFields(c, getenv, !settingsValid || c.Settings.CanTell)
+	p.ownFields(c, getenv, !settingsValid || c.Settings.CanSendMessages)
 	return c
 }
 
@@ -282,14 +282,14 @@
 	case err != nil:
 		c.Warnings = append(c.Warnings, "known list ignored: "+err.Error())
 		return
-	case l != nil && l.Twice != nil: // which of the two lines is right is unknown
-		c.Warnings = append(c.Warnings, "known list ignored: "+l.Twice.Error())
+	case l != nil && l.DuplicateErr != nil: // which of the two lines is right is unknown
+		c.Warnings = append(c.Warnings, "known list ignored: "+l.DuplicateErr.Error())
 		return
-	case l != nil && l.Bad > 0:
+	case l != nil && l.Invalid > 0:
 		c.Warnings = append(c.Warnings, fmt.Sprintf("known list: %d lines ignored, first fault: %v",
-			l.Bad, l.BadWhy))
+			l.Invalid, l.InvalidErr))
 	}
-	c.Known = l
+	c.KnownServers = l
 }
 
 // settings decodes the platform's settings and ignores unknown ones.
@@ -299,7 +299,7 @@
 		p.addFault("settings", "none")
 		return false
 	}
-	facts, err := wire.FactsFromJSON(raw)
+	facts, err := wire.SettingPairsFromJSON(raw)
 	if err != nil {
 		p.addFault("settings", "%s", strings.TrimPrefix(err.Error(), "settings: "))
 		return false
@@ -346,15 +346,15 @@
 	p.require(s.Resolution > 0, "settings.tick_ms", "not above 0")
 	p.require(s.Gateways >= 1 && s.Gateways <= maxEdgeNodes, "settings.balancers", "%d is not from 1 to %d",
 		s.Gateways, maxEdgeNodes)
-	p.require(s.Me >= 0 && s.Me < max(1, s.Gateways), "settings.me", "%d is negative or not below balancers",
-		s.Me)
+	p.require(s.Self >= 0 && s.Self < max(1, s.Gateways), "settings.me",
+		"%d is negative or not below balancers", s.Self)
 	p.require(s.DatagramsPerSecond >= 0, "settings.family_info.mail_per_s", "negative")
-	p.require(s.LargestUnits >= 0 && s.LargestUnits <= math.MaxUint16, "settings.family_info.largest",
-		"%g is out of range", s.LargestUnits)
+	p.require(s.MaxUnits >= 0 && s.MaxUnits <= math.MaxUint16, "settings.family_info.largest",
+		"%g is out of range", s.MaxUnits)
 	p.require(s.MaxAttempts >= 0, "settings.caps.max_attempts", "negative")
-	p.require(s.ColdShare >= 0 && s.ColdShare <= 1, "settings.rules.cold_share", "%g is not from 0 to 1",
-		s.ColdShare)
-	p.require(s.FallMultiple >= 0, "settings.rules.fall_multiple", "negative")
+	p.require(s.MinWarmUpFraction >= 0 && s.MinWarmUpFraction <= 1, "settings.rules.cold_share",
+		"%g is not from 0 to 1", s.MinWarmUpFraction)
+	p.require(s.OverloadMultiple >= 0, "settings.rules.fall_multiple", "negative")
 	p.require(len(s.Classes) > 0, "settings.classes", "none")
 	p.require(len(s.Plans) > 0, "settings.plans", "none")
 	names := map[string]bool{}
@@ -363,7 +363,7 @@
 		p.require(c.Name != "", at+"name", "empty")
 		p.require(!names[c.Name], at+"name", "%q is a duplicate", c.Name)
 		names[c.Name] = true
-		p.require(c.Aim > 0, at+"aim_ms", "not above 0")
+		p.require(c.LatencyTarget > 0, at+"aim_ms", "not above 0")
 		p.require(c.Deadline > 0, at+"hard_limit_ms", "not above 0")
 	}
 	clear(names)
@@ -372,12 +372,12 @@
 		p.require(q.Name != "", at+"name", "empty")
 		p.require(!names[q.Name], at+"name", "%q is a duplicate", q.Name)
 		names[q.Name] = true
-		p.require(q.Open >= 0, at+"parallel", "negative")
+		p.require(q.MaxInFlight >= 0, at+"parallel", "negative")
 		for _, f := range []struct {
 			key string
 			v   float64
 		}{{"rate", q.Rate}, {"store_size", q.Burst}, {"hard_rate", q.HardRate}, {"hard_burst", q.HardBurst},
-			{"beyond_earns", q.BeyondEarns}, {"beyond_costs", q.BeyondCosts}} {
+			{"beyond_earns", q.EarnedBeyondQuota}, {"beyond_costs", q.ChargedBeyondQuota}} {
 			p.require(f.v >= 0, at+f.key, "negative")
 		}
 		p.require(q.Rate <= 0 || q.Burst > 0, at+"store_size", "not above 0, but the plan has a rate")
@@ -386,7 +386,7 @@
 
 // peerAddresses parses the addresses at which edge nodes receive messages from each other.
 func (p *parser) peerAddresses(c *File, list []string, peersAll string) {
-	if !c.Settings.CanTell {
+	if !c.Settings.CanSendMessages {
 		return
 	}
 	seen := make(map[netip.AddrPort]bool, len(list))
--- a/internal/config/history.go
+++ b/internal/config/history.go
@@ -25,20 +25,20 @@
 	Err    error
 }
 
-// Kept is a generation as it is stored in a snapshot.
-type Kept struct {
+// StoredGeneration is a generation as it is stored in a snapshot.
+type StoredGeneration struct {
 	Number uint64 // 0: no generation
 	Digest string
 	Time   time.Time
 	Raw    []byte
 }
 
-// Kept returns the generation without the parsed file.
-func (g *Generation) Kept() Kept {
+// Stored returns the generation without the parsed file.
+func (g *Generation) Stored() StoredGeneration {
 	if g == nil {
-		return Kept{}
+		return StoredGeneration{}
 	}
-	return Kept{g.Number, g.Digest, g.Time, g.Raw}
+	return StoredGeneration{g.Number, g.Digest, g.Time, g.Raw}
 }
 
 // DigestOf returns the first 8 bytes of the SHA-256 of a file, in hexadecimal.
@@ -48,7 +48,7 @@
 }
 
 // History holds the generation in force and the previous one. It is not safe for
-// concurrent use. Offer and Back only propose a generation; Accept puts it in force
+// concurrent use. Propose and RollBack only propose a generation; Accept puts it in force
 // once the caller has applied it, so that a failure changes nothing here.
 type History struct {
 	src        Source
@@ -58,11 +58,11 @@
 	refused    *Refusal
 }
 
-// ErrPassedOver is returned for a file that Offer ignores.
-var ErrPassedOver = errors.New("configuration unchanged")
+// ErrUnchanged is returned for a file that Propose ignores.
+var ErrUnchanged = errors.New("configuration unchanged")
 
-// ErrNoneBefore is returned by Back if no previous generation is stored.
-var ErrNoneBefore = errors.New("no generation is kept before the one in force")
+// ErrNoPrevious is returned by RollBack if no previous generation is stored.
+var ErrNoPrevious = errors.New("no generation is kept before the one in force")
 
 // Loaded is the result of reading and parsing the file once, at a start.
 type Loaded struct {
@@ -93,8 +93,8 @@
 // restart. If the loaded file is invalid, the stored generation stays in force: a
 // crash must not turn a rejected change into an outage. It also stays if an operator
 // had rolled back from the loaded file. The notes are for the log.
-func Resume(l Loaded, current, previous Kept, rolledBack string, now time.Time) (h *History, notes []string,
-	err error) {
+func Resume(l Loaded, current, previous StoredGeneration, rolledBack string,
+	now time.Time) (h *History, notes []string, err error) {
 	src, f, raw, err := l.src, l.File, l.raw, l.Err
 	digest := DigestOf(raw)
 	stored, storedErr := src.restore(current)
@@ -132,7 +132,7 @@
 
 // restore parses a stored generation again: another version of this program may have
 // written it.
-func (s Source) restore(k Kept) (*Generation, error) {
+func (s Source) restore(k StoredGeneration) (*Generation, error) {
 	if k.Number == 0 || DigestOf(k.Raw) != k.Digest {
 		return nil, errors.New("missing or damaged")
 	}
@@ -149,11 +149,11 @@
 // Current returns the generation in force.
 func (h *History) Current() *Generation { return h.current }
 
-// Before returns the generation that Back would propose, or nil.
-func (h *History) Before() *Generation { return h.previous }
+// Previous returns the generation that RollBack would propose, or nil.
+func (h *History) Previous() *Generation { return h.previous }
 
-// Left returns the digest of the file that was rolled back from, or "".
-func (h *History) Left() string { return h.rolledBack }
+// RolledBackDigest returns the digest of the file that was rolled back from, or "".
+func (h *History) RolledBackDigest() string { return h.rolledBack }
 
 // Refused returns the last rejected file, or nil.
 func (h *History) Refused() *Refusal { return h.refused }
@@ -171,11 +171,11 @@
 	return f, nil
 }
 
-// Offer reads the file and proposes it as the next generation. The error is
-// ErrPassedOver if the file is the one in force or, unless forced, the one that was
+// Propose reads the file and proposes it as the next generation. The error is
+// ErrUnchanged if the file is the one in force or, unless forced, the one that was
 // rolled back from. Refused returns a rejected file. After ErrUnreadable the caller
 // should retry, since another process may still be writing the file.
-func (h *History) Offer(now time.Time, forced bool) (*Generation, error) {
+func (h *History) Propose(now time.Time, forced bool) (*Generation, error) {
 	raw, err := h.src.Read()
 	if err != nil {
 		h.refused = &Refusal{Time: now, Err: err}
@@ -185,10 +185,10 @@
 	switch {
 	case digest == h.current.Digest:
 		h.refused = nil
-		return nil, fmt.Errorf("%w: generation %d is this file already", ErrPassedOver, h.current.Number)
+		return nil, fmt.Errorf("%w: generation %d is this file already", ErrUnchanged, h.current.Number)
 	case digest == h.rolledBack && !forced:
 		return nil, fmt.Errorf("%w: this file was rolled back from; the apply command puts it in force",
-			ErrPassedOver)
+			ErrUnchanged)
 	}
 	f, err := h.Check(raw)
 	if err != nil {
@@ -198,10 +198,10 @@
 	return h.propose(digest, now, raw, f), nil
 }
 
-// Back proposes a rollback to the previous generation.
-func (h *History) Back(now time.Time) (*Generation, error) {
+// RollBack proposes a rollback to the previous generation.
+func (h *History) RollBack(now time.Time) (*Generation, error) {
 	if h.previous == nil {
-		return nil, ErrNoneBefore
+		return nil, ErrNoPrevious
 	}
 	if faults := fixedFieldFaults(h.current.File, h.previous.File); len(faults) > 0 {
 		return nil, faults // that generation was in force before a restart
@@ -213,7 +213,7 @@
 	return &Generation{Number: h.current.Number + 1, Digest: digest, Time: now, Raw: raw, File: f}
 }
 
-// Accept puts a generation that Offer or Back proposed in force. After a rollback no
+// Accept puts a generation that Propose or RollBack proposed in force. After a rollback no
 // previous generation is stored: a second rollback must not restore the file that
 // the operator has just rolled back.
 func (h *History) Accept(g *Generation) {
@@ -244,12 +244,13 @@
 	require(slices.Equal(a.Duties, b.Duties), ownObject+".duties", a.Duties, b.Duties)
 	require(a.StateDir == b.StateDir, ownObject+".state_dir", a.StateDir, b.StateDir)
 	s, t := &a.Settings, &b.Settings
-	require(s.Me == t.Me, "settings.me", s.Me, t.Me)
+	require(s.Self == t.Self, "settings.me", s.Self, t.Self)
 	require(s.Gateways == t.Gateways, "settings.balancers", s.Gateways, t.Gateways)
 	require(s.Zone == t.Zone, "settings.zone", s.Zone, t.Zone)
 	require(s.Resolution == t.Resolution, "settings.tick_ms", s.Resolution, t.Resolution)
-	require(s.MustAsk == t.MustAsk, "settings.discovery", s.MustAsk, t.MustAsk)
-	require(s.CanTell == t.CanTell, "settings.caps.peers", s.CanTell, t.CanTell)
+	require(s.MustWatch == t.MustWatch, "settings.discovery", s.MustWatch, t.MustWatch)
+	require(s.CanSendMessages == t.CanSendMessages, "settings.caps.peers",
+		s.CanSendMessages, t.CanSendMessages)
 	require(s.DatagramsPerSecond == t.DatagramsPerSecond, "settings.family_info.mail_per_s",
 		s.DatagramsPerSecond, t.DatagramsPerSecond)
 	require(slices.Equal(s.ReportNames, t.ReportNames), "settings.report.names", s.ReportNames, t.ReportNames)
--- a/internal/config/large_test.go
+++ b/internal/config/large_test.go
@@ -28,7 +28,7 @@
 			b.SetBytes(int64(len(text)))
 			for b.Loop() {
 				if f, err := (Source{noEnv}).Parse(text); err != nil || len(f.Peers) != size[0] ||
-					len(f.Known.Targets) != size[1] {
+					len(f.KnownServers.Targets) != size[1] {
 					b.Fatal(err)
 				}
 			}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -91,9 +91,9 @@
 		}
 	case policy.Outcome:
 		p.outcome(ev)
-	case policy.Gone:
+	case policy.ClientDisconnected:
 		delete(p.open, ev.ID)
-	case policy.Members:
+	case policy.ServerListUpdate:
 		p.members(ev)
 	case policy.Shutdown:
 		p.out = append(p.out, policy.ShutdownDone{})
@@ -101,8 +101,8 @@
 	return p.out
 }
 
-func (p *simple) members(ev policy.Members) {
-	if ev.Kind == policy.AskFailed {
+func (p *simple) members(ev policy.ServerListUpdate) {
+	if ev.Kind == policy.WatchFailed {
 		return
 	}
 	if ev.Kind != policy.Changes {
@@ -138,7 +138,7 @@
 		}
 		st.left = min(max(plan.Burst/parts, r.Units), st.left+plan.Rate/parts*(p.now-st.at).Seconds())
 		st.at = p.now
-		if plan.Open > 0 && float64(st.out) >= max(1, float64(plan.Open)/parts) {
+		if plan.MaxInFlight > 0 && float64(st.out) >= max(1, float64(plan.MaxInFlight)/parts) {
 			return false
 		}
 		if plan.Rate == 0 {
@@ -207,7 +207,7 @@
 	if st := p.stores[r.Customer]; st != nil {
 		st.out--
 	}
-	if ev.Over || ev.Code == policy.OK {
+	if ev.Answered || ev.Code == policy.OK {
 		delete(p.open, ev.ID)
 		return
 	}
--- a/internal/lab/host/host.go
+++ b/internal/lab/host/host.go
@@ -117,7 +117,7 @@
 }
 
 var stateWords = map[policy.State]string{policy.Running: "Running", policy.Draining: "Stopping", policy.Removed: "Deleted"}
-var kindWords = map[policy.MembersKind]string{policy.Changes: "changes", policy.Whole: "all", policy.Remembered: "remembered", policy.AskFailed: "refused"}
+var kindWords = map[policy.UpdateKind]string{policy.Changes: "changes", policy.FullList: "all", policy.StoredList: "remembered", policy.WatchFailed: "refused"}
 var codeWords = [...]string{"OK", "INTERNAL", "RESOURCE_EXHAUSTED", "DEADLINE_EXCEEDED", "UNAVAILABLE", "ABORTED", "CANCELLED", "TOO_LATE"}
 
 func bit(b bool) int {
@@ -130,8 +130,8 @@
 // event writes an event as a line, and the list ahead of one that brings servers.
 func (n *instance) event(w io.Writer, ev policy.Event) {
 	switch ev := ev.(type) {
-	case policy.Members:
-		if ev.Kind != policy.AskFailed {
+	case policy.ServerListUpdate:
+		if ev.Kind != policy.WatchFailed {
 			fmt.Fprintf(w, "TABLE 0 %d\n", len(ev.Servers))
 			for _, s := range ev.Servers {
 				start := "-"
@@ -146,9 +146,9 @@
 		fmt.Fprintf(w, "INGRESS %s %016x %d %s %d %s %g %d %s %s\n", n.name, uint64(ev.ID), ev.Spread, ev.Class, ev.First, ms(ev.Remaining),
 			ev.Units, 2*bit(ev.Retry), ev.Customer, ev.Plan)
 	case policy.Outcome:
-		fmt.Fprintf(w, "VERDICT %s %016x %d 0 %s %d %d %g %s -\n", n.name, uint64(ev.ID), ev.Attempt, ms(ev.Latency), ev.Server, bit(ev.Over), ev.Actual,
+		fmt.Fprintf(w, "VERDICT %s %016x %d 0 %s %d %d %g %s -\n", n.name, uint64(ev.ID), ev.Attempt, ms(ev.Latency), ev.Server, bit(ev.Answered), ev.ActualUnits,
 			codeWords[ev.Code])
-	case policy.Gone:
+	case policy.ClientDisconnected:
 		fmt.Fprintf(w, "LAPSED %s %016x\n", n.name, uint64(ev.ID))
 	case policy.Timer:
 		fmt.Fprintf(w, "ELAPSED %s %s\n", n.name, ev.Token)
@@ -249,7 +249,7 @@
 			data, e = base64.StdEncoding.DecodeString(field(3))
 			note(e)
 		}
-		a = policy.Tell{To: whole(2), Data: data}
+		a = policy.SendMessage{To: whole(2), Data: data}
 	case "LISTEN":
 		a = policy.Watch{}
 	case "SAY_LOG", "TOUCH", "SHUT_IDLE", "PULL", "ADD_AND_GET":
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -95,7 +95,7 @@
 	defer a.mu.Unlock()
 	l = roster.List{Rev: a.rev, All: since <= 0, Targets: []roster.Target{}}
 	for _, e := range a.list {
-		if since <= 0 && e.State != roster.Gone || since > 0 && e.rev > since {
+		if since <= 0 && e.State != roster.Removed || since > 0 && e.rev > since {
 			l.Targets = append(l.Targets, e.Target)
 			told = append(told, e)
 		}
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -114,7 +114,7 @@
 func (d *discovery) pick(since int64) roster.List {
 	l := roster.List{Rev: d.rev, All: since == 0, Targets: []roster.Target{}}
 	for i := range d.list.lines {
-		whole := since == 0 && d.list.lines[i].State != roster.Gone
+		whole := since == 0 && d.list.lines[i].State != roster.Removed
 		if whole || since > 0 && d.revs[i] > since {
 			l.Targets = append(l.Targets, d.list.lines[i])
 		}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -277,7 +277,7 @@
 // restarted is the change of a server that has just started.
 func restarted(t *roster.Target) { t.State, t.BootMS = stateServing, float64(time.Now().UnixMilli()) }
 
-func removed(t *roster.Target) { t.State = roster.Gone }
+func removed(t *roster.Target) { t.State = roster.Removed }
 
 func (f *fleet) everyone() []int {
 	list := make([]int, f.existing())
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -78,7 +78,7 @@
 	}
 	listing struct {
 		list *decodedList
-		kind policy.MembersKind
+		kind policy.UpdateKind
 	}
 )
 
@@ -246,11 +246,11 @@
 
 // takeList puts a list in force and tells when it is.
 func (h *hollow) takeList(l listing) {
-	h.decide(causeList, policy.Members{Kind: l.kind, Servers: l.list.servers})
+	h.decide(causeList, policy.ServerListUpdate{Kind: l.kind, Servers: l.list.servers})
 	h.fleet.takes.note(h.no, l.list.rev, time.Now())
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ready == 0 && l.kind == policy.Whole {
+	if h.ready == 0 && l.kind == policy.FullList {
 		h.ready = time.Since(h.began)
 	}
 }
@@ -265,7 +265,7 @@
 			h.close(o.ID, endServed, r.sent-r.at)
 		}
 	}
-	o.Over = h.open[o.ID] == nil
+	o.Answered = h.open[o.ID] == nil
 	h.decide(causeOutcome, o)
 }
 
@@ -275,7 +275,7 @@
 		return
 	}
 	h.close(id, endFailed, 0)
-	h.decide(causeGone, policy.Gone{ID: id})
+	h.decide(causeGone, policy.ClientDisconnected{ID: id})
 }
 
 func (h *hollow) close(id policy.RequestID, how ending, added time.Duration) {
@@ -311,7 +311,7 @@
 		h.final(a.ID, endFailed)
 	case policy.SetTimer:
 		heap.Push(&h.timers, hollowTimer{at: unixNow() + max(time.Microsecond, a.After), token: a.Token})
-	case policy.Tell:
+	case policy.SendMessage:
 		h.fleet.network.tell(h.no, a.To, a.Data)
 	}
 }
@@ -319,7 +319,7 @@
 // send begins an attempt. The model of the server serves it in any case.
 func (h *hollow) send(s policy.Send) {
 	r := h.open[s.ID]
-	outcome := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.Moot, Over: r == nil}
+	outcome := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NotSent, Answered: r == nil}
 	if r != nil {
 		outcome.Attempt = r.attempts
 		r.attempts++
@@ -375,9 +375,9 @@
 		}
 		kind := policy.Changes
 		if list.all || !have {
-			kind = policy.Whole
+			kind = policy.FullList
 		}
-		if (kind == policy.Whole || len(list.servers) > 0) && !h.post(listing{list, kind}) {
+		if (kind == policy.FullList || len(list.servers) > 0) && !h.post(listing{list, kind}) {
 			return
 		}
 		rev, have = list.rev, true
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -39,7 +39,7 @@
 	return l
 }
 
-// States of a line, beside roster.Gone.
+// States of a line, beside roster.Removed.
 const stateServing = "SERVING"
 
 // module gives the list in the module's form.
@@ -68,8 +68,8 @@
 	if err := json.Unmarshal(body, &l); err != nil {
 		return nil, err
 	}
-	if l.Bad > 0 {
-		return nil, fmt.Errorf("%w: %w", errBadLines, l.BadWhy)
+	if l.Invalid > 0 {
+		return nil, fmt.Errorf("%w: %w", errBadLines, l.InvalidErr)
 	}
 	return &decodedList{l.Rev, l.All, moduleServers(l.Targets)}, nil
 }
--- a/internal/lab/scale/memory.go
+++ b/internal/lab/scale/memory.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("settings: %w", err)
 	}
-	g.Handle(unixNow(), policy.Members{Kind: policy.Whole, Servers: servers}, nil)
+	g.Handle(unixNow(), policy.ServerListUpdate{Kind: policy.FullList, Servers: servers}, nil)
 	after := heapLive()
 	runtime.KeepAlive(g)
 	runtime.KeepAlive(servers)
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -117,7 +117,7 @@
 		}
 		s.Book.Broken(tally.AnswerLost, name(t.id), n.no, s.since(), "%s not answered %v after its client's deadline", t.w.classOf(s).Name, s.w.Rules.Slack.D())
 		s.answer(t, tally.Lost, 0)
-		n.handle(policy.Gone{ID: t.id})
+		n.handle(policy.ClientDisconnected{ID: t.id})
 	})
 }
 
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -68,7 +68,7 @@
 	if wait = max(wait, s.down-s.now); wait > callWait {
 		s.after(callWait, func() {
 			if n.inc == inc {
-				n.handle(policy.Members{Kind: policy.AskFailed})
+				n.handle(policy.ServerListUpdate{Kind: policy.WatchFailed})
 			}
 		})
 		return
@@ -95,11 +95,11 @@
 			delete(n.list, id)
 		}
 	}
-	n.tell(policy.Whole, list)
+	n.tell(policy.FullList, list)
 }
 
 // tell tells an edge node of servers, and notes what it has been told.
-func (n *node) tell(kind policy.MembersKind, list []policy.Server) {
+func (n *node) tell(kind policy.UpdateKind, list []policy.Server) {
 	for _, e := range list {
 		if e.State != policy.Running {
 			if _, already := n.told[e.ID]; !already {
@@ -117,5 +117,5 @@
 			n.starts[e.ID] = e.Start
 		}
 	}
-	n.handle(policy.Members{Kind: kind, Servers: list})
+	n.handle(policy.ServerListUpdate{Kind: kind, Servers: list})
 }
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -138,14 +138,14 @@
 	}
 	s.note(t.w, n.no, trace.Outcome, "attempt %d at server %d: %s after %v", a.no, a.srv.no, codeNames[code], s.now-a.sent)
 	if t.answered {
-		n.handle(policy.Outcome{ID: t.id, Attempt: a.no, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Over: true})
+		n.handle(policy.Outcome{ID: t.id, Attempt: a.no, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Answered: true})
 		return
 	}
 	over := code == policy.OK
 	if over {
 		s.answer(t, tally.Served, 0)
 	}
-	n.handle(policy.Outcome{ID: t.id, Attempt: a.no, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Over: over})
+	n.handle(policy.Outcome{ID: t.id, Attempt: a.no, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Answered: over})
 }
 
 var codeNames = [...]string{"ok", "error", "turned away", "timed out", "could not connect", "reset", "cancelled", "moot"}
@@ -201,7 +201,7 @@
 const mostMessage = 256
 
 // post sends a datagram to another edge node, or to all.
-func (n *node) post(a policy.Tell, because policy.Event) {
+func (n *node) post(a policy.SendMessage, because policy.Event) {
 	s := n.s
 	if len(a.Data) > mostMessage {
 		s.Book.Broken(tally.Datagram, "-", n.no, s.since(), "a datagram of %d bytes", len(a.Data))
@@ -254,7 +254,7 @@
 }
 
 // traceAsk notes which request an ask is for.
-func (n *node) traceAsk(a policy.Tell, because policy.Event) {
+func (n *node) traceAsk(a policy.SendMessage, because policy.Event) {
 	m, ok := policy.ReadAsk(a.Data)
 	if !ok {
 		return
@@ -269,7 +269,7 @@
 		}
 		t := n.open[id]
 		left := (t.deadline - n.s.now).Milliseconds()
-		if d := left - m.Left.Milliseconds(); d >= -1 && d <= 1 && t.w.units == m.Units {
+		if d := left - m.Remaining.Milliseconds(); d >= -1 && d <= 1 && t.w.units == m.Units {
 			w = t.w
 		}
 	}
@@ -287,7 +287,7 @@
 	}
 	what := trace.Granted
 	switch {
-	case m.Waits:
+	case m.Held:
 		what = trace.Waits
 	case !m.Granted:
 		what = trace.Denied
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -60,7 +60,7 @@
 	if n.list == nil {
 		n.list = s.listed()
 	}
-	n.tell(policy.Remembered, slices.SortedFunc(maps.Values(n.list), func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) }))
+	n.tell(policy.StoredList, slices.SortedFunc(maps.Values(n.list), func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) }))
 	s.listTo(n)
 	inc := n.inc
 	s.after(readyAfter, func() { // the front takes it in
@@ -125,7 +125,7 @@
 				n.handle(policy.Timer{Token: token})
 			}
 		})
-	case policy.Tell:
+	case policy.SendMessage:
 		n.post(a, because)
 	case policy.Watch:
 		s.call(n)
@@ -139,7 +139,7 @@
 	s := n.s
 	t, srv := n.open[a.ID], s.byID[a.Server]
 	if t == nil || srv == nil {
-		s.after(0, func() { n.handle(policy.Outcome{ID: a.ID, Server: a.Server, Code: policy.Moot, Over: true}) })
+		s.after(0, func() { n.handle(policy.Outcome{ID: a.ID, Server: a.Server, Code: policy.NotSent, Answered: true}) })
 		return
 	}
 	no := t.attempts
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -121,7 +121,7 @@
 		}(), func(me int, w *world.World, seed uint64, truth *sim.Truth) (sim.Decider, error) {
 			s, err := w.Settings(me)
 			for i := range s.Plans {
-				s.Plans[i].Open = 0
+				s.Plans[i].MaxInFlight = 0
 			}
 			if err != nil {
 				return nil, err
@@ -139,7 +139,7 @@
 					once[r.ID] = r.Class == "perpanjang"
 				}
 				o, ok := ev.(policy.Outcome)
-				if !ok || !once[o.ID] || o.Code != policy.Reset || o.Over {
+				if !ok || !once[o.ID] || o.Code != policy.Reset || o.Answered {
 					return acts
 				}
 				acts = slices.DeleteFunc(acts, func(a policy.Action) bool {
@@ -156,7 +156,7 @@
 		}(), planted(func() seeing {
 			var first policy.ServerID
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
-				if m, ok := ev.(policy.Members); ok && m.Kind == policy.Changes {
+				if m, ok := ev.(policy.ServerListUpdate); ok && m.Kind == policy.Changes {
 					for _, s := range m.Servers {
 						if s.State == policy.Draining {
 							first = s.ID
@@ -207,7 +207,7 @@
 					safe[r.ID] = r.Class == "katalog"
 				}
 				o, ok := ev.(policy.Outcome)
-				if !ok || !safe[o.ID] || o.Over || o.Code != policy.Error {
+				if !ok || !safe[o.ID] || o.Answered || o.Code != policy.Error {
 					return acts
 				}
 				acts = slices.DeleteFunc(acts, func(a policy.Action) bool {
@@ -242,7 +242,7 @@
 		}(), planted(func() seeing {
 			var last policy.Server
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
-				if m, ok := ev.(policy.Members); ok {
+				if m, ok := ev.(policy.ServerListUpdate); ok {
 					for _, s := range m.Servers {
 						if s.HasStart && (s.Start > last.Start || s.Start == last.Start && s.ID < last.ID) {
 							last = s
@@ -261,7 +261,7 @@
 		{"sends long datagrams", tally.Datagram, small(t, 4, 4, 2*time.Second, ""), planted(func() seeing {
 			return func(_ policy.Event, acts []policy.Action) []policy.Action {
 				for i, a := range acts {
-					if m, ok := a.(policy.Tell); ok {
+					if m, ok := a.(policy.SendMessage); ok {
 						m.Data = make([]byte, 257)
 						acts[i] = m
 					}
--- a/internal/lab/sweep/fleet.go
+++ b/internal/lab/sweep/fleet.go
@@ -85,7 +85,7 @@
 			return nil, err
 		}
 		f.nodes = append(f.nodes, g)
-		f.handle(i, policy.Members{Kind: policy.Whole, Servers: list})
+		f.handle(i, policy.ServerListUpdate{Kind: policy.FullList, Servers: list})
 	}
 	return f, nil
 }
@@ -105,7 +105,7 @@
 			f.traffic.refused += f.counted()
 		case policy.SetTimer:
 			f.timers[i] = append(f.timers[i], timer{f.now + max(step, a.After), a.Token})
-		case policy.Tell:
+		case policy.SendMessage:
 			f.tell(i, a)
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // tell counts a datagram and sends it on its way.
-func (f *fleet) tell(from int, t policy.Tell) {
+func (f *fleet) tell(from int, t policy.SendMessage) {
 	if t.To < 0 {
 		f.traffic.toAll += f.counted()
 		return
@@ -160,7 +160,7 @@
 		for len(f.attempts) > 0 && f.attempts[0].at <= f.now {
 			a := f.attempts[0]
 			f.attempts = f.attempts[1:]
-			f.handle(a.node, policy.Outcome{ID: a.send.ID, Server: a.send.Server, Code: policy.OK, Latency: latency, Over: true})
+			f.handle(a.node, policy.Outcome{ID: a.send.ID, Server: a.send.Server, Code: policy.OK, Latency: latency, Answered: true})
 		}
 		for i := range f.nodes {
 			f.ring(i)
--- a/internal/lab/sweep/kind.go
+++ b/internal/lab/sweep/kind.go
@@ -34,9 +34,9 @@
 }
 
 // tells returns the datagrams of one kind among actions.
-func tells(acts []policy.Action, want kind) (list []policy.Tell) {
+func tells(acts []policy.Action, want kind) (list []policy.SendMessage) {
 	for _, a := range acts {
-		if t, ok := a.(policy.Tell); ok && kindOf(t.Data) == want {
+		if t, ok := a.(policy.SendMessage); ok && kindOf(t.Data) == want {
 			list = append(list, t)
 		}
 	}
--- a/internal/lab/sweep/module.go
+++ b/internal/lab/sweep/module.go
@@ -85,7 +85,7 @@
 			sample{firstList, micros, timed(func() { mustGateway(servers) })})
 		s.add(servers, p.changes(g, list)...)
 		runtime.KeepAlive(g)
-		parts, err := partsOfServers(servers, g.Memory(p.now, false))
+		parts, err := partsOfServers(servers, g.SaveState(p.now, false))
 		if err != nil {
 			return err
 		}
@@ -111,25 +111,25 @@
 
 // changes measures changes of the list, and the copy of it that a snapshot takes.
 func (p *pair) changes(g *policy.Gateway, list []policy.Server) []sample {
-	members := func(kind policy.MembersKind, lines []policy.Server) float64 {
+	members := func(kind policy.UpdateKind, lines []policy.Server) float64 {
 		return timed(func() {
 			p.now += time.Millisecond
-			g.Handle(p.now, policy.Members{Kind: kind, Servers: lines}, nil)
+			g.Handle(p.now, policy.ServerListUpdate{Kind: kind, Servers: lines}, nil)
 		})
 	}
 	change := []policy.Server{list[len(list)/2]}
 	first := timed(func() {
 		change[0].Start += time.Second // a server that has started anew, long ago
 		p.now += time.Millisecond
-		g.Handle(p.now, policy.Members{Kind: policy.Changes, Servers: change}, nil)
+		g.Handle(p.now, policy.ServerListUpdate{Kind: policy.Changes, Servers: change}, nil)
 	})
 	part := list[:max(1, len(list)/zones)]
 	return []sample{
 		{oneLine, micros, first},
 		{zoneLines, micros, members(policy.Changes, part)},
-		{wholeList, micros, members(policy.Whole, list)},
+		{wholeList, micros, members(policy.FullList, list)},
 		{newSettings, micros, p.reconfigure(g)},
-		{copyServers, micros, timed(func() { g.Memory(p.now, false) })},
+		{copyServers, micros, timed(func() { g.SaveState(p.now, false) })},
 	}
 }
 
@@ -288,7 +288,7 @@
 type handling struct {
 	nodes   int
 	samples []sample
-	verdict policy.Tell
+	verdict policy.SendMessage
 	watcher int
 }
 
@@ -300,12 +300,12 @@
 var errNoSight = errors.New("an edge node told no watcher of an outcome")
 
 // failures has one server fail at an edge node, and returns what its watcher is told.
-func failures(nodes int, server policy.Server, times int) ([]policy.Tell, error) {
+func failures(nodes int, server policy.Server, times int) ([]policy.SendMessage, error) {
 	g, err := newGateway(member, nodes, []policy.Server{server})
 	if err != nil {
 		return nil, err
 	}
-	var told []policy.Tell
+	var told []policy.SendMessage
 	now := epoch
 	for i := range times {
 		now += time.Millisecond
@@ -314,7 +314,7 @@
 			return nil, fmt.Errorf("%d attempts for one request", len(out))
 		}
 		told = append(told, tells(g.Handle(now, policy.Outcome{ID: out[0].ID, Server: out[0].Server, Code: policy.Error,
-			Latency: latency, Over: true}, nil), kindSight)...)
+			Latency: latency, Answered: true}, nil), kindSight)...)
 	}
 	return told, nil
 }
@@ -421,7 +421,7 @@
 	if err != nil {
 		return err
 	}
-	var told []policy.Tell
+	var told []policy.SendMessage
 	now := epoch
 	for i := range 128 {
 		now += tickEvery
--- a/internal/lab/sweep/pair.go
+++ b/internal/lab/sweep/pair.go
@@ -98,7 +98,7 @@
 
 // batch plays n requests of as many tenants under a plan, step by step.
 func (p *pair) batch(plan string, n int, cost *batchCost) error {
-	var asks, answers, ends []policy.Tell
+	var asks, answers, ends []policy.SendMessage
 	var out []policy.Send
 	take := func(acts []policy.Action) {
 		asks = append(asks, tells(acts, kindAsk)...)
@@ -133,7 +133,7 @@
 	}
 	events = nil
 	for _, s := range out {
-		events = append(events, policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.OK, Latency: latency, Over: true})
+		events = append(events, policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.OK, Latency: latency, Answered: true})
 	}
 	if !p.quick {
 		p.now += latency
@@ -150,7 +150,7 @@
 }
 
 // messages are datagrams as they come in from an edge node.
-func messages(from int, list []policy.Tell) (events []policy.Event) {
+func messages(from int, list []policy.SendMessage) (events []policy.Event) {
 	for _, t := range list {
 		events = append(events, policy.PeerMessage{From: from, Data: t.Data})
 	}
--- a/internal/lab/sweep/parts.go
+++ b/internal/lab/sweep/parts.go
@@ -27,7 +27,7 @@
 // What lies beside the module, each measured alone.
 
 // partsOfServers measures what is done with a list: decoding, and a snapshot of it.
-func partsOfServers(servers int, memory policy.Memory) ([]sample, error) {
+func partsOfServers(servers int, memory policy.SavedState) ([]sample, error) {
 	text := listText(servers)
 	var err error
 	decode := 0.0
@@ -191,10 +191,10 @@
 func (operated) Status() node.Status {
 	return node.Status{Name: "n0", Ready: true, Phase: "serving", Current: &config.Generation{Number: 1}}
 }
-func (operated) Check([]byte) error             { return nil }
-func (operated) Apply(context.Context) error    { return nil }
-func (operated) RollBack(context.Context) error { return nil }
-func (operated) Stay(context.Context) error     { return nil }
+func (operated) Check([]byte) error                   { return nil }
+func (operated) Apply(context.Context) error          { return nil }
+func (operated) RollBack(context.Context) error       { return nil }
+func (operated) CancelShutdown(context.Context) error { return nil }
 
 // statusTime is the processor time of a question for the status over loopback, the
 // client's included.
--- a/internal/lab/sweep/settings.go
+++ b/internal/lab/sweep/settings.go
@@ -34,22 +34,22 @@
 
 // settings are those of one edge node of a fleet.
 func settings(me, nodes int) policy.Settings {
-	return policy.Settings{Me: me, Gateways: nodes, Zone: zone(me), Resolution: 2 * time.Millisecond, MaxAttempts: 6,
-		CanCancel: true, CanTell: true, DatagramsPerSecond: datagramsPerSecond, LargestUnits: 3, MaxRetryAfter: time.Second,
+	return policy.Settings{Self: me, Gateways: nodes, Zone: zone(me), Resolution: 2 * time.Millisecond, MaxAttempts: 6,
+		CanCancel: true, CanSendMessages: true, DatagramsPerSecond: datagramsPerSecond, MaxUnits: 3, MaxRetryAfter: time.Second,
 		Classes: []policy.Class{
-			{Name: class, Aim: 300 * time.Millisecond, Deadline: time.Second},
-			{Name: "lend", Aim: 1200 * time.Millisecond, Deadline: 5 * time.Second, Effect: policy.Keyed, Window: 5 * time.Second},
-			{Name: "renew", Aim: 1500 * time.Millisecond, Deadline: 6 * time.Second, Effect: policy.Unsafe},
+			{Name: class, LatencyTarget: 300 * time.Millisecond, Deadline: time.Second},
+			{Name: "lend", LatencyTarget: 1200 * time.Millisecond, Deadline: 5 * time.Second, Effect: policy.Keyed, Window: 5 * time.Second},
+			{Name: "renew", LatencyTarget: 1500 * time.Millisecond, Deadline: 6 * time.Second, Effect: policy.Unsafe},
 		},
 		Plans: []policy.Plan{
 			{Name: planFree},
 			{Name: planRate, Rate: 6, Burst: 240},
-			{Name: planOpen, Open: 4},
-			{Name: planBoth, Rate: 6, Burst: 240, Open: 4},
+			{Name: planOpen, MaxInFlight: 4},
+			{Name: planBoth, Rate: 6, Burst: 240, MaxInFlight: 4},
 			{Name: planWide, Rate: 200, Burst: 400},
 			{Name: planTight, Rate: tightRate, Burst: 12},
 		},
-		AnswerSlack: 8 * time.Millisecond, ColdShare: 0.2, WarmWithin: 12 * time.Second, FallMultiple: 3, FallTime: 1500 * time.Millisecond}
+		AnswerSlack: 8 * time.Millisecond, MinWarmUpFraction: 0.2, WarmUpTime: 12 * time.Second, OverloadMultiple: 3, OverloadTime: 1500 * time.Millisecond}
 }
 
 func zone(i int) string { return fmt.Sprintf("zone-%02d", i%zones) }
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.Handle(epoch, policy.Members{Kind: policy.Whole, Servers: list}, nil)
+	g.Handle(epoch, policy.ServerListUpdate{Kind: policy.FullList, Servers: list}, nil)
 	return g, nil
 }
 
--- a/internal/lab/world/settings.go
+++ b/internal/lab/world/settings.go
@@ -47,12 +47,12 @@
 }
 
 // facts are the same in the form that both programs read.
-func (w *World) facts(me int) (wire.Facts, error) {
+func (w *World) facts(me int) (wire.SettingPairs, error) {
 	data, err := json.Marshal(w.Facts(me))
 	if err != nil {
-		return wire.Facts{}, fmt.Errorf("settings: %w", err)
+		return wire.SettingPairs{}, fmt.Errorf("settings: %w", err)
 	}
-	return wire.FactsFromJSON(data)
+	return wire.SettingPairsFromJSON(data)
 }
 
 // Settings is what the module of edge node me is told, read as the edge node reads it.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -127,8 +127,8 @@
 	return h.Sum32()
 }
 
-// Out is a message to send to an edge node.
-type Out struct {
+// Outgoing is a message to send to an edge node.
+type Outgoing struct {
 	To  int
 	Msg Message
 }
@@ -140,7 +140,7 @@
 	me       int
 	voters   []int
 	rng      *rand.Rand
-	out      []Out
+	out      []Outgoing
 
 	// State as a voter.
 	started     time.Duration // start by the local clock
@@ -206,7 +206,7 @@
 }
 
 // Tick expires the lease and starts or ends rounds. It must be called again at next.
-func (d *Duty) Tick(now time.Duration) (out []Out, next time.Duration) {
+func (d *Duty) Tick(now time.Duration) (out []Outgoing, next time.Duration) {
 	d.out = nil
 	if d.token != 0 && now >= d.leaseEnd {
 		d.token = 0
@@ -260,11 +260,11 @@
 		d.handle(now, to, m)
 		return
 	}
-	d.out = append(d.out, Out{to, m})
+	d.out = append(d.out, Outgoing{to, m})
 }
 
 // Handle processes a message from another edge node and returns the messages to send.
-func (d *Duty) Handle(now time.Duration, from int, m Message) []Out {
+func (d *Duty) Handle(now time.Duration, from int, m Message) []Outgoing {
 	d.out = nil
 	if m.Duty == d.id && from != d.me && slices.Contains(d.voters, from) {
 		d.handle(now, from, m)
@@ -352,8 +352,8 @@
 	d.nextRound = d.roundStart + time.Duration(renewFraction*float64(d.settings.Term)) + d.jitter(minBackoff)
 }
 
-// Leave releases the duty and stops being a candidate.
-func (d *Duty) Leave(now time.Duration) []Out {
+// Resign releases the duty and stops being a candidate.
+func (d *Duty) Resign(now time.Duration) []Outgoing {
 	d.out = nil
 	d.resigned, d.phase = true, 0
 	if d.grantBallot != 0 && d.grantHolder == d.me || d.token != 0 {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -148,7 +148,7 @@
 	n.next = local
 }
 
-func (w *world) send(from int, out []Out) {
+func (w *world) send(from int, out []Outgoing) {
 	for _, o := range out {
 		w.msgs++
 		if w.rng.Float64() < w.loss || w.isCut(from, o.To) {
@@ -270,7 +270,7 @@
 		w.loss = w.rng.Float64() * 0.3
 	case 7: // shutdown
 		if n.pausedUntil <= w.now {
-			w.send(i, n.Leave(n.clock(w.now)))
+			w.send(i, n.Resign(n.clock(w.now)))
 			n.restartAt = w.now + time.Duration(w.rng.Int64N(int64(time.Second))) + ms
 		}
 	}
@@ -448,7 +448,7 @@
 					msgs, secs = msgs+w.msgs-before, secs+5
 					n := w.nodes[w.last]
 					if how == "release" {
-						w.send(w.last, n.Leave(n.clock(w.now)))
+						w.send(w.last, n.Resign(n.clock(w.now)))
 					}
 					n.restartAt = w.now + time.Hour
 					took = append(took, w.runUntilHeld(b, 30*time.Second).Seconds()*1e3)
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -106,7 +106,7 @@
 	u := pool(a.addr())
 	at, do := u.try(patience)
 	at.client = away{}
-	if r, _ := do(); r.code != policy.Moot || a.seen.Load() != 0 || u.open != 0 {
+	if r, _ := do(); r.code != policy.NotSent || a.seen.Load() != 0 || u.open != 0 {
 		t.Errorf("code %d after %d requests, %d open", r.code, a.seen.Load(), u.open)
 	}
 }
@@ -167,7 +167,7 @@
 	u := pool(a.addr())
 	at, do := u.try(patience)
 	at.withdraw()
-	if r, _ := do(); r.code != policy.Moot || a.seen.Load() != 0 || u.open != 0 {
+	if r, _ := do(); r.code != policy.NotSent || a.seen.Load() != 0 || u.open != 0 {
 		t.Errorf("withdrawn: code %d after %d requests, %d open", r.code, a.seen.Load(), u.open)
 	}
 	at, _ = u.try(patience)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -89,7 +89,7 @@
 // the drain grace period, unless their lower bounds are longer. The last quarter is for network and
 // processing delays.
 func timingFor(f *config.File) callTiming {
-	if f.Settings.MustAsk {
+	if f.Settings.MustWatch {
 		return pollTiming
 	}
 	fractionOfGrace := func(fraction float64, minimum time.Duration) time.Duration {
@@ -111,7 +111,7 @@
 
 // discovery is a client of the discovery service that keeps the server list current.
 type discovery struct {
-	deliver func(*serverList, policy.MembersKind) // a nil list reports a failed call
+	deliver func(*serverList, policy.UpdateKind) // a nil list reports a failed call
 	client  http.Client
 	rng     *rand.Rand // used by run only
 
@@ -122,7 +122,7 @@
 	cancelFollow context.CancelFunc // ends the calls to the previous address
 }
 
-func newDiscovery(f *config.File, deliver func(*serverList, policy.MembersKind)) *discovery {
+func newDiscovery(f *config.File, deliver func(*serverList, policy.UpdateKind)) *discovery {
 	return &discovery{addr: f.Discovery, timing: timingFor(f), limits: roster.LimitsFor(f.MemoryMB),
 		deliver: deliver, cancelFollow: func() {},
 		rng: rand.New(rand.NewPCG(f.Seed, callTimingSeed)), client: http.Client{
@@ -171,8 +171,8 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && l.Twice != nil && (l.All || !f.hasList) {
-			err = l.Twice // a whole list must not repeat a server; among changes the last line counts
+		if err == nil && l.DuplicateErr != nil && (l.All || !f.hasList) {
+			err = l.DuplicateErr // a whole list must not repeat a server; among changes the last line counts
 			f.reportFailure(err)
 		}
 		if err != nil {
@@ -244,7 +244,7 @@
 		slog.Warn("discovery does not answer; the current server list stays in force", "err", err)
 	}
 	f.warned, f.silentSince = true, time.Now()
-	f.d.deliver(nil, policy.AskFailed)
+	f.d.deliver(nil, policy.WatchFailed)
 }
 
 // accept delivers a list or changes and resets the state of failures.
@@ -253,13 +253,13 @@
 		slog.Info("discovery answers again", "rev", l.Rev)
 	}
 	f.warned, f.silentSince, f.backoff, f.failures = false, time.Now(), minBackoff, 0
-	if l.Bad != f.badLines && l.Bad > 0 {
-		slog.Warn("invalid lines of discovery's list passed over", "lines", l.Bad, "first", l.BadWhy)
+	if l.Invalid != f.badLines && l.Invalid > 0 {
+		slog.Warn("invalid lines of discovery's list passed over", "lines", l.Invalid, "first", l.InvalidErr)
 	}
-	f.badLines = l.Bad
+	f.badLines = l.Invalid
 	switch {
 	case l.All || !f.hasList:
-		f.d.deliver(l, policy.Whole)
+		f.d.deliver(l, policy.FullList)
 	case len(l.Targets) > 0:
 		f.d.deliver(l, policy.Changes)
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -161,7 +161,7 @@
 
 // hearsAfter plays and returns how long after it counted as told the last change was heard.
 func hearsAfter(t *testing.T, ask bool, grace, from time.Duration, play func(*agent, time.Duration) time.Duration) time.Duration {
-	f := &config.File{Discovery: "agent", DrainGrace: grace, Settings: policy.Settings{MustAsk: ask}}
+	f := &config.File{Discovery: "agent", DrainGrace: grace, Settings: policy.Settings{MustWatch: ask}}
 	network, a := newPipes(), &agent{rev: 1, turn: make(chan struct{})}
 	srv := &http.Server{Handler: a}
 	go func() { _ = srv.Serve(network) }()
@@ -170,7 +170,7 @@
 		at  time.Time
 	}
 	heard := make(chan word, 1000)
-	d := newDiscovery(f, func(l *serverList, _ policy.MembersKind) {
+	d := newDiscovery(f, func(l *serverList, _ policy.UpdateKind) {
 		if l != nil {
 			heard <- word{l.Rev, time.Now()}
 		}
@@ -215,8 +215,8 @@
 			go func() { _ = srv.Serve(network) }()
 			told := make(chan time.Time, 1000)
 			began := time.Now()
-			f := &config.File{Discovery: "agent", DrainGrace: 2 * time.Second, Settings: policy.Settings{MustAsk: ask}}
-			d := newDiscovery(f, func(*serverList, policy.MembersKind) { told <- time.Now() })
+			f := &config.File{Discovery: "agent", DrainGrace: 2 * time.Second, Settings: policy.Settings{MustWatch: ask}}
+			d := newDiscovery(f, func(*serverList, policy.UpdateKind) { told <- time.Now() })
 			d.client.Transport.(*http.Transport).DialContext = network.DialContext
 			ctx, end := context.WithCancel(t.Context())
 			done := make(chan struct{})
@@ -250,7 +250,7 @@
 			go func() { _ = srv.Serve(network) }()
 			heard := make(chan time.Time, 100)
 			began := time.Now()
-			d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: 2 * time.Second}, func(l *serverList, _ policy.MembersKind) {
+			d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: 2 * time.Second}, func(l *serverList, _ policy.UpdateKind) {
 				if l != nil {
 					heard <- time.Now()
 				}
@@ -287,7 +287,7 @@
 			_ = json.NewEncoder(w).Encode(l)
 		})}
 		go func() { _ = srv.Serve(network) }()
-		d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: time.Second}, func(*serverList, policy.MembersKind) {})
+		d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: time.Second}, func(*serverList, policy.UpdateKind) {})
 		d.client.Transport.(*http.Transport).DialContext = network.DialContext
 		ctx, end := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -370,10 +370,10 @@
 			go func() { _ = srv.Serve(network) }()
 			type event struct {
 				rev  int64
-				kind policy.MembersKind
+				kind policy.UpdateKind
 			}
 			heard := make(chan event, 100)
-			d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: 2 * time.Second, MemoryMB: 16}, func(l *serverList, kind policy.MembersKind) {
+			d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: 2 * time.Second, MemoryMB: 16}, func(l *serverList, kind policy.UpdateKind) {
 				if l == nil {
 					l = &serverList{}
 				}
@@ -383,7 +383,7 @@
 			ctx, end := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { d.run(ctx); close(done) }()
-			for i, want := range []event{{9, policy.Whole}, {0, policy.AskFailed}, {0, policy.AskFailed}, {0, policy.AskFailed}, {11, policy.Changes}} {
+			for i, want := range []event{{9, policy.FullList}, {0, policy.WatchFailed}, {0, policy.WatchFailed}, {0, policy.WatchFailed}, {11, policy.Changes}} {
 				if got := <-heard; got != want {
 					t.Errorf("%s: event %d: %+v, want %+v", place, i, got, want)
 				}
--- a/internal/node/duty.go
+++ b/internal/node/duty.go
@@ -108,7 +108,7 @@
 }
 
 // sendAll sends messages to other edge nodes.
-func (d *duties) sendAll(out []lease.Out) {
+func (d *duties) sendAll(out []lease.Outgoing) {
 	for _, o := range out {
 		d.send(o.To, o.Msg.Append(nil))
 	}
@@ -119,7 +119,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, duty := range d.byName {
-		d.sendAll(duty.Leave(d.clock.now()))
+		d.sendAll(duty.Resign(d.clock.now()))
 	}
 }
 
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -203,7 +203,7 @@
 	return startFrom(t, cfg, nil)
 }
 
-func startFrom(t *testing.T, cfg *config.History, kept *Kept) *running {
+func startFrom(t *testing.T, cfg *config.History, kept *Snapshots) *running {
 	t.Helper()
 	n, err := New(cfg, kept)
 	if err != nil {
--- a/internal/node/heartbeat_test.go
+++ b/internal/node/heartbeat_test.go
@@ -42,8 +42,8 @@
 	n.loop.onApply = func(*config.Generation) { close(held); <-let }
 	n.loop.events <- stall
 	<-held
-	testkit.Eventually(t, "the standstill", func() bool { s := n.Status(); return s.Lag > 2*checkInterval && s.MostLag >= s.Lag })
+	testkit.Eventually(t, "the standstill", func() bool { s := n.Status(); return s.Lag > 2*checkInterval && s.MaxLag >= s.Lag })
 	close(let)
 	<-stall.done
-	testkit.Eventually(t, "the loop's going on", func() bool { s := n.Status(); return s.Lag < checkInterval && s.MostLag > 2*checkInterval })
+	testkit.Eventually(t, "the loop's going on", func() bool { s := n.Status(); return s.Lag < checkInterval && s.MaxLag > 2*checkInterval })
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -93,7 +93,7 @@
 	upstream       *upstream
 	sendToPeer     func(to int, data []byte)
 	pollsDiscovery bool
-	onServerList   func(kind policy.MembersKind)
+	onServerList   func(kind policy.UpdateKind)
 	generation     *config.Generation                  // in force
 	onApply        func(generation *config.Generation) // applies its limits outside the loop
 	reparse        func(c *call) error                 // parses a request again with the generation in force
@@ -229,7 +229,7 @@
 		}
 		l.finish(c, command{refuse: c.mayHaveRunAt == 0 || c.class.Effect == policy.Safe,
 			retryAfter: refusalRetryAfter})
-		l.dispatch(policy.Gone{ID: id})
+		l.dispatch(policy.ClientDisconnected{ID: id})
 	}
 }
 
@@ -277,7 +277,7 @@
 	case c.finalCommand != nil:
 		l.respond(c, *c.finalCommand)
 	}
-	ev.Over = l.calls[c.ID] == nil
+	ev.Answered = l.calls[c.ID] == nil
 	l.dispatch(ev)
 }
 
@@ -287,7 +287,7 @@
 		return
 	}
 	l.finish(c, command{})
-	l.dispatch(policy.Gone{ID: c.ID})
+	l.dispatch(policy.ClientDisconnected{ID: c.ID})
 }
 
 // checkDisconnects finds the clients that have disconnected. Their requests get no further attempts, and an
@@ -310,7 +310,7 @@
 			l.removeCall(c)
 			c.finalCommand = &command{}
 		}
-		l.dispatch(policy.Gone{ID: id})
+		l.dispatch(policy.ClientDisconnected{ID: id})
 	}
 	now := l.clock.now()
 	heap.Push(&l.timers, &timer{at: now + checkInterval, disconnectCheck: true})
@@ -354,10 +354,10 @@
 	}
 	if m.list == nil {
 		if l.pollsDiscovery {
-			l.dispatch(policy.Members{Kind: policy.AskFailed})
+			l.dispatch(policy.ServerListUpdate{Kind: policy.WatchFailed})
 		}
 		if l.onServerList != nil {
-			l.onServerList(policy.AskFailed)
+			l.onServerList(policy.WatchFailed)
 		}
 		return
 	}
@@ -367,7 +367,7 @@
 	}
 	l.upstream.update(m.list, m.kind != policy.Changes)
 	if len(m.list.Targets) > 0 || m.kind != policy.Changes {
-		l.dispatch(policy.Members{Kind: m.kind, Servers: policyServers(m.list.Targets)})
+		l.dispatch(policy.ServerListUpdate{Kind: m.kind, Servers: policyServers(m.list.Targets)})
 	}
 	if !m.more && l.onServerList != nil {
 		l.onServerList(m.listKind)
@@ -412,7 +412,7 @@
 		}
 	case policy.SetTimer:
 		heap.Push(&l.timers, &timer{at: l.clock.now() + max(minTimerDelay, a.After), token: a.Token})
-	case policy.Tell:
+	case policy.SendMessage:
 		if l.sendToPeer != nil {
 			l.sendToPeer(a.To, a.Data)
 		}
@@ -425,10 +425,10 @@
 	}
 }
 
-// startAttempt starts an attempt. If that is no longer possible, policy gets the outcome Moot.
+// startAttempt starts an attempt. If that is no longer possible, policy gets the outcome NotSent.
 func (l *loop) startAttempt(s policy.Send) {
 	c, now := l.calls[s.ID], l.clock.now()
-	moot := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.Moot, Over: c == nil}
+	moot := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NotSent, Answered: c == nil}
 	if c != nil {
 		moot.Attempt = c.attemptCount
 		c.attemptCount++
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -19,18 +19,18 @@
 
 // listUpdate is an event that brings the loop a list, changes to it, or a part of either.
 type listUpdate struct {
-	list     *serverList        // nil: a call to discovery failed
-	kind     policy.MembersKind // of this part
-	listKind policy.MembersKind // of the list or change that the part belongs to
-	more     bool               // further parts follow, before any other list
-	done     chan struct{}      // closed once the loop has handled the event; nil: nobody waits
+	list     *serverList       // nil: a call to discovery failed
+	kind     policy.UpdateKind // of this part
+	listKind policy.UpdateKind // of the list or change that the part belongs to
+	more     bool              // further parts follow, before any other list
+	done     chan struct{}     // closed once the loop has handled the event; nil: nobody waits
 }
 
 // postList passes a list, or changes to it, from discovery to the loop. It compares a large list with the
 // directory in the caller's goroutine and passes on only the differences, in parts, so that the loop
 // can handle other events between them. It returns once the loop has handled all parts of a large
 // list. Only one goroutine may call postList.
-func (l *loop) postList(list *serverList, kind policy.MembersKind) {
+func (l *loop) postList(list *serverList, kind policy.UpdateKind) {
 	if list == nil ||
 		len(list.Targets) <= maxUnsplitLines &&
 			(kind == policy.Changes || l.upstream.directory.Len() <= maxUnsplitLines) {
@@ -41,10 +41,10 @@
 	l.postAndWait(func(done chan struct{}) any { return barrier{done} })
 	lines, firstKind := list.Targets, policy.Changes
 	switch {
-	case kind == policy.Changes && list.Twice != nil:
+	case kind == policy.Changes && list.DuplicateErr != nil:
 		// The order of the lines stays: a server has several, and the last one counts.
 	case kind == policy.Changes:
-		roster.EndsFirst(lines)
+		roster.SortEndedFirst(lines)
 	case l.upstream.directory.Len() == 0:
 		firstKind = kind
 	default:
@@ -73,7 +73,7 @@
 
 // splitList splits the lines of a list or change into events of at most maxLines lines. The first event
 // is of kind firstKind, the others are changes. There is at least one event, which may have no lines.
-func splitList(rev int64, lines []target, maxLines int, firstKind, listKind policy.MembersKind) []listUpdate {
+func splitList(rev int64, lines []target, maxLines int, firstKind, listKind policy.UpdateKind) []listUpdate {
 	var out []listUpdate
 	for kind := firstKind; ; kind = policy.Changes {
 		n := min(maxLines, len(lines))
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -22,7 +22,7 @@
 
 // fed hands a list to a loop that the test runs by hand, with another event posted behind
 // each part, and returns the parts and how often the other event came between them.
-func fed(t *testing.T, l *loop, list *serverList, kind policy.MembersKind) (got []listUpdate, between int) {
+func fed(t *testing.T, l *loop, list *serverList, kind policy.UpdateKind) (got []listUpdate, between int) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() { l.postList(list, kind); close(done) }()
@@ -80,22 +80,22 @@
 	for _, c := range []struct {
 		name    string
 		list    *serverList
-		kind    policy.MembersKind
+		kind    policy.UpdateKind
 		lines   int
-		first   policy.MembersKind
+		first   policy.UpdateKind
 		listed  int
 		running int
 	}{
-		{"the first", largeFleet(servers, zones), policy.Whole, servers, policy.Whole, servers, servers},
-		{"the same again", largeFleet(servers, zones), policy.Whole, 0, policy.Changes, servers, servers},
-		{"a zone drains", zone(drained), policy.Whole, ofZone, policy.Changes, servers, servers - ofZone},
-		{"and is back", largeFleet(servers, zones), policy.Whole, ofZone, policy.Changes, servers, servers},
-		{"and is missing", missing, policy.Whole, ofZone, policy.Changes, servers - ofZone, servers - ofZone},
+		{"the first", largeFleet(servers, zones), policy.FullList, servers, policy.FullList, servers, servers},
+		{"the same again", largeFleet(servers, zones), policy.FullList, 0, policy.Changes, servers, servers},
+		{"a zone drains", zone(drained), policy.FullList, ofZone, policy.Changes, servers, servers - ofZone},
+		{"and is back", largeFleet(servers, zones), policy.FullList, ofZone, policy.Changes, servers, servers},
+		{"and is missing", missing, policy.FullList, ofZone, policy.Changes, servers - ofZone, servers - ofZone},
 		{"back by changes", only(largeFleet(servers, 2), "z1"), policy.Changes, servers / 2, policy.Changes, servers, servers},
-		{"a short list", largeFleet(10, 1), policy.Whole, 0, policy.Changes, 10, 10},
+		{"a short list", largeFleet(10, 1), policy.FullList, 0, policy.Changes, 10, 10},
 	} {
-		told := []policy.MembersKind{}
-		n.loop.onServerList = func(kind policy.MembersKind) { told = append(told, kind) }
+		told := []policy.UpdateKind{}
+		n.loop.onServerList = func(kind policy.UpdateKind) { told = append(told, kind) }
 		got, between := fed(t, n.loop, c.list, c.kind)
 		lines := 0
 		for i, part := range got {
@@ -108,7 +108,7 @@
 		if c.lines > 0 && lines != c.lines || between < len(got)-1 {
 			t.Errorf("%s: %d lines in %d parts, want %d; %d events between them", c.name, lines, len(got), c.lines, between)
 		}
-		if !slices.Equal(told, []policy.MembersKind{c.kind}) {
+		if !slices.Equal(told, []policy.UpdateKind{c.kind}) {
 			t.Errorf("%s: completed as %v", c.name, told)
 		}
 		running := 0
@@ -133,14 +133,14 @@
 	defer n.listener.Close()
 	list := largeFleet(2*maxUnsplitLines, 1)
 	last := &list.Targets[len(list.Targets)-1]
-	last.State = roster.Gone
+	last.State = roster.Removed
 	got, _ := fed(t, n.loop, list, policy.Changes)
-	if got[0].list.Targets[0].State != roster.Gone {
+	if got[0].list.Targets[0].State != roster.Removed {
 		t.Error("a server that is gone is told of last")
 	}
 	list = largeFleet(2*maxUnsplitLines, 1)
-	list.Twice = roster.ErrTwice
-	list.Targets[len(list.Targets)-1] = target{UID: list.Targets[0].UID, State: roster.Gone}
+	list.DuplicateErr = roster.ErrDuplicateUID
+	list.Targets[len(list.Targets)-1] = target{UID: list.Targets[0].UID, State: roster.Removed}
 	fed(t, n.loop, list, policy.Changes)
 	if _, listed := n.upstream.directory.Find(1); listed {
 		t.Error("of two lines of a server the first counts")
@@ -155,7 +155,7 @@
 	}
 	defer n.cancel()
 	defer n.listener.Close()
-	for _, kind := range []policy.MembersKind{policy.Whole, policy.Changes, policy.Whole} {
+	for _, kind := range []policy.UpdateKind{policy.FullList, policy.Changes, policy.FullList} {
 		list := largeFleet(maxUnsplitLines, 3)
 		got, _ := fed(t, n.loop, list, kind)
 		if len(got) != 1 || got[0].kind != kind || got[0].list != list || got[0].more {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 	cfg            *config.File // as read at the start
 	changeMu       sync.Mutex   // held while a new generation is checked and applied
 	history        *config.History
-	restoreFrom    *Kept
+	restoreFrom    *Snapshots
 	snapshots      *snapshotWriter // nil: no snapshots are written
 	duties         *duties         // nil: the configuration names none
 	status         atomic.Pointer[Status]
@@ -52,7 +52,7 @@
 
 // New opens the sockets of an edge node. Run restores the state that kept holds and then writes snapshots
 // there; with a nil kept no snapshots are read or written.
-func New(h *config.History, kept *Kept) (*Node, error) {
+func New(h *config.History, kept *Snapshots) (*Node, error) {
 	cfg := h.Current().File
 	g, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -68,23 +68,23 @@
 	n.server = newHTTPServer(clk, h.Current(), up, n.loop.events, clients)
 	n.publish()
 	n.loop.generation, n.loop.onApply, n.loop.reparse = h.Current(), n.onApply, n.server.parseHeaders
-	n.loop.pollsDiscovery = cfg.Settings.MustAsk
+	n.loop.pollsDiscovery = cfg.Settings.MustWatch
 	hasRememberedList := false // whether there is a remembered list
-	n.loop.onServerList = func(kind policy.MembersKind) {
+	n.loop.onServerList = func(kind policy.UpdateKind) {
 		switch kind {
-		case policy.Whole:
+		case policy.FullList:
 			n.server.ready.Store(true)
-		case policy.Remembered: // used if discovery does not answer
+		case policy.StoredList: // used if discovery does not answer
 			hasRememberedList = true
 			time.AfterFunc(rememberedListDelay, func() { n.server.ready.Store(true) })
-		case policy.AskFailed: // no need to wait for discovery any longer
+		case policy.WatchFailed: // no need to wait for discovery any longer
 			if hasRememberedList {
 				n.server.ready.Store(true)
 			}
 		}
 	}
 	listenDeadline := time.Now().Add(listenRetryTimeout)
-	if cfg.Settings.CanTell {
+	if cfg.Settings.CanSendMessages {
 		onMessage := func(from int, data []byte) {
 			if n.duties != nil && n.duties.receive(from, data) {
 				return
@@ -103,7 +103,7 @@
 		}
 		n.loop.sendToPeer = n.peers.send
 		if len(cfg.Duties) > 0 {
-			n.duties = newDuties(cfg.Duties, cfg.Settings.Me, cfg.Settings.Gateways, cfg.Seed, clk,
+			n.duties = newDuties(cfg.Duties, cfg.Settings.Self, cfg.Settings.Gateways, cfg.Seed, clk,
 				n.peers.send)
 		}
 	}
@@ -277,8 +277,8 @@
 	}
 }
 
-// Stay cancels a shutdown that is not complete yet, and returns to serving.
-func (n *Node) Stay(ctx context.Context) error {
+// CancelShutdown cancels a shutdown that is not complete yet, and returns to serving.
+func (n *Node) CancelShutdown(ctx context.Context) error {
 	reply := make(chan error, 1)
 	select {
 	case n.cancelShutdown <- reply:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -634,7 +634,7 @@
 func TestKnownListHasToDo(t *testing.T) {
 	a := newApp(t, answer("200 OK", "", "hits"))
 	cfg := testConfig(t, refusing(t))
-	cfg.Current().File.Known = &serverList{Rev: 4, All: true, Targets: []target{serving("s-00000001", a.addr())}}
+	cfg.Current().File.KnownServers = &serverList{Rev: 4, All: true, Targets: []target{serving("s-00000001", a.addr())}}
 	n := start(t, cfg)
 	if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
--- a/internal/node/overbooked_test.go
+++ b/internal/node/overbooked_test.go
@@ -130,7 +130,7 @@
 	at []time.Time // by version
 }
 
-func (h *hearing) heard(l *serverList, _ policy.MembersKind) {
+func (h *hearing) heard(l *serverList, _ policy.UpdateKind) {
 	if l == nil {
 		return
 	}
@@ -159,7 +159,7 @@
 	var ctx context.Context
 	ctx, f.cancel = context.WithCancel(t.Context())
 	for range nodes {
-		file := &config.File{Discovery: "service", Seed: f.rng.Uint64(), DrainGrace: 2 * time.Second, Settings: policy.Settings{MustAsk: true}}
+		file := &config.File{Discovery: "service", Seed: f.rng.Uint64(), DrainGrace: 2 * time.Second, Settings: policy.Settings{MustWatch: true}}
 		h := &hearing{}
 		f.list = append(f.list, h)
 		d := newDiscovery(file, h.heard)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -23,37 +23,37 @@
 
 // Status is the state of an edge node as shown to operators.
 type Status struct {
-	Name        string
-	Ready       bool
-	Phase       string // of a shutdown
-	Current     *config.Generation
-	Before      *config.Generation // nil: there is none to roll back to
-	Left        string             // digest of the file that was rolled back from; empty: none
-	Refused     *config.Refusal    // the last file, if it was rejected
-	Keeping     *snapshot.Counts   // counts of written snapshots; nil: none are written
-	Duties      []DutyStatus
-	Lag         time.Duration // how late the event loop is; grows while the loop is blocked
-	MostLag     time.Duration // the largest lag of the last 30 to 60 s
-	Looks       int64         // heartbeats of the loop since the start; constant while the loop is blocked
-	Disconnects Disconnects
+	Name             string
+	Ready            bool
+	Phase            string // of a shutdown
+	Current          *config.Generation
+	Previous         *config.Generation // nil: there is none to roll back to
+	RolledBackDigest string             // digest of the file that was rolled back from; empty: none
+	Refused          *config.Refusal    // the last file, if it was rejected
+	Snapshots        *snapshot.Counts   // counts of written snapshots; nil: none are written
+	Duties           []DutyStatus
+	Lag              time.Duration // how late the event loop is; grows while the loop is blocked
+	MaxLag           time.Duration // the largest lag of the last 30 to 60 s
+	Heartbeats       int64         // heartbeats of the loop since the start; constant while it is blocked
+	Disconnects      Disconnects
 
 	Unsolicited Unsolicited
 }
 
 // Disconnects counts the requests whose client disconnected before their first attempt was written,
 // by where the disconnect was detected: while the request was held, while its connection to a server
-// was being dialed, or right before the write. None of them was sent to a server. Hidden counts
+// was being dialed, or right before the write. None of them was sent to a server. Undetectable counts
 // requests that were sent although a disconnect could not be detected, since the client had pipelined
 // too much data.
-type Disconnects struct{ Held, Dialing, Writing, Hidden int64 }
+type Disconnects struct{ Waiting, Dialing, Writing, Undetectable int64 }
 
 // Status returns the current state. It may be called at any time and doesn't wait for the loop.
 func (n *Node) Status() Status {
 	s := *n.status.Load()
 	p := phase(n.phase.Load())
 	s.Ready, s.Phase = n.server.ready.Load() && p == phaseServing, p.String()
-	s.Lag, s.MostLag = n.loop.heartbeat.lag(n.loop.clock.now())
-	s.Looks = n.loop.heartbeat.beats.Load()
+	s.Lag, s.MaxLag = n.loop.heartbeat.lag(n.loop.clock.now())
+	s.Heartbeats = n.loop.heartbeat.beats.Load()
 	disconnects := &n.loop.disconnects
 	s.Disconnects = Disconnects{disconnects.held.Load(), disconnects.dialing.Load(),
 		disconnects.writing.Load(), disconnects.hidden.Load()}
@@ -63,7 +63,7 @@
 	}
 	if n.snapshots != nil {
 		counts := n.snapshots.writer.Counts()
-		s.Keeping = &counts
+		s.Snapshots = &counts
 	}
 	return s
 }
@@ -71,7 +71,8 @@
 // publish updates the status with the history of generations. The caller holds n.changing.
 func (n *Node) publish() {
 	n.status.Store(&Status{Name: n.cfg.Name, Current: n.history.Current(),
-		Before: n.history.Before(), Left: n.history.Left(), Refused: n.history.Refused()})
+		Previous: n.history.Previous(), RolledBackDigest: n.history.RolledBackDigest(),
+		Refused: n.history.Refused()})
 }
 
 // reload applies the configuration file at each signal on hup. A file that is rejected changes
@@ -87,10 +88,10 @@
 		switch {
 		case ctx.Err() != nil:
 			return
-		case errors.Is(err, config.ErrPassedOver):
+		case errors.Is(err, config.ErrUnchanged):
 			slog.Info("configuration unchanged", "why", err)
 		case err != nil:
-			slog.Error("new configuration rejected; the current one stays in force",
+			slog.Error("new configuration refused; the one in force stays",
 				"generation", n.Status().Current.Number, "err", err)
 		}
 	}
@@ -101,7 +102,7 @@
 func (n *Node) readAndApply(ctx context.Context, forced bool) error {
 	for try := 1; ; try++ {
 		err := n.changeGeneration(ctx, func() (*config.Generation, error) {
-			return n.history.Offer(time.Now(), forced)
+			return n.history.Propose(time.Now(), forced)
 		})
 		if !errors.Is(err, config.ErrUnreadable) || try == maxReloadReads || !sleep(ctx, reloadRetryDelay) {
 			return err
@@ -153,7 +154,9 @@
 
 // RollBack puts the previous generation in force. The configuration file is not changed.
 func (n *Node) RollBack(ctx context.Context) error {
-	return n.changeGeneration(ctx, func() (*config.Generation, error) { return n.history.Back(time.Now()) })
+	return n.changeGeneration(ctx, func() (*config.Generation, error) {
+		return n.history.RollBack(time.Now())
+	})
 }
 
 // onApply applies a generation outside the policy module. The loop calls it between two events.
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -89,7 +89,7 @@
 	if err := c.parseClass(settings, r); err != nil {
 		return err
 	}
-	c.Plan = wire.Word(string(r.get("X-Tier")))
+	c.Plan = wire.EscapeWord(string(r.get("X-Tier")))
 	known := false
 	for i := range settings.Plans {
 		known = known || settings.Plans[i].Name == c.Plan
@@ -113,7 +113,7 @@
 
 // parseClass finds the class of a request and checks its method, path and idempotency key against the class.
 func (c *call) parseClass(settings *policy.Settings, r *clientRequest) error {
-	c.class, c.Class = nil, wire.Word(string(r.get("X-Class")))
+	c.class, c.Class = nil, wire.EscapeWord(string(r.get("X-Class")))
 	for i := range settings.Classes {
 		if settings.Classes[i].Name == c.Class {
 			c.class = &settings.Classes[i]
@@ -125,7 +125,7 @@
 	first, _, _ := strings.Cut(requestPath(r.target)[1:], "/")
 	key := r.get("Idempotency-Key")
 	switch {
-	case wire.Word(first) != c.Class:
+	case wire.EscapeWord(first) != c.Class:
 		return errors.New("X-Class: not the path's")
 	case c.class.Effect == policy.Safe && (string(r.method) != "GET" || len(r.body) > 0):
 		return fmt.Errorf("class %s: not GET without a body", c.Class)
@@ -170,7 +170,7 @@
 		ok := n > 0
 		switch k {
 		case "units":
-			ok = ok && !hasUnits && x >= 1 && float64(x) <= max(settings.LargestUnits, 1)
+			ok = ok && !hasUnits && x >= 1 && float64(x) <= max(settings.MaxUnits, 1)
 			r.Units, hasUnits = float64(x), true
 		case "spread":
 			ok = ok && !hasSpread && x >= 1 && x <= settings.Gateways
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -114,7 +114,7 @@
 	cfg := fileConfig(t, newRegistry(t, serving("s-00000001", a.addr())).addr, "", testSettings)
 	cfg.Current().File.Listen = refusing(t)
 	n := start(t, cfg)
-	if err := n.Stay(t.Context()); err == nil {
+	if err := n.CancelShutdown(t.Context()); err == nil {
 		t.Error("called off what had not begun")
 	}
 	answered := make(chan string, 1)
@@ -144,7 +144,7 @@
 		if p == phaseLeaving && ready() != 503 {
 			t.Error("ready though it leaves")
 		}
-		if err := n.Stay(t.Context()); err != nil {
+		if err := n.CancelShutdown(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if got := ready(); got != 200 || !phaseIs(phaseServing)() {
@@ -164,7 +164,7 @@
 	if err := <-n.done; err != nil {
 		t.Error(err)
 	}
-	if err := n.Stay(t.Context()); !errors.Is(err, errEnded) {
+	if err := n.CancelShutdown(t.Context()); !errors.Is(err, errEnded) {
 		t.Errorf("%v after the end", err)
 	}
 }
@@ -243,7 +243,7 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	if err := n.Stay(t.Context()); err == nil {
+	if err := n.CancelShutdown(t.Context()); err == nil {
 		t.Error("called off though the address is another's")
 	}
 	let()
--- a/internal/node/snapshots.go
+++ b/internal/node/snapshots.go
@@ -30,8 +30,8 @@
 	lastSnapshotTimeout  = time.Second // limit on the last one, after it has served
 )
 
-// Kept is the store of an edge node's snapshots and what was found there at the start.
-type Kept struct {
+// Snapshots is the store of an edge node's snapshots and what was found there at the start.
+type Snapshots struct {
 	Store *snapshot.Store
 	Found snapshot.Found
 }
@@ -73,24 +73,25 @@
 	}
 	w.listChanged = false
 	w.takenAt, w.generation = now, st.Current.Number
-	memory := l.gateway.Memory(now, last)
+	memory := l.gateway.SaveState(now, last)
 	memory.Servers = slices.DeleteFunc(memory.Servers, hasDefaultState)
-	return &snapshot.State{Taken: snapshot.Now(), Clean: last, Lines: w.encode, Current: st.Current.Kept(),
-		Before: st.Before.Kept(), Left: st.Left, Memory: memory}
+	return &snapshot.State{Taken: snapshot.Now(), Clean: last, EncodedList: w.encode,
+		Current: st.Current.Stored(), Previous: st.Previous.Stored(),
+		RolledBackDigest: st.RolledBackDigest, Memory: memory}
 }
 
 // hasDefaultState reports whether a server has the state that a new process assumes anyway. In a large fleet
 // most servers do, so they are left out of snapshots.
-func hasDefaultState(s policy.ServerMemory) bool {
-	return s.Slow == 1 && s.Pace == 1 && len(s.Faults) == 0
+func hasDefaultState(s policy.SavedServer) bool {
+	return s.RelativeLatency == 1 && s.MonitoredLatency == 1 && len(s.Health) == 0
 }
 
 // restore passes the state from the last snapshot to the loop, before all other events. It reports
 // whether the restored list is as current as discovery's. The token buckets that a shutdown stored
 // are used only after a snapshot without them has been written: a start after a crash must not restore
 // them a second time.
-func (n *Node) restore(kept *Kept) (listFresh bool) {
-	known := n.cfg.Known
+func (n *Node) restore(kept *Snapshots) (listFresh bool) {
+	known := n.cfg.KnownServers
 	if kept == nil {
 		n.postRememberedList(known)
 		return false
@@ -114,12 +115,13 @@
 			"planned stop", event.Clean, "list", listFresh)
 	}
 	st := n.status.Load()
-	n.snapshots.writer.Offer(&snapshot.State{Taken: snapshot.Now(), List: known, Current: st.Current.Kept(),
-		Before: st.Before.Kept(), Left: st.Left, Memory: policy.Memory{Servers: event.Servers}})
+	n.snapshots.writer.Offer(&snapshot.State{Taken: snapshot.Now(), List: known, Current: st.Current.Stored(),
+		Previous: st.Previous.Stored(), RolledBackDigest: st.RolledBackDigest,
+		Memory: policy.SavedState{Servers: event.Servers}})
 	ctx, cancel := context.WithTimeout(n.ctx, firstSnapshotTimeout)
 	defer cancel()
-	if !n.snapshots.writer.First(ctx) {
-		slog.Error("could not write a snapshot before the start, which is now treated as one after a crash",
+	if !n.snapshots.writer.WaitFirst(ctx) {
+		slog.Error("no snapshot could be written before the start",
 			"err", n.snapshots.writer.Counts().Error)
 		event.Clean = false
 	}
@@ -136,7 +138,7 @@
 		return
 	}
 	maxLines := max(maxUnsplitLines, len(l.Targets)/maxQueuedParts+1)
-	for _, part := range splitList(l.Rev, l.Targets, maxLines, policy.Remembered, policy.Remembered) {
+	for _, part := range splitList(l.Rev, l.Targets, maxLines, policy.StoredList, policy.StoredList) {
 		n.loop.events <- part
 	}
 }
@@ -150,7 +152,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), lastSnapshotTimeout)
 	defer cancel()
 	if !n.snapshots.writer.Close(ctx) {
-		slog.Error("could not write the last snapshot; the next start will be treated as one after a crash",
+		slog.Error("the last snapshot is not written: the next start counts as one after a crash",
 			"err", n.snapshots.writer.Counts().Error)
 	}
 }
--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -15,14 +15,14 @@
 )
 
 // kept opens a state directory as a start does; let go of it with close.
-func kept(t *testing.T, path string) (k *Kept, letGo func()) {
+func kept(t *testing.T, path string) (k *Snapshots, letGo func()) {
 	t.Helper()
 	dir, err := snapshot.OpenDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	store, found := snapshot.Open(dir, "n0")
-	return &Kept{store, found}, func() { dir.Close() }
+	return &Snapshots{store, found}, func() { dir.Close() }
 }
 
 // rated is testSettings with a plan that shows what its store holds.
@@ -155,8 +155,8 @@
 	g := newRegistry(t, serving("s-00000001", a.addr()))
 	store, _ := snapshot.Open(snapshotsAt(t.TempDir()), "n0")
 	found := snapshot.Found{Complete: true, State: &snapshot.State{Clean: true, Taken: snapshot.Now(),
-		Memory: policy.Memory{Tokens: map[uint64]float64{}}}}
-	n := startFrom(t, fileConfig(t, g.addr, "", ratedSettings()), &Kept{store, found})
+		Memory: policy.SavedState{Tokens: map[uint64]float64{}}}}
+	n := startFrom(t, fileConfig(t, g.addr, "", ratedSettings()), &Snapshots{store, found})
 	other := request(n.url, "loan", patience)
 	other.Header.Set("Cookie", "key=0000000000000007")
 	if resp, _ := ask(t, other); resp.StatusCode != 200 {
@@ -165,7 +165,7 @@
 	if got := units(t, n); got != 0 {
 		t.Errorf("%d units at once from stores that the next start would find again", got)
 	}
-	testkit.Eventually(t, "failures counted", func() bool { return n.Status().Keeping.Failed > 1 })
+	testkit.Eventually(t, "failures counted", func() bool { return n.Status().Snapshots.Failed > 1 })
 	n.stop()
 	if err := <-n.done; err != nil {
 		t.Error(err)
@@ -192,8 +192,8 @@
 	} {
 		store, _ := snapshot.Open(snapshotsAt(t.TempDir()), "n0")
 		cfg := fileConfig(t, refusing(t), "", testSettings)
-		cfg.Current().File.Known = c.known
-		n := startFrom(t, cfg, &Kept{store, snapshot.Found{State: &snapshot.State{Taken: c.taken, List: c.kept}}})
+		cfg.Current().File.KnownServers = c.known
+		n := startFrom(t, cfg, &Snapshots{store, snapshot.Found{State: &snapshot.State{Taken: c.taken, List: c.kept}}})
 		if _, body := ask(t, request(n.url, "loan", patience)); body != c.want {
 			t.Errorf("%s: served by %q, want %q", c.name, body, c.want)
 		}
@@ -204,22 +204,22 @@
 func TestReadyWhereDiscoveryRefuses(t *testing.T) {
 	a := newApp(t, answer("200 OK", "", "a"))
 	cfg := testConfig(t, refusing(t))
-	cfg.Current().File.Known = &serverList{Rev: 4, Targets: []target{serving("s-00000001", a.addr())}}
+	cfg.Current().File.KnownServers = &serverList{Rev: 4, Targets: []target{serving("s-00000001", a.addr())}}
 	n, err := New(cfg, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ready := func(kind policy.MembersKind) bool {
+	ready := func(kind policy.UpdateKind) bool {
 		n.loop.onServerList(kind)
 		return n.server.ready.Load()
 	}
-	if ready(policy.AskFailed) {
+	if ready(policy.WatchFailed) {
 		t.Error("ready without any list")
 	}
-	if ready(policy.Remembered) {
+	if ready(policy.StoredList) {
 		t.Error("ready before discovery was asked")
 	}
-	if !ready(policy.AskFailed) {
+	if !ready(policy.WatchFailed) {
 		t.Error("not ready though discovery refuses")
 	}
 	n.listener.Close()
@@ -258,13 +258,13 @@
 	}
 	defer n.cancel()
 	defer n.listener.Close()
-	n.loop.handle(listUpdate{list: largeFleet(3, 1), kind: policy.Whole, listKind: policy.Whole})
-	n.loop.handle(policy.Restore{Memory: policy.Memory{Servers: []policy.ServerMemory{{ID: 2, Slow: 2, Pace: 2}}}})
+	n.loop.handle(listUpdate{list: largeFleet(3, 1), kind: policy.FullList, listKind: policy.FullList})
+	n.loop.handle(policy.Restore{SavedState: policy.SavedState{Servers: []policy.SavedServer{{ID: 2, RelativeLatency: 2, MonitoredLatency: 2}}}})
 	st := n.snapshots.nextState(n.loop, false)
 	if st == nil || len(st.Memory.Servers) != 1 || st.Memory.Servers[0].ID != 2 {
 		t.Fatalf("%+v", st)
 	}
-	if l, err := roster.ParseBinary(st.Lines()); err != nil || len(l.Targets) != 3 {
+	if l, err := roster.ParseBinary(st.EncodedList()); err != nil || len(l.Targets) != 3 {
 		t.Errorf("%+v, %v", l, err)
 	}
 	if n.snapshots.nextState(n.loop, false) != nil {
--- a/internal/node/unsolicited.go
+++ b/internal/node/unsolicited.go
@@ -19,9 +19,9 @@
 // Unsolicited counts the connections on which servers sent bytes that answer no request, by where
 // the bytes were detected. Each such connection was closed.
 type Unsolicited struct {
-	Idle   int64 // on an idle connection
-	Write  int64 // right before the write of a request, which was then not written
-	Answer int64 // in place of the response to a request, or in addition to it
+	Idle     int64 // on an idle connection
+	Write    int64 // right before the write of a request, which was then not written
+	Response int64 // in place of the response to a request, or in addition to it
 
 	// Responses accepted without the check because the operating system doesn't report what the server has
 	// acknowledged.
--- a/internal/node/unsolicited_test.go
+++ b/internal/node/unsolicited_test.go
@@ -93,7 +93,7 @@
 			if r, body := do(); r.code != c.want || r.code == policy.OK && body != "hits" {
 				t.Errorf("code %d, %q, want code %d", r.code, body, c.want)
 			}
-			if got := u.unsolicited.load(); got != (Unsolicited{Answer: c.counted}) || u.open != 0 || a.conns.Load() != 1 {
+			if got := u.unsolicited.load(); got != (Unsolicited{Response: c.counted}) || u.open != 0 || a.conns.Load() != 1 {
 				t.Errorf("counted %+v, %d connections made, %d open", got, a.conns.Load(), u.open)
 			}
 		})
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -139,12 +139,12 @@
 }
 
 // unsentResult returns the result of an attempt that was not written. A withdrawn attempt
-// says nothing about the server and is Moot.
+// says nothing about the server and is NotSent.
 func (a *attempt) unsentResult() result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.withdrawn {
-		return result{code: policy.Moot}
+		return result{code: policy.NotSent}
 	}
 	return result{code: policy.ConnectFailed}
 }
@@ -194,7 +194,7 @@
 	u.mu.Unlock()
 	s, listed := u.directory.Find(id)
 	return !listed || s.Incarnation != incarnation ||
-		s.State != policy.Running && u.clock.now()-s.Since > max(0, grace-drainGraceMargin)
+		s.State != policy.Running && u.clock.now()-s.DrainingSince > max(0, grace-drainGraceMargin)
 }
 
 // acquire returns the most recently used idle connection that is usable. Without one it returns an
@@ -339,7 +339,7 @@
 	switch {
 	case now >= a.deadline:
 		u.discard(c)
-		return result{code: policy.Moot}
+		return result{code: policy.NotSent}
 	case now >= a.writeDeadline || u.closedToRequests(a.server, c.incarnation) || !a.beginWrite(c):
 		u.discard(c)
 		return a.unsentResult()
@@ -433,7 +433,7 @@
 	case (status == 503 || status == 504) && string(c.head.get("X-Not-Run")) == "1":
 		r.code = policy.Full
 	case status/100 == 4:
-		r.code, r.badRequest = policy.Moot, true
+		r.code, r.badRequest = policy.NotSent, true
 	}
 	// Bytes that follow a response belong to no request.
 	reuse := framed && c.input.buffered() == 0 && !c.head.listContains("Connection", "close")
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -109,7 +109,7 @@
 		"a copy behind":     {stays(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits", 2)), policy.OK, false},
 		"noise behind":      {stays("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits\x88\xdb"), policy.OK, false},
 		"unreadable report": {stays("HTTP/1.1 200 OK\r\nX-Load: \xff=,NaN\r\nContent-Length: 4\r\n\r\nhits"), policy.OK, true},
-		"unfit request":     {answer("400 No", "", ""), policy.Moot, true},
+		"unfit request":     {answer("400 No", "", ""), policy.NotSent, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newApp(t, c.do)
--- a/internal/roster/binary.go
+++ b/internal/roster/binary.go
@@ -28,7 +28,7 @@
 	b = binary.AppendVarint(b, l.Rev)
 	for i := range l.Targets {
 		t := &l.Targets[i]
-		if t.State == Gone {
+		if t.State == Removed {
 			continue
 		}
 		addr, err := netip.ParseAddrPort(t.Endpoint)
--- a/internal/roster/decode.go
+++ b/internal/roster/decode.go
@@ -46,10 +46,10 @@
 
 // Errors of a list as a whole.
 var (
-	ErrTooLong = errors.New("the list is too long")
-	ErrTwice   = errors.New("duplicate uid")
-	errNoList  = errors.New("not a JSON object")
-	errBlanks  = fmt.Errorf("over %d whitespace bytes in a row", maxBlanks)
+	ErrTooLong      = errors.New("the list is too long")
+	ErrDuplicateUID = errors.New("duplicate uid")
+	errNoList       = errors.New("not a JSON object")
+	errBlanks       = fmt.Errorf("over %d whitespace bytes in a row", maxBlanks)
 )
 
 // limitedReader fails beyond its limit, where io.LimitedReader returns io.EOF. It also
@@ -109,8 +109,8 @@
 		}
 		return nil, err
 	}
-	if l := &d.list; l.Bad > 0 && len(l.Targets) == 0 {
-		return nil, fmt.Errorf("none of %d lines is valid; %w", l.Bad, l.BadWhy)
+	if l := &d.list; l.Invalid > 0 && len(l.Targets) == 0 {
+		return nil, fmt.Errorf("none of %d lines is valid; %w", l.Invalid, l.InvalidErr)
 	}
 	return &d.list, nil
 }
@@ -229,8 +229,8 @@
 		next.err = d.checkUID(i, next.target.UID)
 	}
 	if next.err != nil {
-		if l.Bad++; l.Bad == 1 {
-			l.BadWhy = fmt.Errorf("targets[%d]: %w", i, next.err)
+		if l.Invalid++; l.Invalid == 1 {
+			l.InvalidErr = fmt.Errorf("targets[%d]: %w", i, next.err)
 		}
 		return nil
 	}
@@ -251,8 +251,8 @@
 		if other := l.Targets[before].UID; other != uid {
 			return fmt.Errorf("uid: %.80q and %.80q have the same ID", uid, other)
 		}
-		if l.Twice == nil {
-			l.Twice = fmt.Errorf("targets[%d]: %w: %.80q", i, ErrTwice, uid)
+		if l.DuplicateErr == nil {
+			l.DuplicateErr = fmt.Errorf("targets[%d]: %w: %.80q", i, ErrDuplicateUID, uid)
 		}
 	}
 	d.lastLine[id] = int32(len(l.Targets))
--- a/internal/roster/decode_test.go
+++ b/internal/roster/decode_test.go
@@ -78,14 +78,14 @@
 func TestDecodeDuplicateUID(t *testing.T) {
 	l, err := Decode(strings.NewReader(`{"targets":[`+lineOf(1)+`,{},`+lineOf(2)+`,`+lineOf(1)+`]}`),
 		LimitsFor(0))
-	if err != nil || !errors.Is(l.Twice, ErrTwice) || !strings.HasPrefix(l.Twice.Error(), "targets[3]: ") || l.Bad != 1 {
+	if err != nil || !errors.Is(l.DuplicateErr, ErrDuplicateUID) || !strings.HasPrefix(l.DuplicateErr.Error(), "targets[3]: ") || l.Invalid != 1 {
 		t.Errorf("%+v, %v", l, err)
 	}
 	other := fmt.Sprintf("s-%08X", 0xabcdef01) // the same number in upper case
 	lines := strings.Replace(validLine, "s-00000001", "s-abcdef01", 1) + "," +
 		strings.Replace(validLine, "s-00000001", other, 1)
 	l, err = Decode(strings.NewReader(`{"targets":[`+lines+`]}`), LimitsFor(0))
-	if err != nil || l.Twice != nil || len(l.Targets) != 1 || l.Bad != 1 || !strings.HasPrefix(l.BadWhy.Error(), "targets[1]: uid: ") {
+	if err != nil || l.DuplicateErr != nil || len(l.Targets) != 1 || l.Invalid != 1 || !strings.HasPrefix(l.InvalidErr.Error(), "targets[1]: uid: ") {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
--- a/internal/roster/directory.go
+++ b/internal/roster/directory.go
@@ -12,14 +12,14 @@
 
 // Entry is a listed server in a Directory.
 type Entry struct {
-	UID    string
-	Zone   string
-	Addr   netip.AddrPort
-	BootMS float64
-	Weight float64
-	Cell   int
-	State  policy.State  // never Removed
-	Since  time.Duration // when the server was first reported as draining, by the edge node's clock
+	UID           string
+	Zone          string
+	Addr          netip.AddrPort
+	BootMS        float64
+	Weight        float64
+	Cell          int
+	State         policy.State  // never Removed
+	DrainingSince time.Duration // when the server was first reported as draining, by the edge node's clock
 
 	// Incarnation identifies the server's process. It changes when the server restarts
 	// or moves, even if ID and address stay.
@@ -105,7 +105,7 @@
 	d.visited++
 	id := ID(t.UID)
 	at, listed := d.index[id]
-	if t.State == Gone {
+	if t.State == Removed {
 		if listed && d.entries[at].UID == t.UID {
 			d.remove(at, ended)
 		}
@@ -124,7 +124,7 @@
 	}
 	state := t.PolicyState()
 	if e.State == policy.Running && state != policy.Running {
-		e.Since = now
+		e.DrainingSince = now
 		ended(id)
 	}
 	e.UID, e.Zone, e.Weight, e.Cell, e.State = t.UID, d.zones.intern(t.Zone), t.Weight, t.Cell, state
@@ -151,7 +151,7 @@
 }
 
 // Difference returns the changes from the directory to a complete list: new and changed
-// lines, and a Gone line for each missing server. Lines of servers that must get no new
+// lines, and a Removed line for each missing server. Lines of servers that must get no new
 // requests come first. The result reuses the memory of the list's lines.
 func (d *Directory) Difference(l *List) []Target {
 	d.mu.RLock()
@@ -161,7 +161,7 @@
 	for i := range l.Targets {
 		yieldEach(i)
 		t := l.Targets[i]
-		if t.State == Gone {
+		if t.State == Removed {
 			continue
 		}
 		addr, _ := netip.ParseAddrPort(t.Endpoint)
@@ -176,16 +176,16 @@
 	for at := range seen {
 		yieldEach(at)
 		if e := &d.entries[at]; !seen[at] && e.Incarnation > 0 {
-			out = append(out, Target{UID: e.UID, State: Gone})
+			out = append(out, Target{UID: e.UID, State: Removed})
 		}
 	}
-	EndsFirst(out)
+	SortEndedFirst(out)
 	return out
 }
 
-// EndsFirst moves the lines of removed and draining servers to the front. The sort is
+// SortEndedFirst moves the lines of removed and draining servers to the front. The sort is
 // stable.
-func EndsFirst(lines []Target) {
+func SortEndedFirst(lines []Target) {
 	slices.SortStableFunc(lines, func(a, b Target) int { return int(b.PolicyState()) - int(a.PolicyState()) })
 }
 
--- a/internal/roster/directory_test.go
+++ b/internal/roster/directory_test.go
@@ -53,14 +53,14 @@
 				continue
 			}
 			line.BootMS, line.Weight = float64(rng.IntN(2)), float64(1+rng.IntN(2))
-			if line.State = []string{"SERVING", "DRAINING", Gone}[rng.IntN(3)]; rng.IntN(5) == 0 {
+			if line.State = []string{"SERVING", "DRAINING", Removed}[rng.IntN(3)]; rng.IntN(5) == 0 {
 				line.Endpoint = "10.9.9.9:1"
 			}
 			next.Targets = append(next.Targets, line)
 		}
 		clear(reference)
 		for _, line := range next.Targets {
-			if line.State != Gone {
+			if line.State != Removed {
 				reference[line.UID] = line
 			}
 		}
@@ -110,10 +110,10 @@
 		"drains":        {with(func(t *Target) { t.State = "DRAINING" }), false, true, true, false},
 		"moved":         {with(func(t *Target) { t.Endpoint = "10.0.0.9:80" }), false, true, true, true},
 		"restarted":     {with(func(t *Target) { t.BootMS = 9 }), false, true, true, true},
-		"gone":          {with(func(t *Target) { t.State = Gone }), false, true, false, false},
+		"gone":          {with(func(t *Target) { t.State = Removed }), false, true, false, false},
 		"missing":       {&List{}, true, true, false, false},
 		"not mentioned": {&List{}, false, false, true, false},
-		"another's end": {&List{Targets: []Target{{UID: "s-0000001x", State: Gone}}}, false, false, true, false},
+		"another's end": {&List{Targets: []Target{{UID: "s-0000001x", State: Removed}}}, false, false, true, false},
 	} {
 		d := NewDirectory()
 		d.Update(listOf(1), true, 0, ignoreEnded)
@@ -124,8 +124,8 @@
 		if ended != c.ended || listed != c.listed || listed && (e.Incarnation != before.Incarnation) != c.moved {
 			t.Errorf("%s: ended %v, listed %v, %+v, want %+v", name, ended, listed, e, c)
 		}
-		if e.State == policy.Draining && e.Since != time.Second {
-			t.Errorf("%s: since %v", name, e.Since)
+		if e.State == policy.Draining && e.DrainingSince != time.Second {
+			t.Errorf("%s: since %v", name, e.DrainingSince)
 		}
 	}
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -27,9 +27,9 @@
 	All     bool     `json:"all"`
 	Targets []Target `json:"targets"`
 
-	Bad    int   `json:"-"` // invalid lines that the decoder dropped
-	BadWhy error `json:"-"` // the error of the first invalid line, or nil
-	Twice  error `json:"-"` // an ErrTwice that names the first duplicate uid, or nil
+	Invalid      int   `json:"-"` // invalid lines that the decoder dropped
+	InvalidErr   error `json:"-"` // the error of the first invalid line, or nil
+	DuplicateErr error `json:"-"` // an ErrDuplicateUID that names the first duplicate uid, or nil
 }
 
 // Target is one line of a List.
@@ -95,7 +95,7 @@
 	if _, ok := statesByName[t.State]; !ok {
 		return fmt.Errorf("state: unknown value %q", t.State)
 	}
-	if t.State == Gone {
+	if t.State == Removed {
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(t.Endpoint); err != nil {
@@ -108,11 +108,11 @@
 // which a time.Duration in nanoseconds can still represent.
 const maxNumber = 9e12
 
-// Gone is the state of a server that was removed from the list.
-const Gone = "DELETED"
+// Removed is the state of a server that was removed from the list.
+const Removed = "DELETED"
 
 var statesByName = map[string]policy.State{"SERVING": policy.Running, "DRAINING": policy.Draining,
-	Gone: policy.Removed}
+	Removed: policy.Removed}
 
 // ID returns the server's ID. It depends on the uid alone, since messages between
 // edge nodes refer to servers by their IDs.
@@ -133,6 +133,7 @@
 // Server converts a line for package policy. Its clock counts from the Unix epoch, so
 // the start time needs no offset.
 func (t *Target) Server() policy.Server {
-	return policy.Server{ID: ID(t.UID), Zone: wire.Word(t.Zone), Cell: t.Cell, State: statesByName[t.State],
-		HasStart: t.BootMS > 0, Start: time.Duration(t.BootMS * float64(time.Millisecond)), Weight: t.Weight}
+	return policy.Server{ID: ID(t.UID), Zone: wire.EscapeWord(t.Zone), Cell: t.Cell,
+		State: statesByName[t.State], HasStart: t.BootMS > 0,
+		Start: time.Duration(t.BootMS * float64(time.Millisecond)), Weight: t.Weight}
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -38,7 +38,7 @@
 		var l List
 		err := json.Unmarshal([]byte(`{"rev":4,"Rev":"x","ALL":7,"all":true,"targets":[`+line+`,`+validLine+`,{"uid":"s-2","state":"DELETED"}]}`), &l)
 		if n := len(l.Targets); err != nil || l.Rev != 4 || !l.All || (n == 3) != c.valid ||
-			l.Bad != 3-n || (l.BadWhy == nil) != c.valid || l.Targets[0] != want {
+			l.Invalid != 3-n || (l.InvalidErr == nil) != c.valid || l.Targets[0] != want {
 			t.Errorf("%s: %+v, %v", why, l, err)
 		}
 	}
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -28,21 +28,21 @@
 
 // State is the stored state of an edge node.
 type State struct {
-	Name        string
-	Incarnation uint64 // number of starts of the edge node on this directory
-	Sequence    uint64 // number of the snapshot
-	Taken       Moment
-	Clean       bool // the edge node admitted no request after the snapshot was taken
-	List        *roster.List
-	Lines       func() []byte // used instead of List: returns its binary format, or nothing
-	Current     Generation
-	Before      Generation // zero: none
-	Left        string     // digest of the configuration that was rolled back from
-	Memory      policy.Memory
+	Name             string
+	Incarnation      uint64 // number of starts of the edge node on this directory
+	Sequence         uint64 // number of the snapshot
+	Taken            Moment
+	Clean            bool // the edge node admitted no request after the snapshot was taken
+	List             *roster.List
+	EncodedList      func() []byte // used instead of List: returns its binary format, or nothing
+	Current          Generation
+	Previous         Generation // zero: none
+	RolledBackDigest string     // digest of the configuration that was rolled back from
+	Memory           policy.SavedState
 }
 
 // Generation is a configuration file that was in force.
-type Generation = config.Kept
+type Generation = config.StoredGeneration
 
 // Errors of Decode.
 var (
@@ -86,7 +86,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	w := encoder{b: append(make([]byte, 0, 1<<16+len(lines)+len(s.Current.Raw)+len(s.Before.Raw)), magic...)}
+	w := encoder{b: append(make([]byte, 0, 1<<16+len(lines)+len(s.Current.Raw)+len(s.Previous.Raw)),
+		magic...)}
 	w.u16(version)
 	w.text(s.Name)
 	w.u64(s.Incarnation)
@@ -102,10 +103,10 @@
 			w.section(sectionBinaryList, func() { w.b = append(w.b, lines...) })
 		}
 		w.section(sectionCurrent, func() { w.generation(&s.Current) })
-		if s.Before.Number > 0 {
-			w.section(sectionBefore, func() { w.generation(&s.Before) })
+		if s.Previous.Number > 0 {
+			w.section(sectionBefore, func() { w.generation(&s.Previous) })
 		}
-		w.section(sectionRolledBack, func() { w.text(s.Left) })
+		w.section(sectionRolledBack, func() { w.text(s.RolledBackDigest) })
 		w.section(sectionServers, func() { w.servers(s.Memory.Servers) })
 		if s.Memory.Tokens != nil {
 			w.section(sectionTokens, func() {
@@ -125,8 +126,8 @@
 // binaryList returns the list in its binary format.
 func (s *State) binaryList() ([]byte, error) {
 	switch {
-	case s.Lines != nil:
-		return s.Lines(), nil
+	case s.EncodedList != nil:
+		return s.EncodedList(), nil
 	case s.List != nil:
 		return s.List.AppendBinary(nil)
 	}
@@ -169,19 +170,19 @@
 	w.b = append(w.b, g.Raw...)
 }
 
-func (w *encoder) servers(list []policy.ServerMemory) {
+func (w *encoder) servers(list []policy.SavedServer) {
 	for i := range list {
 		m := &list[i]
 		w.u32(uint32(m.ID))
 		w.bool(m.HasStart)
 		w.u64(uint64(m.Start))
-		w.f64(m.Slow)
-		w.f64(m.Pace)
-		w.u16(uint16(len(m.Faults)))
-		for _, f := range m.Faults {
+		w.f64(m.RelativeLatency)
+		w.f64(m.MonitoredLatency)
+		w.u16(uint16(len(m.Health)))
+		for _, f := range m.Health {
 			w.text(f.Class)
-			w.f64(f.Errs)
-			w.u64(uint64(f.Bad))
+			w.f64(f.FailureAverage)
+			w.u64(uint64(f.OutOfUseFor))
 		}
 	}
 }
@@ -228,7 +229,7 @@
 		s.Taken = Moment{Wall: time.Unix(0, int64(r.u64())), Up: time.Duration(r.u64()), Boot: r.text()}
 		s.Clean = r.bool()
 	case sectionJSONList:
-		if json.Unmarshal(r.b, &s.List) != nil || s.List != nil && s.List.Bad > 0 {
+		if json.Unmarshal(r.b, &s.List) != nil || s.List != nil && s.List.Invalid > 0 {
 			return false
 		}
 		return true
@@ -239,9 +240,9 @@
 	case sectionCurrent:
 		s.Current = r.generation()
 	case sectionBefore:
-		s.Before = r.generation()
+		s.Previous = r.generation()
 	case sectionRolledBack:
-		s.Left = r.text()
+		s.RolledBackDigest = r.text()
 	case sectionServers:
 		for len(r.b) > 0 && !r.invalid {
 			s.Memory.Servers = append(s.Memory.Servers, r.server())
@@ -303,12 +304,12 @@
 	return g
 }
 
-func (r *decoder) server() policy.ServerMemory {
-	m := policy.ServerMemory{ID: policy.ServerID(r.u32()), HasStart: r.bool(), Start: time.Duration(r.u64()),
-		Slow: r.f64(), Pace: r.f64()}
+func (r *decoder) server() policy.SavedServer {
+	m := policy.SavedServer{ID: policy.ServerID(r.u32()), HasStart: r.bool(), Start: time.Duration(r.u64()),
+		RelativeLatency: r.f64(), MonitoredLatency: r.f64()}
 	for n := r.u16(); n > 0 && !r.invalid; n-- {
-		m.Faults = append(m.Faults, policy.FaultMemory{Class: r.text(), Errs: r.f64(),
-			Bad: time.Duration(r.u64())})
+		m.Health = append(m.Health, policy.SavedHealth{Class: r.text(), FailureAverage: r.f64(),
+			OutOfUseFor: time.Duration(r.u64())})
 	}
 	return m
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -28,13 +28,13 @@
 		Taken: Moment{Wall: time.Unix(1e9, 5), Boot: "b-1", Up: 77 * time.Second},
 		List: &roster.List{Rev: 41, All: true, Targets: []roster.Target{
 			{UID: "s-00000001", Endpoint: "127.0.0.1:80", State: "SERVING", Weight: 1, BootMS: 5}}},
-		Current: Generation{Number: 3, Digest: "d3", Time: time.Unix(7, 0), Raw: []byte(`{"name":"n3"}`)},
-		Before:  Generation{Number: 2, Digest: "d2", Time: time.Unix(6, 0), Raw: []byte(`{}`)},
-		Left:    "d4",
-		Memory: policy.Memory{
-			Servers: []policy.ServerMemory{
-				{ID: 1, HasStart: true, Start: 5, Slow: 1.5, Pace: 2, Faults: []policy.FaultMemory{{Class: "loan", Errs: 0.5, Bad: time.Second}}},
-				{ID: 2, Slow: 1, Pace: 1}},
+		Current:          Generation{Number: 3, Digest: "d3", Time: time.Unix(7, 0), Raw: []byte(`{"name":"n3"}`)},
+		Previous:         Generation{Number: 2, Digest: "d2", Time: time.Unix(6, 0), Raw: []byte(`{}`)},
+		RolledBackDigest: "d4",
+		Memory: policy.SavedState{
+			Servers: []policy.SavedServer{
+				{ID: 1, HasStart: true, Start: 5, RelativeLatency: 1.5, MonitoredLatency: 2, Health: []policy.SavedHealth{{Class: "loan", FailureAverage: 0.5, OutOfUseFor: time.Second}}},
+				{ID: 2, RelativeLatency: 1, MonitoredLatency: 1}},
 			Tokens: map[uint64]float64{7: 1.25, 1 << 60: 0}}}
 }
 
@@ -115,7 +115,7 @@
 		w.section(sectionRolledBack, func() { w.text("d") })
 	})
 	if s, err := Decode(withChecksum(append(w.b, 0, 0, 0, 0)), "n3"); err != nil ||
-		s.Left != "d" || s.Sequence != 2 {
+		s.RolledBackDigest != "d" || s.Sequence != 2 {
 		t.Error(s, err)
 	}
 }
@@ -591,15 +591,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fromBytes := &State{Name: "n3", Lines: func() []byte { return lines }}
+	fromBytes := &State{Name: "n3", EncodedList: func() []byte { return lines }}
 	for name, b := range map[string][]byte{"JSON": withChecksum(append(w.b, 0, 0, 0, 0)),
 		"binary": encoded(t, fromBytes)} {
 		if s, err := Decode(b, "n3"); err != nil || !reflect.DeepEqual(s.List, want) {
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
 	}
-	none := &State{Name: "n3", List: want, Lines: func() []byte { return nil }}
+	none := &State{Name: "n3", List: want, EncodedList: func() []byte { return nil }}
 	if s, err := Decode(encoded(t, none), "n3"); err != nil || s.List != nil {
-		t.Errorf("%+v, %v: a list although Lines returned none", s, err)
+		t.Errorf("%+v, %v: a list although EncodedList returned none", s, err)
 	}
 }
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -32,7 +32,7 @@
 func slotFile(sequence uint64) string { return fmt.Sprintf("snapshot-%d", sequence%2) }
 
 // ErrInUse is returned for a directory that another process writes to.
-var ErrInUse = errors.New("another process writes its snapshots there")
+var ErrInUse = errors.New("another process keeps its snapshots there")
 
 // Store reads and writes the snapshots of one edge node in one directory. It is not safe
 // for concurrent use.
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -50,9 +50,9 @@
 	w.pending <- s
 }
 
-// First waits until the first write has ended or ctx is done. It reports whether a
+// WaitFirst waits until the first write has ended or ctx is done. It reports whether a
 // snapshot was written.
-func (w *Writer) First(ctx context.Context) bool {
+func (w *Writer) WaitFirst(ctx context.Context) bool {
 	select {
 	case <-w.firstDone:
 		return w.Counts().Written > 0
@@ -100,7 +100,7 @@
 		first.Do(func() { close(w.firstDone) })
 		switch {
 		case err != nil && previousErr == "":
-			slog.Error("snapshot not written; the previous one is unchanged", "err", err, "failed", failed)
+			slog.Error("snapshot not written; the one before stays", "err", err, "failed", failed)
 		case err == nil && previousErr != "":
 			slog.Info("snapshots are written again", "failed", failed)
 		}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -10,16 +10,16 @@
 	"valvering.example/valvering/internal/loopback"
 )
 
-// Patience limits the time that a test waits for a condition. It is far longer than a
+// WaitTimeout limits the time that a test waits for a condition. It is far longer than a
 // slow machine needs, so it only determines how long a failing test takes.
-const Patience = 30 * time.Second
+const WaitTimeout = 30 * time.Second
 
 const pollInterval = 2 * time.Millisecond
 
-// Eventually polls a condition until it is true, and fails the test after Patience.
+// Eventually polls a condition until it is true, and fails the test after WaitTimeout.
 func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(WaitTimeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for: %s", what)
 		}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -132,12 +132,12 @@
 	case "MEMBERSHIP":
 		kind, known := memberKinds[f.text()]
 		f.skip() // the list's version
-		m := policy.Members{Kind: kind}
+		m := policy.ServerListUpdate{Kind: kind}
 		number := f.text()
 		if f.err == nil && !known {
 			return it, false, d.fail("MEMBERSHIP: unknown kind")
 		}
-		if f.err == nil && kind != policy.AskFailed {
+		if f.err == nil && kind != policy.WatchFailed {
 			n, err := strconv.Atoi(number)
 			list, have := d.lists[n]
 			if err != nil || !have {
@@ -161,13 +161,13 @@
 		f.skip() // the simulator's own meter; totals come from other edge nodes instead
 		o.Latency = f.ms()
 		o.Server = f.server()
-		o.Over = f.bool()
-		o.Actual = f.num()
+		o.Answered = f.bool()
+		o.ActualUnits = f.num()
 		o.Code = f.code()
 		o.Load = f.numbers()
 		it.Event = o
 	case "LAPSED":
-		it.Event = policy.Gone{ID: f.id()}
+		it.Event = policy.ClientDisconnected{ID: f.id()}
 	case "ELAPSED":
 		it.Event = policy.Timer{Token: f.text()}
 	case "WHISPER":
@@ -191,8 +191,8 @@
 	return it, true, nil
 }
 
-var memberKinds = map[string]policy.MembersKind{"changes": policy.Changes, "all": policy.Whole,
-	"remembered": policy.Remembered, "refused": policy.AskFailed}
+var memberKinds = map[string]policy.UpdateKind{"changes": policy.Changes, "all": policy.FullList,
+	"remembered": policy.StoredList, "refused": policy.WatchFailed}
 
 var states = map[string]policy.State{"Running": policy.Running, "Stopping": policy.Draining,
 	"Deleted": policy.Removed}
@@ -200,7 +200,7 @@
 var codes = map[string]policy.Code{"OK": policy.OK, "INTERNAL": policy.Error,
 	"RESOURCE_EXHAUSTED": policy.Full, "DEADLINE_EXCEEDED": policy.TimedOut,
 	"UNAVAILABLE": policy.ConnectFailed, "ABORTED": policy.Reset, "CANCELLED": policy.Cancelled,
-	"TOO_LATE": policy.Moot}
+	"TOO_LATE": policy.NotSent}
 
 func (d *Decoder) list(f *parser) error {
 	number, n := f.int(), f.int()
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -41,7 +41,7 @@
 		b = append(b, ' ')
 		b = append(b, a.Token...)
 		b = appendMS(b, a.After)
-	case policy.Tell:
+	case policy.SendMessage:
 		start("POST")
 		b = append(b, ' ')
 		b = strconv.AppendInt(b, int64(a.To), 10)
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -13,38 +13,38 @@
 	"valvering.example/valvering/policy"
 )
 
-// Facts are the settings of an instance as path=value pairs.
-type Facts struct{ pairs []string }
+// SettingPairs are the settings of an instance as path=value pairs.
+type SettingPairs struct{ pairs []string }
 
-// FactsFromJSON converts settings in nested JSON to the pairs of a CONFIGURE line, so
+// SettingPairsFromJSON converts settings in nested JSON to the pairs of a CONFIGURE line, so
 // that the edge node and the simulator's adapter share one mapping.
-func FactsFromJSON(data []byte) (Facts, error) {
+func SettingPairsFromJSON(data []byte) (SettingPairs, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
 	var top map[string]any
 	if err := dec.Decode(&top); err != nil {
-		return Facts{}, fmt.Errorf("settings: %w", err)
+		return SettingPairs{}, fmt.Errorf("settings: %w", err)
 	}
 	if len(top) == 0 {
-		return Facts{}, errors.New("settings: missing")
+		return SettingPairs{}, errors.New("settings: missing")
 	}
 	if dec.More() {
-		return Facts{}, errors.New("settings: more than one value")
+		return SettingPairs{}, errors.New("settings: more than one value")
 	}
-	var f Facts
+	var f SettingPairs
 	f.add("", top)
 	return f, nil
 }
 
 // Settings converts the facts. The error joins all faults, each of which begins with its
 // key.
-func (f Facts) Settings() (policy.Settings, error) { return parseSettings(f.pairs) }
+func (f SettingPairs) Settings() (policy.Settings, error) { return parseSettings(f.pairs) }
 
 // Pairs returns the path=value pairs in sorted order.
-func (f Facts) Pairs() []string { return slices.Sorted(slices.Values(f.pairs)) }
+func (f SettingPairs) Pairs() []string { return slices.Sorted(slices.Values(f.pairs)) }
 
 // Duration returns a fact in milliseconds as a duration, or 0 if it is absent.
-func (f Facts) Duration(key string) (time.Duration, error) {
+func (f SettingPairs) Duration(key string) (time.Duration, error) {
 	for _, p := range f.pairs {
 		if v, ok := strings.CutPrefix(p, key+"="); ok {
 			one := facts{m: map[string]string{key: v}}
@@ -55,15 +55,15 @@
 	return 0, nil
 }
 
-// Word replaces the spaces and commas in a value, which separate pairs and elements.
-func Word(s string) string {
+// EscapeWord replaces the spaces and commas in a value, which separate pairs and elements.
+func EscapeWord(s string) string {
 	if !strings.ContainsAny(s, " ,") {
 		return s
 	}
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(s)
 }
 
-func (f *Facts) add(path string, v any) {
+func (f *SettingPairs) add(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, e := range v {
@@ -87,11 +87,11 @@
 		}
 		words := make([]string, len(v))
 		for i, e := range v {
-			words[i] = Word(fmt.Sprint(e))
+			words[i] = EscapeWord(fmt.Sprint(e))
 		}
 		f.pairs = append(f.pairs, path+"="+strings.Join(words, ","))
 	case nil:
 	default:
-		f.pairs = append(f.pairs, path+"="+Word(fmt.Sprint(v)))
+		f.pairs = append(f.pairs, path+"="+EscapeWord(fmt.Sprint(v)))
 	}
 }
--- a/internal/wire/json_test.go
+++ b/internal/wire/json_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := FactsFromJSON([]byte(`{"me":1,"balancers":3,"zone":"north hall","tick_ms":4.0,"empty":null,"none":[],
+	f, err := SettingPairsFromJSON([]byte(`{"me":1,"balancers":3,"zone":"north hall","tick_ms":4.0,"empty":null,"none":[],
 		"caps":{"cancel":true,"peers":true,"retry_after":true,"max_retry_after_ms":2000.0,"conn_idle_ms":15000.5},
 		"report":{"names":["cpu","rps"]},"weight_kind":"nominal","discovery":"push","rules":{"cold_share":0.21},
 		"family_info":{"mail_per_s":60},"classes":[{"name":"a","aim_ms":400.0,"semantics":"repeatable"},
@@ -40,7 +40,7 @@
 		t.Error("a word was accepted as a duration")
 	}
 	for _, bad := range []string{``, `{}`, `[]`, `{"me":`} {
-		if _, err := FactsFromJSON([]byte(bad)); err == nil {
+		if _, err := SettingPairsFromJSON([]byte(bad)); err == nil {
 			t.Errorf("%q was accepted", bad)
 		}
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -84,16 +84,16 @@
 		f.m[k] = v
 	}
 	s := policy.Settings{
-		Me: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
+		Self: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
 		Resolution: f.ms("tick_ms"), MaxAttempts: f.int("caps.max_attempts"),
-		CanCancel: f.bool("caps.cancel"), CanTell: f.bool("caps.peers"),
-		DatagramsPerSecond: f.number("family_info.mail_per_s"), LargestUnits: f.number("family_info.largest"),
-		MustAsk:       f.m["discovery"] == "ask",
+		CanCancel: f.bool("caps.cancel"), CanSendMessages: f.bool("caps.peers"),
+		DatagramsPerSecond: f.number("family_info.mail_per_s"), MaxUnits: f.number("family_info.largest"),
+		MustWatch:     f.m["discovery"] == "ask",
 		SizeKnown:     f.m["weight_kind"] == "nominal" || f.m["weight_kind"] == "rough",
 		CrossZoneCost: f.number("charges.cross_zone"),
-		AnswerSlack:   f.ms("rules.answer_slack_ms"), ColdShare: f.number("rules.cold_share"),
-		WarmWithin: f.ms("rules.warm_within_ms"), FallMultiple: f.number("rules.fall_multiple"),
-		FallTime: f.ms("rules.fall_ms"),
+		AnswerSlack:   f.ms("rules.answer_slack_ms"), MinWarmUpFraction: f.number("rules.cold_share"),
+		WarmUpTime: f.ms("rules.warm_within_ms"), OverloadMultiple: f.number("rules.fall_multiple"),
+		OverloadTime: f.ms("rules.fall_ms"),
 	}
 	if f.bool("caps.retry_after") {
 		s.MaxRetryAfter = f.ms("caps.max_retry_after_ms")
@@ -119,15 +119,15 @@
 		if !groupKnown {
 			f.addFault(k+"group", "unknown value %q", clip(f.m[k+"group"]))
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], Aim: f.ms(k + "aim_ms"),
+		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], LatencyTarget: f.ms(k + "aim_ms"),
 			Deadline: f.ms(k + "hard_limit_ms"), Effect: effect, Group: group,
 			Window: f.ms(k + "window_ms"), Stream: f.bool(k + "stream")})
 	}
 	for i := range count("plans.count") {
 		k := "plans." + strconv.Itoa(i) + "."
 		s.Plans = append(s.Plans, policy.Plan{Name: f.m[k+"name"], Rate: f.number(k + "rate"),
-			Burst: f.number(k + "store_size"), Open: f.int(k + "parallel"),
-			BeyondEarns: f.number(k + "beyond_earns"), BeyondCosts: f.number(k + "beyond_costs"),
+			Burst: f.number(k + "store_size"), MaxInFlight: f.int(k + "parallel"),
+			EarnedBeyondQuota: f.number(k + "beyond_earns"), ChargedBeyondQuota: f.number(k + "beyond_costs"),
 			HardRate: f.number(k + "hard_rate"), HardBurst: f.number(k + "hard_burst")})
 	}
 	return s, errors.Join(f.errs...)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,14 +35,14 @@
 	servers := []policy.Server{{ID: 7, Zone: "room-a", Cell: 3, Weight: 1},
 		{ID: 8, Zone: "room-b", Cell: 4, State: policy.Draining, HasStart: true, Start: 6100 * ms, Weight: 1.5}}
 	want := []any{
-		policy.Members{Kind: policy.Remembered, Servers: servers},
-		policy.Members{Kind: policy.AskFailed},
+		policy.ServerListUpdate{Kind: policy.StoredList, Servers: servers},
+		policy.ServerListUpdate{Kind: policy.WatchFailed},
 		policy.Request{ID: id, Spread: 3, Class: "lookup", First: 1, Remaining: 240 * ms, Units: 2,
 			Retry: true, Customer: "acct:k", Plan: "basic"},
-		policy.Outcome{ID: id, Latency: 18500 * time.Microsecond, Server: 7, Over: true, Actual: 3,
+		policy.Outcome{ID: id, Latency: 18500 * time.Microsecond, Server: 7, Answered: true, ActualUnits: 3,
 			Load: []float64{1, 0.5}},
 		policy.Started{ID: id, Attempt: 1, Server: 7},
-		policy.Gone{ID: id},
+		policy.ClientDisconnected{ID: id},
 		policy.Timer{Token: "tick"},
 		policy.PeerMessage{From: 2, Data: []byte("hi 7")},
 		nil, nil, Kill{},
@@ -99,10 +99,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Me != 1 || s.Gateways != 3 || s.Resolution != 2*ms || s.MaxRetryAfter != 500*ms || !s.MustAsk ||
-		!s.SizeKnown || len(s.ReportNames) != 2 || s.Classes[0].Aim != 80500*time.Microsecond ||
+	if s.Self != 1 || s.Gateways != 3 || s.Resolution != 2*ms || s.MaxRetryAfter != 500*ms || !s.MustWatch ||
+		!s.SizeKnown || len(s.ReportNames) != 2 || s.Classes[0].LatencyTarget != 80500*time.Microsecond ||
 		s.Classes[0].Effect != policy.Keyed || s.Classes[0].Group != policy.GroupCell ||
-		s.Plans[0].Rate != 0.7 || s.Plans[0].Open != 2 {
+		s.Plans[0].Rate != 0.7 || s.Plans[0].MaxInFlight != 2 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -114,7 +114,7 @@
 		"PUSH_BACK n/1 0000000000000001 5.000": policy.Refuse{ID: 1, RetryAfter: 5 * ms},
 		"REPORT_FAILURE n/1 0000000000000001":  policy.Fail{ID: 1},
 		"SET_ALARM n/1 tick 5.000":             policy.SetTimer{Token: "tick", After: 5 * ms},
-		"POST n/1 2 aGkgNw==":                  policy.Tell{To: 2, Data: []byte("hi 7")},
+		"POST n/1 2 aGkgNw==":                  policy.SendMessage{To: 2, Data: []byte("hi 7")},
 		"LISTEN n/1 1":                         policy.Watch{},
 		"SAY_LOG n/1 two lines":                policy.Log{Text: "two\nlines"},
 	} {
--- a/policy/api.go
+++ b/policy/api.go
@@ -30,30 +30,30 @@
 
 // Class holds the settings of a class of requests.
 type Class struct {
-	Name     string
-	Aim      time.Duration // latency up to which an answer has its full value
-	Deadline time.Duration // how long a client waits, over all its tries
-	Effect   Effect
-	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: how long servers remember a request to drop its repetitions
-	Stream   bool          // the answer is a stream, announced by Started
+	Name          string
+	LatencyTarget time.Duration // latency up to which an answer has its full value
+	Deadline      time.Duration // how long a client waits, over all its tries
+	Effect        Effect
+	Group         Group         // for Keyed
+	Window        time.Duration // for Keyed: how long servers remember a request to drop its repetitions
+	Stream        bool          // the answer is a stream, announced by Started
 }
 
 // Plan holds the quotas that each customer of a plan has over all gateways.
 type Plan struct {
-	Name        string
-	Rate        float64 // units a second; 0: no rate quota
-	Burst       float64 // size of the quota's token bucket in units
-	Open        int     // cap on attempts in flight; 0: no cap
-	BeyondEarns float64 // share of a request's value that is earned beyond the quota
-	BeyondCosts float64 // share of a request's value that is charged beyond the quota
-	HardRate    float64 // units a second of the hard ceiling; 0: none
-	HardBurst   float64 // size of the ceiling's token bucket in units
+	Name               string
+	Rate               float64 // units a second; 0: no rate quota
+	Burst              float64 // size of the quota's token bucket in units
+	MaxInFlight        int     // cap on attempts in flight; 0: no cap
+	EarnedBeyondQuota  float64 // share of a request's value that is earned beyond the quota
+	ChargedBeyondQuota float64 // share of a request's value that is charged beyond the quota
+	HardRate           float64 // units a second of the hard ceiling; 0: none
+	HardBurst          float64 // size of the ceiling's token bucket in units
 }
 
 // Settings are the settings of a gateway.
 type Settings struct {
-	Me       int // number of this gateway, from 0
+	Self     int // number of this gateway, from 0
 	Gateways int // number of gateways
 	Zone     string
 	Classes  []Class
@@ -62,20 +62,20 @@
 	Resolution         time.Duration // minimum time between two successive events
 	MaxAttempts        int           // maximum attempts of one request; 0: no limit
 	CanCancel          bool          // the Cancel action may be used
-	CanTell            bool          // the Tell action may be used
+	CanSendMessages    bool          // the SendMessage action may be used
 	DatagramsPerSecond float64       // messages from other gateways that a gateway can receive in a second
-	LargestUnits       float64       // maximum units of one request
+	MaxUnits           float64       // maximum units of one request
 	MaxRetryAfter      time.Duration // longest advice that clients follow; 0: no advice
-	MustAsk            bool          // changes of the server list arrive only after a Watch action
+	MustWatch          bool          // changes of the server list arrive only after a Watch action
 	SizeKnown          bool          // Server.Weight is the size of the machine
 	CrossZoneCost      float64       // cost of an attempt to a server in another zone
 	ReportNames        []string      // names of the values in Outcome.Load
 
-	AnswerSlack  time.Duration // a final answer still counts as in time this long after the deadline
-	ColdShare    float64       // minimum share of its capacity that a starting server has
-	WarmWithin   time.Duration // time after its start at which a server has its full capacity
-	FallMultiple float64       // a cold server fails under this multiple of its capacity
-	FallTime     time.Duration // when the overload lasts this long
+	AnswerSlack       time.Duration // a final answer still counts as in time this long after the deadline
+	MinWarmUpFraction float64       // minimum share of its capacity that a starting server has
+	WarmUpTime        time.Duration // time after its start at which a server has its full capacity
+	OverloadMultiple  float64       // a cold server fails under this multiple of its capacity
+	OverloadTime      time.Duration // when the overload lasts this long
 }
 
 // Names of load report values that the package knows.
@@ -96,11 +96,11 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotSent
 )
 
 // NeverRan reports whether the code proves that the attempt never ran.
-func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == Moot }
+func (c Code) NeverRan() bool { return c == Full || c == ConnectFailed || c == NotSent }
 
 // Event is an input to Gateway.Handle.
 type Event interface{ event() }
@@ -127,23 +127,23 @@
 
 // Outcome reports the end of an attempt; there is one for each Send.
 type Outcome struct {
-	ID      RequestID
-	Attempt int // numbered from 0 for each request
-	Server  ServerID
-	Code    Code
-	Latency time.Duration
-	Over    bool      // the request already has its final answer
-	Actual  float64   // actual units, where they are known only afterwards; else 0
-	Load    []float64 // values of the load report in the order of Settings.ReportNames; or nil
+	ID          RequestID
+	Attempt     int // numbered from 0 for each request
+	Server      ServerID
+	Code        Code
+	Latency     time.Duration
+	Answered    bool      // the request already has its final answer
+	ActualUnits float64   // actual units, where they are known only afterwards; else 0
+	Load        []float64 // values of the load report in the order of Settings.ReportNames; or nil
 }
 
-// Gone reports that the client disconnected; its request needs no answer.
-type Gone struct{ ID RequestID }
+// ClientDisconnected reports that the client disconnected; its request needs no answer.
+type ClientDisconnected struct{ ID RequestID }
 
 // Timer reports that a timer set by SetTimer has expired.
 type Timer struct{ Token string }
 
-// PeerMessage is a message that another gateway sent with Tell.
+// PeerMessage is a message that another gateway sent with SendMessage.
 type PeerMessage struct {
 	From int
 	Data []byte
@@ -170,25 +170,25 @@
 	Weight   float64
 }
 
-// MembersKind is the kind of content of a Members event.
-type MembersKind int
+// UpdateKind is the kind of content of a ServerListUpdate event.
+type UpdateKind int
 
-// Kinds of Members events.
+// Kinds of ServerListUpdate events.
 const (
-	Changes    MembersKind = iota // only servers that changed
-	Whole                         // the whole list; a server not in it has been removed
-	Remembered                    // a stored copy of the whole list; may be out of date
-	AskFailed                     // Watch failed; the list stays as it is
+	Changes     UpdateKind = iota // only servers that changed
+	FullList                      // the whole list; a server not in it has been removed
+	StoredList                    // a stored copy of the whole list; may be out of date
+	WatchFailed                   // Watch failed; the list stays as it is
 )
 
-// Members delivers the server list or changes to it.
-type Members struct {
-	Kind    MembersKind
+// ServerListUpdate delivers the server list or changes to it.
+type ServerListUpdate struct {
+	Kind    UpdateKind
 	Servers []Server
 }
 
-// Reconfigure replaces the settings. Me, Gateways, Zone, Resolution, CanTell, MustAsk and DatagramsPerSecond
-// must not change.
+// Reconfigure replaces the settings. Self, Gateways, Zone, Resolution, CanSendMessages, MustWatch and
+// DatagramsPerSecond must not change.
 type Reconfigure struct{ Settings Settings }
 
 // Shutdown starts the gateway's shutdown, which ends with the ShutdownDone action.
@@ -225,8 +225,8 @@
 	After time.Duration
 }
 
-// Tell sends a message of at most 256 bytes to another gateway, or to all if To is -1. It may be lost.
-type Tell struct {
+// SendMessage sends a message of at most 256 bytes to another gateway, or to all if To is -1. It may be lost.
+type SendMessage struct {
 	To   int
 	Data []byte
 }
@@ -240,23 +240,23 @@
 // Log writes a line to the operators' log.
 type Log struct{ Text string }
 
-func (Request) event()     {}
-func (Started) event()     {}
-func (Outcome) event()     {}
-func (Gone) event()        {}
-func (Timer) event()       {}
-func (PeerMessage) event() {}
-func (Members) event()     {}
-func (Reconfigure) event() {}
-func (Restore) event()     {}
-func (Shutdown) event()    {}
+func (Request) event()            {}
+func (Started) event()            {}
+func (Outcome) event()            {}
+func (ClientDisconnected) event() {}
+func (Timer) event()              {}
+func (PeerMessage) event()        {}
+func (ServerListUpdate) event()   {}
+func (Reconfigure) event()        {}
+func (Restore) event()            {}
+func (Shutdown) event()           {}
 
 func (Send) action()         {}
 func (Cancel) action()       {}
 func (Refuse) action()       {}
 func (Fail) action()         {}
 func (SetTimer) action()     {}
-func (Tell) action()         {}
+func (SendMessage) action()  {}
 func (Watch) action()        {}
 func (Log) action()          {}
 func (ShutdownDone) action() {}
--- a/policy/cold_fleet_test.go
+++ b/policy/cold_fleet_test.go
@@ -53,12 +53,12 @@
 type queueServer struct {
 	line    Server
 	free    []time.Duration // when each core has done its work
-	came    []time.Duration // what came within FallTime
+	came    []time.Duration // what came within OverloadTime
 	queued  int
 	reached float64 // the most of what came, as a part of the count at which it falls
 	most    int     // that count
 
-	sends []coldSend // within FallTime, while it is cold
+	sends []coldSend // within OverloadTime, while it is cold
 	worst []coldSend // those within the time in which it got the most
 	got   float64    // requests while it was cold
 }
@@ -123,13 +123,13 @@
 	}
 	for i := range gateways {
 		own := set
-		own.Me, own.Gateways = i, gateways
+		own.Self, own.Gateways = i, gateways
 		g, err := New(own, seed*1000+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.gateways = append(f.gateways, g)
-		f.tell(i, Members{Kind: Whole, Servers: list})
+		f.tell(i, ServerListUpdate{Kind: FullList, Servers: list})
 	}
 	return f
 }
@@ -146,7 +146,7 @@
 		switch a := a.(type) {
 		case SetTimer:
 			f.after(a.After, func() { f.tell(i, Timer{Token: a.Token}) })
-		case Tell:
+		case SendMessage:
 			for to := range f.gateways {
 				if to == a.To || a.To < 0 && to != i {
 					f.after(peerDelay, func() { f.tell(to, PeerMessage{From: i, Data: a.Data}) })
@@ -168,7 +168,7 @@
 		code, done = Full, f.now
 	}
 	f.after(done+replyDelay-f.now, func() {
-		f.tell(i, Outcome{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: f.now - sent, Over: code == OK})
+		f.tell(i, Outcome{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: f.now - sent, Answered: code == OK})
 	})
 }
 
@@ -177,8 +177,8 @@
 	if !s.line.HasStart {
 		return 1
 	}
-	age := float64(f.now-s.line.Start) / float64(f.set.WarmWithin)
-	return min(1, f.set.ColdShare+(1-f.set.ColdShare)*age)
+	age := float64(f.now-s.line.Start) / float64(f.set.WarmUpTime)
+	return min(1, f.set.MinWarmUpFraction+(1-f.set.MinWarmUpFraction)*age)
 }
 
 // come has a request come to a server and returns when it is done; 0: turned away.
@@ -206,7 +206,7 @@
 // judge counts what came to a cold server against what makes it fall.
 func (f *burstFleet) judge(s *queueServer, warmth float64, from coldSend) {
 	s.came, s.sends = append(s.came, f.now), append(s.sends, from)
-	for f.now-s.came[0] > f.set.FallTime {
+	for f.now-s.came[0] > f.set.OverloadTime {
 		s.came, s.sends = s.came[1:], s.sends[1:]
 	}
 	bears := f.allowed(warmth)
@@ -217,9 +217,9 @@
 	}
 }
 
-// allowed is how many requests the settings allow a server within FallTime.
+// allowed is how many requests the settings allow a server within OverloadTime.
 func (f *burstFleet) allowed(warmth float64) float64 {
-	return f.set.FallMultiple * float64(f.cores) / serverWork.Seconds() * warmth * f.set.FallTime.Seconds()
+	return f.set.OverloadMultiple * float64(f.cores) / serverWork.Seconds() * warmth * f.set.OverloadTime.Seconds()
 }
 
 // usedOfCold is the part of what the cold servers might have worked off that they got to work on.
@@ -228,7 +228,7 @@
 	for _, s := range f.servers {
 		if s.line.HasStart {
 			got += s.got
-			mean := (f.warmth(s) + f.set.ColdShare) / 2
+			mean := (f.warmth(s) + f.set.MinWarmUpFraction) / 2
 			worth += mean * float64(f.cores) / serverWork.Seconds() * (f.now - s.line.Start).Seconds()
 		}
 	}
@@ -250,7 +250,7 @@
 	remaining := 2 * time.Second
 	f.tell(i, Request{ID: id, Customer: fmt.Sprint(id % 40), Plan: "free", Class: "safe", Units: 1, Remaining: remaining,
 		Spread: len(f.gateways)})
-	f.after(remaining, func() { f.tell(i, Gone{ID: id}) })
+	f.after(remaining, func() { f.tell(i, ClientDisconnected{ID: id}) })
 	f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), f.arrive)
 }
 
@@ -267,7 +267,7 @@
 		changed = append(changed, line)
 	}
 	for i := range f.gateways {
-		f.after(peerDelay, func() { f.tell(i, Members{Kind: Changes, Servers: changed}) })
+		f.after(peerDelay, func() { f.tell(i, ServerListUpdate{Kind: Changes, Servers: changed}) })
 	}
 }
 
@@ -301,7 +301,7 @@
 				for seed := range uint64(5) {
 					set := base()
 					set.DatagramsPerSecond = 100
-					set.FallMultiple, set.FallTime = server.multiple, server.within
+					set.OverloadMultiple, set.OverloadTime = server.multiple, server.within
 					f := newBurstFleet(t, gateways, server.cores, set, seed+1)
 					f.play()
 					worst := 0.0
--- a/policy/events.go
+++ b/policy/events.go
@@ -19,7 +19,7 @@
 		if r := g.requests[ev.ID]; r != nil && r.attempts == ev.Attempt+1 && r.server != nil {
 			r.streaming = true
 		}
-	case Gone:
+	case ClientDisconnected:
 		if r := g.requests[ev.ID]; r != nil {
 			g.close(r)
 		}
@@ -34,7 +34,7 @@
 		}
 	case PeerMessage:
 		g.onPeer(ev)
-	case Members:
+	case ServerListUpdate:
 		g.onMembers(ev)
 	case Reconfigure:
 		g.reconfigure(ev.Settings)
@@ -48,8 +48,8 @@
 }
 
 // onMembers applies a whole server list, or changes to it.
-func (g *Gateway) onMembers(ev Members) {
-	if ev.Kind == AskFailed {
+func (g *Gateway) onMembers(ev ServerListUpdate) {
+	if ev.Kind == WatchFailed {
 		g.watchSent = false
 		return
 	}
@@ -73,7 +73,7 @@
 
 // onPeer decodes another gateway's message and passes it to its handler.
 func (g *Gateway) onPeer(ev PeerMessage) {
-	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.settings.Me {
+	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.settings.Self {
 		return
 	}
 	g.unansweredAsks = 0
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -63,11 +63,11 @@
 		return cmp.Compare(b.reportUrgency, a.reportUrgency)
 	})
 	for _, p := range g.peers {
-		if p == nil || p.num == g.settings.Me {
+		if p == nil || p.num == g.settings.Self {
 			continue
 		}
 		if m := g.newReport(p, list); !g.largeFleet || len(m.customers) > 0 {
-			g.emit(Tell{To: p.num, Data: m.encode()})
+			g.emit(SendMessage{To: p.num, Data: m.encode()})
 		}
 	}
 	for _, c := range list {
@@ -98,12 +98,12 @@
 		if i > 0 && !g.largeFleet || w != g.activeMonitor(s) && (i == 0 || code != ConnectFailed) {
 			continue
 		}
-		if w == g.settings.Me {
+		if w == g.settings.Self {
 			g.observeOutcome(s, cl.index, code, latency)
 			continue
 		}
 		ms := uint16(min(max(0, latency.Milliseconds()), math.MaxUint16))
-		g.emit(Tell{To: w,
+		g.emit(SendMessage{To: w,
 			Data: encode(g.withMark(observation{uint32(s.ID), byte(cl.index), byte(code), ms}))})
 	}
 }
@@ -126,7 +126,7 @@
 // is also in another zone, since a network partition takes a whole zone.
 func (g *Gateway) monitors(id ServerID) [2]int {
 	if !g.largeFleet {
-		return [2]int{g.settings.Me, g.settings.Me}
+		return [2]int{g.settings.Self, g.settings.Self}
 	}
 	h, n := serverHash(id), uint32(g.settings.Gateways)
 	if n <= 1<<serverBits { // same as in older versions; with more, some would monitor no server
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -135,12 +135,12 @@
 func (g *Gateway) onShutdown() {
 	g.shuttingDown = true
 	for _, c := range g.customerList {
-		if roots, deputy := g.roots(c); g.largeFleet && deputy != g.settings.Me &&
-			slices.Contains(roots, g.settings.Me) {
+		if roots, deputy := g.roots(c); g.largeFleet && deputy != g.settings.Self &&
+			slices.Contains(roots, g.settings.Self) {
 			g.transferCustomer(c, deputy, true)
 		}
 	}
-	g.transferMonitorStates(g.settings.Me, 1)
+	g.transferMonitorStates(g.settings.Self, 1)
 	g.sendTransfers()
 }
 
@@ -181,7 +181,7 @@
 func (g *Gateway) transferMonitorStates(first, to int) {
 	for _, s := range g.tracked {
 		if w := s.monitors; !g.largeFleet || s.State == Removed || w[0] != first ||
-			w[1-to] != g.settings.Me || w[to] == g.settings.Me || g.isAbsent(w[to]) {
+			w[1-to] != g.settings.Self || w[to] == g.settings.Self || g.isAbsent(w[to]) {
 			continue
 		}
 		g.transferSeq++
@@ -213,7 +213,7 @@
 			p.tries++
 			p.nextTryAt = g.now + max(minReplyTimeout,
 				time.Duration(replyTimeoutFactor*float64(g.meanReplyTime)))
-			g.emit(Tell{To: p.to, Data: p.data})
+			g.emit(SendMessage{To: p.to, Data: p.data})
 		}
 		return false
 	})
@@ -224,7 +224,7 @@
 		g.shutdownAnnounced = true
 		g.resendEnds()
 		g.sendReports() // includes the last units admitted here
-		g.emit(Tell{To: -1, Data: encode(shutdownMessage{g.incarnation})})
+		g.emit(SendMessage{To: -1, Data: encode(shutdownMessage{g.incarnation})})
 		g.emit(ShutdownDone{})
 	}
 }
@@ -245,7 +245,7 @@
 	}
 	// Attempts that were granted to this gateway already count as its own.
 	m.Grants = slices.DeleteFunc(m.Grants, func(l transferredGrant) bool {
-		return int(l.From) == g.settings.Me || int(l.From) >= len(g.peers)
+		return int(l.From) == g.settings.Self || int(l.From) >= len(g.peers)
 	})
 	g.adoptCustomer(c, &m)
 }
@@ -254,7 +254,7 @@
 func (g *Gateway) onMonitorState(from int, m monitorState) {
 	s := g.track(ServerID(m.Server))
 	if g.shuttingDown || !g.largeFleet || s == nil || g.tableByMark(m.Mark) == nil ||
-		s.monitors != [2]int{from, g.settings.Me} && s.monitors != [2]int{g.settings.Me, from} {
+		s.monitors != [2]int{from, g.settings.Self} && s.monitors != [2]int{g.settings.Self, from} {
 		return
 	}
 	if g.acknowledge(from, m.Incarnation, m.Seq) {
@@ -265,7 +265,7 @@
 // acknowledge acknowledges a transfer and reports whether it is to be applied, which is so
 // for its first copy only.
 func (g *Gateway) acknowledge(from int, incarnation, seq uint32) bool {
-	g.emit(Tell{To: from, Data: encode(transferAck{incarnation, seq})})
+	g.emit(SendMessage{To: from, Data: encode(transferAck{incarnation, seq})})
 	k := transferKey{from, incarnation, seq}
 	if _, received := g.receivedTransfers[k]; received || len(g.receivedTransfers) >= maxReceivedTransfers {
 		return false
@@ -313,7 +313,7 @@
 	if e := (attemptEnd{r.customer, r.root, encode(m)}); g.sendEnd(e) {
 		g.recentEnds = append(g.recentEnds, e)
 	} else {
-		g.onEnd(g.settings.Me, m)
+		g.onEnd(g.settings.Self, m)
 	}
 }
 
@@ -330,10 +330,10 @@
 	if len(e.customer.rootAndDeputy) > 0 && to == e.customer.rootAndDeputy[0] && g.isAbsent(to) {
 		to = e.customer.rootAndDeputy[1]
 	}
-	if to != g.settings.Me {
-		g.emit(Tell{To: to, Data: e.data})
+	if to != g.settings.Self {
+		g.emit(SendMessage{To: to, Data: e.data})
 	}
-	return to != g.settings.Me
+	return to != g.settings.Self
 }
 
 // resendEnds sends the latest ends once more, to the gateways that count them by now.
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -130,7 +130,7 @@
 		}
 		for i, s := range r.sends {
 			if s.ID >= 1000 {
-				r.do(r.from[i], Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Over: true})
+				r.do(r.from[i], Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Answered: true})
 			}
 		}
 		r.pass(400*ms, nil)
@@ -201,7 +201,7 @@
 		r.do(r.leaver, Shutdown{})
 		for n := range r.customers { // one in each hundredth of a second
 			s := r.sends[first+n]
-			r.do(r.from[first+n], Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Over: true})
+			r.do(r.from[first+n], Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Answered: true})
 			r.pass(10*ms, nil)
 		}
 		r.pass(500*ms, nil)
@@ -296,14 +296,14 @@
 		if member.isAbsent(r.leaver) { // the word may be lost
 			member.actions = nil
 			member.notifyMonitors(member.track(s.ID), member.classes["safe"], Error, 0)
-			if tells := of[Tell](member.actions); len(tells) != 1 || tells[0].To != s.monitors[1] {
+			if tells := of[SendMessage](member.actions); len(tells) != 1 || tells[0].To != s.monitors[1] {
 				t.Errorf("seed %d: outcomes are told to %v", seed, tells)
 			}
 		}
 		set := base()
-		set.Me, set.Gateways = r.leaver, 60
+		set.Self, set.Gateways = r.leaver, 60
 		r.gs[r.leaver], _ = New(set, 99)
-		r.do(r.leaver, Members{Kind: Remembered, Servers: fleet(200)})
+		r.do(r.leaver, ServerListUpdate{Kind: StoredList, Servers: fleet(200)})
 		r.pass(shutdownAbsence+300*ms, nil)
 		for _, s := range list {
 			back, heir := r.gs[r.leaver].track(s.ID), r.gs[s.monitors[1]]
@@ -325,14 +325,14 @@
 	r := newRelay(t, 1, 0)
 	r.leave(true)
 	s := base()
-	s.Me, s.Gateways = r.leaver, 60
+	s.Self, s.Gateways = r.leaver, 60
 	g, err := New(s, 99)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.gs[r.leaver] = g
 	r.lose = func(int, int) bool { return false }
-	r.do(r.leaver, Members{Kind: Remembered, Servers: fleet(200)})
+	r.do(r.leaver, ServerListUpdate{Kind: StoredList, Servers: fleet(200)})
 	name := r.customers[0]
 	for i := range 8 { // spent at the deputy meanwhile
 		r.request(r.member[name], RequestID(3000+i), name, "both", "safe", 60)
@@ -449,7 +449,7 @@
 	if c.inFlight != 2 || len(c.leases) != 1 { // its own attempt, and another's
 		t.Fatalf("%d out, %d leases", c.inFlight, len(c.leases))
 	}
-	r.do(d, Outcome{ID: 5000, Server: r.sends[len(r.sends)-1].Server, Code: OK, Latency: 50 * ms, Over: true})
+	r.do(d, Outcome{ID: 5000, Server: r.sends[len(r.sends)-1].Server, Code: OK, Latency: 50 * ms, Answered: true})
 	if c.inFlight != 1 || len(c.leases) != 1 {
 		t.Errorf("%d out, %d leases after the end of its own attempt", c.inFlight, len(c.leases))
 	}
@@ -506,18 +506,18 @@
 	}
 	for r.now < at+30*time.Second {
 		r.pass(10*ms, func(time.Duration) {
-			if m := r.gs[r.rng.IntN(60)]; r.rng.IntN(5) == 0 && m.settings.Me != r.leaver {
+			if m := r.gs[r.rng.IntN(60)]; r.rng.IntN(5) == 0 && m.settings.Self != r.leaver {
 				m.now, m.actions = r.now, nil
 				m.notifyMonitors(m.track(id), m.classes["safe"], Error, 5*ms)
-				r.carry(m.settings.Me, m.actions)
+				r.carry(m.settings.Self, m.actions)
 			}
 		})
 		if !returned && r.now >= at+time.Second {
 			set := base()
-			set.Me, set.Gateways = r.leaver, 60
+			set.Self, set.Gateways = r.leaver, 60
 			r.gs[r.leaver], _ = New(set, seed+99)
 			r.lose = func(int, int) bool { return false }
-			r.do(r.leaver, Members{Kind: Remembered, Servers: fleet(200)})
+			r.do(r.leaver, ServerListUpdate{Kind: StoredList, Servers: fleet(200)})
 			if returned = true; empty >= 0 {
 				r.gs[r.leaver].track(id).monitors = [2]int{heir, heir} // a new process holds no lease
 			}
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -34,13 +34,13 @@
 	c := &cluster{t: t, now: 10 * time.Second, got: make([]int, n), lose: func(int, int) bool { return false }}
 	for i := range n {
 		s := base()
-		s.Me, s.Gateways = i, n
+		s.Self, s.Gateways = i, n
 		g, err := New(s, uint64(i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.gs = append(c.gs, g)
-		c.do(i, Members{Kind: Remembered, Servers: servers})
+		c.do(i, ServerListUpdate{Kind: StoredList, Servers: servers})
 	}
 	return c
 }
@@ -51,7 +51,7 @@
 func (c *cluster) carry(i int, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Tell:
+		case SendMessage:
 			if len(a.Data) > 256 || a.To >= len(c.gs) || a.To == i {
 				c.t.Fatalf("gateway %d tells %d %d bytes", i, a.To, len(a.Data))
 			}
@@ -96,7 +96,7 @@
 		}
 		for ; c.over < len(c.sends) && c.sentAt[c.over]+50*ms <= c.now; c.over++ {
 			s := c.sends[c.over]
-			c.do(c.from[c.over], Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Over: true})
+			c.do(c.from[c.over], Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Answered: true})
 		}
 		if step != nil {
 			step(c.now)
@@ -279,7 +279,7 @@
 		w.gs[70].now, w.gs[70].actions = w.now, nil
 		w.gs[70].notifyMonitors(w.gs[70].trackedByID[3], cl, ConnectFailed, 250*ms)
 		acts := w.gs[70].actions
-		for _, a := range of[Tell](acts) {
+		for _, a := range of[SendMessage](acts) {
 			if a.To == s.monitors[1] {
 				w.do(a.To, PeerMessage{From: 70, Data: a.Data})
 			}
@@ -326,7 +326,7 @@
 	if root.inFlight != 2 || len(root.held) != 1 {
 		t.Fatalf("%d out, %d held", root.inFlight, len(root.held))
 	}
-	w.do(i, Gone{ID: 1})
+	w.do(i, ClientDisconnected{ID: 1})
 	w.pass(100*ms, nil)
 	if len(root.held) != 0 {
 		t.Error("held at the root after its client has gone")
@@ -338,7 +338,7 @@
 	if root.inFlight != 2 || len(root.held) != 0 {
 		t.Fatalf("%d out, %d held: not granted", root.inFlight, len(root.held))
 	}
-	w.do(i, Gone{ID: 2}) // the grant is on its way
+	w.do(i, ClientDisconnected{ID: 2}) // the grant is on its way
 	w.pass(100*ms, nil)
 	if root.inFlight != 1 {
 		t.Errorf("%d out: a grant that nobody took keeps its place", root.inFlight)
@@ -395,19 +395,19 @@
 	}
 	w.over = 1 << 30 // attempts last
 	w.request(i, 9, "k", "open", "once", 50)
-	w.pass(1500*ms, nil) // the aim is 800 ms
+	w.pass(1500*ms, nil) // the latency target is 800 ms
 	if root.inFlight != 1 {
 		t.Errorf("%d out for a client that waits", root.inFlight)
 	}
 	set := base()
-	set.Me, set.Gateways = roots[0], 100
+	set.Self, set.Gateways = roots[0], 100
 	w.gs[roots[0]], _ = New(set, 99)
-	w.do(roots[0], Members{Kind: Remembered, Servers: fleet(10)})
+	w.do(roots[0], ServerListUpdate{Kind: StoredList, Servers: fleet(10)})
 	w.pass(500*ms, nil)
 	if root = w.gs[roots[0]].customers[customerKey("k")]; root == nil || root.inFlight != 1 {
 		t.Fatalf("a root that starts anew does not know of the attempt out: %+v", root)
 	}
-	w.do(i, Outcome{ID: 9, Server: w.sends[len(w.sends)-1].Server, Code: OK, Over: true})
+	w.do(i, Outcome{ID: 9, Server: w.sends[len(w.sends)-1].Server, Code: OK, Answered: true})
 	w.over = len(w.sends)
 	w.pass(300*ms, nil) // its end has been told twice
 	w.request(i, 1, "k", "open", "safe", 50)
@@ -508,7 +508,7 @@
 		own = append(own, Server{ID: id, Zone: "a", State: Draining, Weight: 1})
 	}
 	for i := range w.gs {
-		w.do(i, Members{Kind: Changes, Servers: own})
+		w.do(i, ServerListUpdate{Kind: Changes, Servers: own})
 	}
 	play()
 	if len(by[0]) == 0 || len(by[0]) > minSubsetSize {
@@ -544,7 +544,7 @@
 		t.Fatalf("got %v", acts)
 	}
 	acts = w.gs[i].Handle(w.now+timers[0].After-time.Microsecond/2, Timer{Token: "ask"}, nil)
-	if len(of[Tell](acts)) != 1 || len(of[SetTimer](acts)) != 1 {
+	if len(of[SendMessage](acts)) != 1 || len(of[SetTimer](acts)) != 1 {
 		t.Errorf("not asked again: %v", acts)
 	}
 }
@@ -624,7 +624,7 @@
 	if out, _ := w.g.peerCounts(w.g.customers[customerKey("c")]); out != 1 {
 		t.Errorf("%v out at its next process", out)
 	}
-	if tells := of[Tell](w.do(Shutdown{})); len(tells) != 2 || tells[0].To != 1 || tells[1].To != -1 {
+	if tells := of[SendMessage](w.do(Shutdown{})); len(tells) != 2 || tells[0].To != 1 || tells[1].To != -1 {
 		t.Errorf("%v, want a last report and the word to all", tells)
 	}
 }
--- a/policy/left_client_test.go
+++ b/policy/left_client_test.go
@@ -36,7 +36,7 @@
 			}
 			for k, word := range c.words {
 				if k == c.gone {
-					w.do(i, Gone{ID: 1})
+					w.do(i, ClientDisconnected{ID: 1})
 				}
 				w.now += 20 * ms
 				w.do(i, PeerMessage{From: roots[0], Data: encode(answerMessage{r.tag, word, 250, 0, 250})})
@@ -53,15 +53,15 @@
 // Nor does one begin at the end of an attempt that a client no longer waits for, at a tick,
 // or at another request's end.
 func TestNothingBeginsOnceTheClientHasGone(t *testing.T) {
-	for _, code := range []Code{Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot} {
+	for _, code := range []Code{Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotSent} {
 		w := newWorld(t, base(), fleet(4))
 		out := w.send("safe", "open")
 		held, acts := w.ask("safe", "open", "c", 1) // beyond the cap
 		if len(of[Send](acts)) != 0 {
 			t.Fatalf("sent on beyond the cap: %v", acts)
 		}
-		w.do(Gone{ID: out.ID})
-		w.do(Gone{ID: held})
+		w.do(ClientDisconnected{ID: out.ID})
+		w.do(ClientDisconnected{ID: held})
 		w.now += 20 * ms
 		acts = w.end(out, 0, code)
 		acts = append(acts, w.pass(time.Second)...)
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -7,52 +7,52 @@
 
 // State that a gateway may get from the process before it.
 
-// Memory is the part of a gateway's state that its next process can use.
-type Memory struct {
-	Servers []ServerMemory
+// SavedState is the part of a gateway's state that its next process can use.
+type SavedState struct {
+	Servers []SavedServer
 	Tokens  map[uint64]float64 // units by customer key, of the token buckets that are not full
 }
 
-// ServerMemory is what is known of one process of a server.
-type ServerMemory struct {
-	ID         ServerID
-	HasStart   bool
-	Start      time.Duration
-	Slow, Pace float64 // relative latency: as used here, and as its monitor measures it
-	Faults     []FaultMemory
+// SavedServer is what is known of one process of a server.
+type SavedServer struct {
+	ID                                ServerID
+	HasStart                          bool
+	Start                             time.Duration
+	RelativeLatency, MonitoredLatency float64 // as used here, and as its monitor measures it
+	Health                            []SavedHealth
 }
 
-// FaultMemory is what is known of that process for one class.
-type FaultMemory struct {
-	Class string
-	Errs  float64       // moving average of failures, 0 to 1
-	Bad   time.Duration // remaining time out of use
+// SavedHealth is what is known of that process for one class.
+type SavedHealth struct {
+	Class          string
+	FailureAverage float64       // moving average of failures, 0 to 1
+	OutOfUseFor    time.Duration // remaining time out of use
 }
 
 // Restore tells a gateway that has just started what the process before it knew.
 type Restore struct {
-	Memory
-	Elapsed time.Duration // since Memory was taken, at least
-	Clean   bool          // the process before admitted nothing after Memory was taken
+	SavedState
+	Elapsed time.Duration // since SaveState was called, at least
+	Clean   bool          // the process before admitted nothing after SaveState was called
 }
 
-// Memory returns a copy that shares nothing with the gateway. The token buckets are of use only
+// SaveState returns a copy that shares nothing with the gateway. The token buckets are of use only
 // once nothing more is admitted, since they don't include later requests.
-func (g *Gateway) Memory(now time.Duration, withTokens bool) Memory {
-	var m Memory
+func (g *Gateway) SaveState(now time.Duration, withTokens bool) SavedState {
+	var m SavedState
 	for _, s := range g.tracked {
 		if s.State == Removed {
 			continue
 		}
-		saved := ServerMemory{ID: s.ID, HasStart: s.HasStart, Start: s.Start, Slow: s.relativeLatency,
-			Pace: s.monitoredLatency}
+		saved := SavedServer{ID: s.ID, HasStart: s.HasStart, Start: s.Start,
+			RelativeLatency: s.relativeLatency, MonitoredLatency: s.monitoredLatency}
 		for name, cl := range g.classes {
 			if h := s.health[cl.index]; h.failureAverage > 0 || h.outOfUse && h.outOfUseUntil > now {
-				f := FaultMemory{Class: name, Errs: h.failureAverage}
+				f := SavedHealth{Class: name, FailureAverage: h.failureAverage}
 				if h.outOfUse {
-					f.Bad = max(0, h.outOfUseUntil-now)
+					f.OutOfUseFor = max(0, h.outOfUseUntil-now)
 				}
-				saved.Faults = append(saved.Faults, f)
+				saved.Health = append(saved.Health, f)
 			}
 		}
 		m.Servers = append(m.Servers, saved)
@@ -84,15 +84,16 @@
 		if s == nil || s.HasStart != saved.HasStart || s.Start != saved.Start {
 			continue
 		}
-		s.relativeLatency, s.monitoredLatency = clampLatency(saved.Slow), clampLatency(saved.Pace)
-		for _, f := range saved.Faults {
+		s.relativeLatency, s.monitoredLatency =
+			clampLatency(saved.RelativeLatency), clampLatency(saved.MonitoredLatency)
+		for _, f := range saved.Health {
 			cl := g.classes[f.Class]
 			if cl == nil {
 				continue
 			}
 			h := &s.health[cl.index]
-			h.failureAverage = min(max(f.Errs, 0), 1)
-			if left := min(f.Bad, verdictLifetime) - g.restoredAge; left > 0 {
+			h.failureAverage = min(max(f.FailureAverage, 0), 1)
+			if left := min(f.OutOfUseFor, verdictLifetime) - g.restoredAge; left > 0 {
 				h.outOfUse, h.outOfUseUntil = true, g.now+left
 			}
 		}
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -39,13 +39,13 @@
 	w := newWorld(t, s, fleet(8))
 	stop := w.now + time.Duration(rng.Int64N(int64(4*time.Second))) + time.Second
 	down := time.Duration(rng.Int64N(int64(2 * time.Second)))
-	var last Memory
+	var last SavedState
 	var lastAt, ended time.Duration
 	for end := stop + down + 5*time.Second; w.now < end; w.now += 10 * ms {
 		if ended == 0 && w.now >= stop {
 			ended = w.now
 			if !crash {
-				last, lastAt = w.g.Memory(w.now, true), w.now
+				last, lastAt = w.g.SaveState(w.now, true), w.now
 			}
 			ids := w.ids
 			w.now += down
@@ -57,13 +57,13 @@
 				t.Fatal(err)
 			}
 			w.g = g
-			w.do(Members{Kind: Remembered, Servers: fleet(8)})
+			w.do(ServerListUpdate{Kind: StoredList, Servers: fleet(8)})
 			if kept {
-				w.do(Restore{Memory: last, Elapsed: w.now - lastAt, Clean: !crash})
+				w.do(Restore{SavedState: last, Elapsed: w.now - lastAt, Clean: !crash})
 			}
 		}
 		if ended == 0 && (w.now/ms)%1000 == 0 {
-			last, lastAt = w.g.Memory(w.now, true), w.now
+			last, lastAt = w.g.SaveState(w.now, true), w.now
 		}
 		if (w.now/ms)%20 == 0 {
 			w.do(Timer{Token: "tick"})
@@ -112,7 +112,7 @@
 		want    int
 	}{{0, 4}, {200 * ms, 6}, {time.Hour, 10}, {-time.Hour, 4}} {
 		w := newWorld(t, s, fleet(8))
-		w.do(Restore{Memory: Memory{Tokens: map[uint64]float64{customerKey("c"): 4}}, Elapsed: c.elapsed, Clean: true})
+		w.do(Restore{SavedState: SavedState{Tokens: map[uint64]float64{customerKey("c"): 4}}, Elapsed: c.elapsed, Clean: true})
 		if n := w.spend(20, "rate"); n != c.want {
 			t.Errorf("%d units at once after %v, want %d", n, c.elapsed, c.want)
 		}
@@ -150,13 +150,13 @@
 	for i := range started {
 		started[i].HasStart, started[i].Start = true, time.Duration(i+1)*ms
 	}
-	known := func(start time.Duration, slow float64) []ServerMemory {
-		return []ServerMemory{{ID: 1, HasStart: true, Start: start, Slow: slow, Pace: slow,
-			Faults: []FaultMemory{{Class: "safe", Errs: 0.8, Bad: 3 * time.Second}, {Class: "gone", Errs: 1}}}}
+	known := func(start time.Duration, slow float64) []SavedServer {
+		return []SavedServer{{ID: 1, HasStart: true, Start: start, RelativeLatency: slow, MonitoredLatency: slow,
+			Health: []SavedHealth{{Class: "safe", FailureAverage: 0.8, OutOfUseFor: 3 * time.Second}, {Class: "gone", FailureAverage: 1}}}}
 	}
 	for _, c := range []struct {
 		name     string
-		mem      []ServerMemory
+		mem      []SavedServer
 		elapsed  time.Duration
 		low, top float64
 		bad      bool
@@ -168,10 +168,10 @@
 		{"clock back", known(ms, 4), -time.Hour, 4, 4, true},
 		{"not a number", known(ms, math.NaN()), 0, 1, 1, true},
 		{"huge", known(ms, math.Inf(1)), 0, maxRelativeLatency, maxRelativeLatency, true},
-		{"another server", []ServerMemory{{ID: 9, Slow: 5}}, 0, 1, 1, false},
+		{"another server", []SavedServer{{ID: 9, RelativeLatency: 5}}, 0, 1, 1, false},
 	} {
 		w := newWorld(t, base(), started)
-		w.do(Restore{Memory: Memory{Servers: c.mem}, Elapsed: c.elapsed})
+		w.do(Restore{SavedState: SavedState{Servers: c.mem}, Elapsed: c.elapsed})
 		s := w.g.trackedByID[1]
 		if s.relativeLatency < c.low || s.relativeLatency > c.top || s.monitoredLatency < c.low || s.monitoredLatency > c.top || s.health[0].outOfUse != c.bad {
 			t.Errorf("%s: slow %v, pace %v, bad %v", c.name, s.relativeLatency, s.monitoredLatency, s.health[0].outOfUse)
@@ -179,19 +179,19 @@
 	}
 }
 
-// Memory is a copy: what the gateway does next does not show in it.
+// SaveState returns a copy: what the gateway does next does not show in it.
 func TestMemoryIsACopy(t *testing.T) {
 	w := newWorld(t, base(), fleet(3))
 	w.spend(3, "rate")
 	w.g.trackedByID[2].health[0] = classHealth{failureAverage: 0.5, outOfUse: true, outOfUseUntil: w.now + time.Second}
-	m := w.g.Memory(w.now, true)
+	m := w.g.SaveState(w.now, true)
 	before := fmt.Sprintf("%+v", m)
 	w.spend(3, "rate")
 	w.g.trackedByID[2].health[0].failureAverage = 1
 	if after := fmt.Sprintf("%+v", m); after != before || len(m.Tokens) != 1 || len(m.Servers) != 3 {
 		t.Errorf("%s\n%s", before, after)
 	}
-	if m := w.g.Memory(w.now, false); m.Tokens != nil {
+	if m := w.g.SaveState(w.now, false); m.Tokens != nil {
 		t.Errorf("%v", m.Tokens)
 	}
 }
@@ -199,7 +199,7 @@
 // The token buckets that were kept are let go once they could tell nothing more.
 func TestKeptStoresAreLetGo(t *testing.T) {
 	w := newWorld(t, base(), fleet(3))
-	w.do(Restore{Memory: Memory{Tokens: map[uint64]float64{1: 2}}, Clean: true})
+	w.do(Restore{SavedState: SavedState{Tokens: map[uint64]float64{1: 2}}, Clean: true})
 	w.pass(900 * ms)
 	if w.g.restoredTokens == nil {
 		t.Error("let go while a store may not be full")
@@ -221,7 +221,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			g.Handle(time.Second, Members{Kind: Remembered, Servers: fleet(200)}, nil)
+			g.Handle(time.Second, ServerListUpdate{Kind: StoredList, Servers: fleet(200)}, nil)
 			for i := range 10000 {
 				g.newCustomer(uint64(i)<<20, g.plans["rate"], i%gateways, min(gateways, 4))
 			}
@@ -248,13 +248,13 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			g.Handle(time.Second, Members{Kind: Remembered, Servers: fleet(200)}, nil)
+			g.Handle(time.Second, ServerListUpdate{Kind: StoredList, Servers: fleet(200)}, nil)
 			for i := range 10000 {
 				g.newCustomer(uint64(i)<<20, g.plans["rate"], 0, 1).tokens = 1
 			}
 			b.ReportAllocs()
 			for range b.N {
-				g.Memory(time.Second, stores)
+				g.SaveState(time.Second, stores)
 			}
 		})
 	}
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -226,27 +226,27 @@
 	return outOfUse, failing, until
 }
 
-// Asked is an ask as read from a message, for a simulator that follows requests.
-type Asked struct {
-	Tag   uint32
-	Units float64
-	Left  time.Duration // until the client gives up, to the millisecond
+// AskInfo is an ask as read from a message, for a simulator that follows requests.
+type AskInfo struct {
+	Tag       uint32
+	Units     float64
+	Remaining time.Duration // until the client gives up, to the millisecond
 }
 
 // ReadAsk reads an ask from a message. It is false for any other message.
-func ReadAsk(data []byte) (Asked, bool) {
+func ReadAsk(data []byte) (AskInfo, bool) {
 	m, ok := decode(data).(askMessage)
-	return Asked{m.Tag, float64(m.Units), time.Duration(m.RemainingMS) * time.Millisecond}, ok
+	return AskInfo{m.Tag, float64(m.Units), time.Duration(m.RemainingMS) * time.Millisecond}, ok
 }
 
-// Answered is a root's answer as read from a message.
-type Answered struct {
-	Tag            uint32
-	Granted, Waits bool
+// AnswerInfo is a root's answer as read from a message.
+type AnswerInfo struct {
+	Tag           uint32
+	Granted, Held bool
 }
 
 // ReadAnswer reads a root's answer from a message. It is false for any other message.
-func ReadAnswer(data []byte) (Answered, bool) {
+func ReadAnswer(data []byte) (AnswerInfo, bool) {
 	m, ok := decode(data).(answerMessage)
-	return Answered{m.Tag, m.Verdict == answerGranted, m.Verdict == answerHeld}, ok
+	return AnswerInfo{m.Tag, m.Verdict == answerGranted, m.Verdict == answerHeld}, ok
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -43,14 +43,14 @@
 	// Holding and refusing requests.
 	retryReserve = 0.3                    // share of the token bucket that retries leave to first tries
 	noRoomWindow = 200 * time.Millisecond // retries are refused this long after no server had room
-	maxHoldShare = 0.35                   // a request is held for this share of its aim
+	maxHoldShare = 0.35                   // a request is held for this share of its latency target
 
 	// Retry budget for attempts after the first, in attempts.
 	retryBudgetEarned = 0.15 // by each first attempt
 	maxRetryBudget    = 12.0
 
 	// Latency estimates. A server's relative latency is its latency over the fleet's at equal load.
-	initialLatencyDivisor = 8.0              // a class's first latency estimate is its aim over this
+	initialLatencyDivisor = 8.0              // a class's first estimate is its latency target over this
 	latencySampleWeight   = 0.1              // of an outcome at a server, of an answer in the reply time
 	classSampleWeight     = 0.03             // of an outcome in a class's mean latency
 	maxLatencyMeans       = 4.0              // means at which a sample of a class's latency is cut off
@@ -62,15 +62,15 @@
 	predictionJitter  = 0.2             // spread of a prediction, so that no server is left untried
 	zoneCostWeight    = 25.0            // service times that a cross-zone cost of 1 counts as
 	queueWeight       = 0.5             // service times that each attempt in flight adds to a latency
-	maxWaitShare      = 0.15            // of the shortest aim: a longer wait makes a server full,
+	maxWaitShare      = 0.15            // of the shortest latency target: a longer wait makes a server full,
 	minFullLoad       = 2.5             // but not with fewer attempts in flight than this
 	fullServerBackoff = 2 * time.Second // for the plan that a server turned away
 
 	// Cold servers (slow start).
-	warmUpSlots = 2.0 // slots in FallTime, in which gateways take turns to send
+	warmUpSlots = 2.0 // slots in OverloadTime, in which gateways take turns to send
 
 	// Overdue attempts.
-	minOverdueShare = 0.1 // of the aim: an attempt is not overdue sooner,
+	minOverdueShare = 0.1 // of the latency target: an attempt is not overdue sooner,
 	overdueFactor   = 4.0 // and is overdue at this multiple of the predicted latency
 
 	// Health verdicts, and trials of servers that are out of use.
@@ -88,7 +88,7 @@
 	maxVerdictBudget    = 2.0             // verdicts that may be sent at once for a server
 	zoneMultiple        = 12              // divisible by 2, 3, 4 and 6, the possible numbers of zones
 
-	// Load shedding. The load ratio is the mean of latency over aim.
+	// Load shedding. The load ratio is the mean of latency over latency target.
 	sheddingLoadRatio  = 0.6              // above it load is shed
 	sheddingTime       = 3 * time.Second  // in which the admitted share falls to 1/e
 	recoveryTime       = 8 * time.Second  // in which the admitted share grows from 0 to 1
@@ -133,13 +133,13 @@
 	g := newGateway(s, seed)
 	g.retryBudget, g.minAim = maxRetryBudget, math.Inf(1)
 	for _, c := range g.classes {
-		c.meanLatency = c.Aim.Seconds() / initialLatencyDivisor
-		g.meanLatency, g.minAim = max(g.meanLatency, c.meanLatency), min(g.minAim, c.Aim.Seconds())
+		c.meanLatency = c.LatencyTarget.Seconds() / initialLatencyDivisor
+		g.meanLatency, g.minAim = max(g.meanLatency, c.meanLatency), min(g.minAim, c.LatencyTarget.Seconds())
 	}
 	reportBudget := max(s.DatagramsPerSecond*reportBudgetShare, 1)
 	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / reportBudget * float64(time.Second))
 	g.outcomeWeight, g.admittedFraction = latencySampleWeight, 1
-	if g.largeFleet = g.tick > maxAllToAllTick && s.CanTell; g.largeFleet {
+	if g.largeFleet = g.tick > maxAllToAllTick && s.CanSendMessages; g.largeFleet {
 		g.outcomeWeight = 0 // the monitors observe more outcomes than this gateway
 	}
 	g.nextTag, g.meanReplyTime = g.rng.Uint32(), minReplyTimeout
@@ -189,10 +189,10 @@
 // assignRoots finds the gateways that sum a customer's counts, by the figures of its plan.
 func (g *Gateway) assignRoots(c *customer) {
 	roots, deputy := g.roots(c)
-	if c.rootAndDeputy = nil; slices.Contains(roots, g.settings.Me) || !g.largeFleet {
+	if c.rootAndDeputy = nil; slices.Contains(roots, g.settings.Self) || !g.largeFleet {
 		g.updatePeerViews(c, roots)
-	} else if c.plan.Rate > 0 || c.plan.Open > 0 {
-		c.rootAndDeputy = []int{roots[g.settings.Me%len(roots)], deputy}
+	} else if c.plan.Rate > 0 || c.plan.MaxInFlight > 0 {
+		c.rootAndDeputy = []int{roots[g.settings.Self%len(roots)], deputy}
 	}
 	if g.largeFleet {
 		// Roots and deputy hold all parts of the ceiling.
@@ -221,10 +221,10 @@
 	k := c.spread
 	if g.largeFleet {
 		asks := rootPeakFactor * c.plan.Rate
-		if c.plan.Open > 0 {
+		if c.plan.MaxInFlight > 0 {
 			asks += c.plan.Rate // the end of each admitted attempt is reported too
 		}
-		asks /= max(1, g.settings.LargestUnits/2)
+		asks /= max(1, g.settings.MaxUnits/2)
 		k = min(max(1, int(math.Ceil(asks/max(1, g.settings.DatagramsPerSecond*rootBudgetShare)))), c.spread)
 	}
 	base, step := int(c.key>>33)%c.spread, max(1, c.spread/(k+1))
@@ -329,7 +329,7 @@
 func (g *Gateway) peerCounts(c *customer) (inFlight, held float64) {
 	for _, v := range c.peerViews {
 		if g.silent(v.peer) {
-			inFlight += float64(c.plan.Open) * g.peerDemand(c, v) / g.totalDemand(c)
+			inFlight += float64(c.plan.MaxInFlight) * g.peerDemand(c, v) / g.totalDemand(c)
 			continue
 		}
 		inFlight += v.inFlight
@@ -341,11 +341,11 @@
 // hasRoom reports whether one more attempt of the customer fits under its cap. A request that has just
 // arrived may only use this gateway's demand-split share of the free room, but at least one place of it.
 func (g *Gateway) hasRoom(c *customer, arrival bool) bool {
-	if c.plan.Open == 0 {
+	if c.plan.MaxInFlight == 0 {
 		return true
 	}
 	inFlight, _ := g.peerCounts(c)
-	free, next := float64(c.plan.Open)-inFlight, float64(c.inFlight+1)
+	free, next := float64(c.plan.MaxInFlight)-inFlight, float64(c.inFlight+1)
 	if arrival {
 		return next <= max(free*g.demandShare(c), min(1, free+arrivalSlack))
 	}
@@ -446,7 +446,7 @@
 	}
 	var timeout time.Duration
 	if !g.settings.CanCancel && r.class.Effect == Safe && !r.class.Stream {
-		timeout = max(r.class.Aim*3/5, r.deadline-g.now-r.class.Aim)
+		timeout = max(r.class.LatencyTarget*3/5, r.deadline-g.now-r.class.LatencyTarget)
 	}
 	g.emit(Send{ID: r.id, Server: s.ID, Timeout: timeout})
 	return true
@@ -475,13 +475,13 @@
 	c.reportTicksLeft = changeReportTicks
 	g.recordEnd(r, ev.Code)
 	g.recordOutcome(s, r, ev)
-	if ev.Code == OK && ev.Actual > 0 && ev.Actual != r.units {
-		c.adjustUnits(ev.Actual - r.units)
+	if ev.Code == OK && ev.ActualUnits > 0 && ev.ActualUnits != r.units {
+		c.adjustUnits(ev.ActualUnits - r.units)
 	}
 	switch {
-	case r.closed || ev.Over || ev.Code == OK:
+	case r.closed || ev.Answered || ev.Code == OK:
 		g.close(r)
-	case ev.Code == Moot || g.now >= r.deadline || !g.mayRetry(r, ev.Code):
+	case ev.Code == NotSent || g.now >= r.deadline || !g.mayRetry(r, ev.Code):
 		g.refuse(r)
 	case !g.hasRoom(c, false) || !g.trySend(r):
 		g.hold(r)
@@ -529,11 +529,11 @@
 
 // warmUpFraction returns the smallest share of its full capacity that a server can have by now (slow start).
 func (g *Gateway) warmUpFraction(s *server) float64 {
-	if !s.HasStart || g.settings.WarmWithin <= 0 || g.settings.ColdShare <= 0 {
+	if !s.HasStart || g.settings.WarmUpTime <= 0 || g.settings.MinWarmUpFraction <= 0 {
 		return 1
 	}
-	age := float64(g.now-s.Start) / float64(g.settings.WarmWithin)
-	return min(1, g.settings.ColdShare+(1-g.settings.ColdShare)*max(age, 0))
+	age := float64(g.now-s.Start) / float64(g.settings.WarmUpTime)
+	return min(1, g.settings.MinWarmUpFraction+(1-g.settings.MinWarmUpFraction)*max(age, 0))
 }
 
 // load returns the attempts in flight at a server: this gateway's own, and the peers' as last reported.
@@ -546,7 +546,8 @@
 }
 
 // full reports whether a server has all the work it can finish in time: the wait there would exceed a share
-// of the shortest aim. Further requests are held here, where they can still go elsewhere or be refused.
+// of the shortest latency target. Further requests are held here, where they can still go elsewhere or be
+// refused.
 func (g *Gateway) full(s *server) bool {
 	load := g.load(s) / g.relativeSize(s)
 	return load >= minFullLoad &&
@@ -564,33 +565,33 @@
 	return g.warmUpFraction(s) == 1 || g.admitsWarmUp(s)
 }
 
-// warmUpAllowance returns how many requests this gateway may send a cold server within FallTime, on average.
-// All gateways together may send the multiple of the server's capacity that the settings allow. The capacity
-// is estimated from the attempts that servers recently accepted from this gateway, the current request
-// included, relative to the capacity of these servers.
+// warmUpAllowance returns how many requests this gateway may send a cold server within OverloadTime, on
+// average. All gateways together may send the multiple of the server's capacity that the settings allow. The
+// capacity is estimated from the attempts that servers recently accepted from this gateway, the current
+// request included, relative to the capacity of these servers.
 func (g *Gateway) warmUpAllowance(s *server) float64 {
-	if g.settings.FallMultiple <= 0 {
+	if g.settings.OverloadMultiple <= 0 {
 		return math.MaxInt32 // no load brings it down
 	}
 	capacity := (g.recentAccepted + 1) / max(1, g.capacity) * g.warmUpFraction(s) * g.relativeSize(s)
-	return capacity * g.settings.FallMultiple * warmUpSlots / (warmUpSlots + 1)
+	return capacity * g.settings.OverloadMultiple * warmUpSlots / (warmUpSlots + 1)
 }
 
 // warmUpChance returns the probability that a slot belongs to this gateway, given the fraction of a request
-// that it may send within FallTime. The number of slots in which it has a request to send is limited by the
-// number of times that it recently chose a server.
+// that it may send within OverloadTime. The number of slots in which it has a request to send is limited by
+// the number of times that it recently chose a server.
 func (g *Gateway) warmUpChance(part float64) float64 {
 	return part / min(warmUpSlots, max(1, g.recentDraws))
 }
 
 // admitsWarmUp reports whether this gateway may send one more request to a cold server. A minimum of one
-// request for each gateway would admit as many as there are gateways. Therefore FallTime is divided into
+// request for each gateway would admit as many as there are gateways. Therefore OverloadTime is divided into
 // slots, and the fraction of an allowance is the probability that a slot belongs to this gateway, however
 // often held requests choose a server again. The positions of the gateways are evenly spread, so their slots
 // together admit the sum of their allowances.
 func (g *Gateway) admitsWarmUp(s *server) bool {
 	s.recentSends = slices.DeleteFunc(s.recentSends, func(t time.Duration) bool {
-		return g.now-t > g.settings.FallTime
+		return g.now-t > g.settings.OverloadTime
 	})
 	part := g.warmUpAllowance(s)
 	whole := math.Floor(part)
@@ -605,7 +606,8 @@
 // warmUpSlot returns this gateway's position, from 0 to 1, in the order of the gateways that may send a cold
 // server a request in the current slot.
 func (g *Gateway) warmUpSlot(s *server) float64 {
-	turn := math.Floor(warmUpSlots * float64(max(0, g.now-s.Start)) / float64(max(1, g.settings.FallTime)))
+	turn := math.Floor(warmUpSlots * float64(max(0, g.now-s.Start)) /
+		float64(max(1, g.settings.OverloadTime)))
 	return fractionalPart(s.warmUpRank + turn*math.Phi)
 }
 
@@ -651,7 +653,7 @@
 		return nil
 	}
 	for _, s := range g.tracked {
-		if g.outOfUse(s, r.class) && g.activeMonitor(s) == g.settings.Me && g.usable(s, r) {
+		if g.outOfUse(s, r.class) && g.activeMonitor(s) == g.settings.Self && g.usable(s, r) {
 			v := g.healthOf(s, r.class)
 			if g.now < v.nextTrialAt {
 				continue
@@ -786,11 +788,12 @@
 
 // recordOutcome updates the estimates of latency, failures and load from an outcome.
 func (g *Gateway) recordOutcome(s *server, r *request, ev Outcome) {
-	if ev.Code != Moot && ev.Code != Cancelled {
+	if ev.Code != NotSent && ev.Code != Cancelled {
 		g.notifyMonitors(s, r.class, ev.Code, ev.Latency)
 	}
 	if ev.Code == OK || ev.Code == TimedOut {
-		g.loadRatio += loadRatioWeight * (min(1, ev.Latency.Seconds()/r.class.Aim.Seconds()) - g.loadRatio)
+		g.loadRatio += loadRatioWeight *
+			(min(1, ev.Latency.Seconds()/r.class.LatencyTarget.Seconds()) - g.loadRatio)
 	}
 	switch ev.Code {
 	case OK:
@@ -833,7 +836,7 @@
 	for _, r := range slices.Clone(s.inFlightRequests) {
 		g.renewLease(r)
 		age := (g.now - r.sentAt).Seconds() /
-			max(g.predict(s, r.class), minOverdueShare*r.class.Aim.Seconds())
+			max(g.predict(s, r.class), minOverdueShare*r.class.LatencyTarget.Seconds())
 		v := g.healthOf(s, r.class)
 		if age < overdueFactor || r.closed || r.timedOut || r.streaming ||
 			v != nil && v.lastSuccessAt > r.sentAt {
@@ -858,7 +861,7 @@
 		g.requestServerList()
 		g.dropUnused()
 	}
-	decay := math.Exp(-float64(dt) / float64(max(1, g.settings.FallTime)))
+	decay := math.Exp(-float64(dt) / float64(max(1, g.settings.OverloadTime)))
 	g.recentAccepted, g.recentDraws, g.capacity =
 		g.recentAccepted*decay, g.recentDraws*decay, g.usableCapacity()
 	g.accrueCredit(dt)
@@ -869,7 +872,7 @@
 		// A server without attempts yields no new observations, so the old ones decay.
 		s.decay(min(1, dt.Seconds()/serverStateDecayTime.Seconds()))
 		g.checkOverdue(s)
-		if slices.Contains(s.monitors[:], g.settings.Me) {
+		if slices.Contains(s.monitors[:], g.settings.Self) {
 			g.sendVerdict(s)
 		}
 	}
@@ -884,26 +887,26 @@
 			continue
 		}
 		n := 1 << 30
-		if c.plan.Open > 0 {
+		if c.plan.MaxInFlight > 0 {
 			inFlight, held := g.peerCounts(c)
 			mine := float64(len(c.held))
-			part := (float64(c.plan.Open) - float64(c.inFlight) - inFlight) * mine / (mine + held)
+			part := (float64(c.plan.MaxInFlight) - float64(c.inFlight) - inFlight) * mine / (mine + held)
 			n = int(math.Floor(max(part, 0) + g.rng.Float64()))
 		}
 		g.sendHeld(c, n)
 	}
-	if g.settings.CanTell && (!g.largeFleet || g.tickCount%rootReportTicks == 0) {
+	if g.settings.CanSendMessages && (!g.largeFleet || g.tickCount%rootReportTicks == 0) {
 		g.sendReports()
 	}
 	// Each end is sent twice: the root would count the attempt until the client's deadline if it missed it.
 	g.resendEnds()
 }
 
-// refuseExpired refuses held requests that can no longer meet their aim, while a retry can still help, and in
-// any case before the deadline.
+// refuseExpired refuses held requests that can no longer meet their latency target, while a retry can still
+// help, and in any case before the deadline.
 func (g *Gateway) refuseExpired(c *customer) {
 	for _, r := range slices.Clone(c.held) {
-		if g.now-r.arrivedAt > time.Duration(maxHoldShare*float64(r.class.Aim)) ||
+		if g.now-r.arrivedAt > time.Duration(maxHoldShare*float64(r.class.LatencyTarget)) ||
 			g.now+2*g.tick >= r.deadline {
 			g.refuse(r)
 		}
@@ -947,7 +950,7 @@
 // answer is lost, and then asks the deputy. If neither answers, the request may pass without an answer, and
 // at once where this gateway receives from no peer: lost roots must not stop customers within their quotas.
 func (g *Gateway) askRoot(r *request) {
-	c, to := r.customer, g.settings.Me
+	c, to := r.customer, g.settings.Self
 	if len(c.rootAndDeputy) > 0 { // a change of the plan may have made this gateway the root
 		if to = c.rootAndDeputy[0]; r.askCount == maxRootAsks || g.isAbsent(to) {
 			to = c.rootAndDeputy[1]
@@ -955,19 +958,19 @@
 	}
 	t := g.tableFor(to, r)
 	delete(g.asksByTag, r.tag)
-	isolated := r.askCount == 0 && to != g.settings.Me && g.isolated()
+	isolated := r.askCount == 0 && to != g.settings.Self && g.isolated()
 	if isolated && t != nil { // a root that gets it counts it and answers
 		r.tag = g.newTag(t)
-		g.emit(Tell{To: to, Data: encode(g.newAsk(r, t))})
+		g.emit(SendMessage{To: to, Data: encode(g.newAsk(r, t))})
 	}
 	nearDeadline := g.now+2*g.settings.Resolution >= r.deadline
-	if isolated || r.askCount > maxRootAsks || t == nil && to != g.settings.Me || nearDeadline {
+	if isolated || r.askCount > maxRootAsks || t == nil && to != g.settings.Self || nearDeadline {
 		if r.heldAtRoot || c.plan.HardRate > 0 || !g.withinQuota(r) || !g.admitAlone(r) || !g.trySend(r) {
 			g.refuse(r)
 		}
 		return
 	}
-	if to == g.settings.Me {
+	if to == g.settings.Self {
 		g.admit(r)
 		return
 	}
@@ -980,7 +983,7 @@
 	r.answerDue = min(g.now+wait, r.deadline-2*g.settings.Resolution)
 	g.asksByTag[r.tag] = r
 	g.pendingAsks = append(g.pendingAsks, r)
-	g.emit(Tell{To: r.root, Data: encode(g.newAsk(r, t))})
+	g.emit(SendMessage{To: r.root, Data: encode(g.newAsk(r, t))})
 	g.emit(SetTimer{Token: "ask", After: r.answerDue - g.now})
 }
 
@@ -992,7 +995,7 @@
 // thus see the same total as before. It harms where demand changes meanwhile.
 func (g *Gateway) admitAlone(r *request) bool {
 	q := r.customer.plan
-	value := q.admittedShare + (1-q.admittedShare)*(q.BeyondEarns-q.BeyondCosts)
+	value := q.admittedShare + (1-q.admittedShare)*(q.EarnedBeyondQuota-q.ChargedBeyondQuota)
 	pass := !r.clientRetry && g.isolationCredit >= 1 && value > 1-g.isolationCredit/g.maxCredit()
 	if pass {
 		g.isolationCredit--
@@ -1040,7 +1043,7 @@
 // lease of an attempt under a cap while it is in flight or waits for a server. Otherwise the loss of the
 // message that reports its end would leave its place taken.
 func (g *Gateway) leaseExpiry(c *customer, deadline time.Duration) time.Duration {
-	if c.plan.Open == 0 {
+	if c.plan.MaxInFlight == 0 {
 		return deadline
 	}
 	return min(deadline, g.now+leaseTicks*g.tick)
@@ -1049,7 +1052,8 @@
 // renewLease renews the lease of a granted request under a cap, in flight or held, at each tick from one tick
 // after the grant.
 func (g *Gateway) renewLease(r *request) {
-	if !r.granted || r.askCount == 0 || r.closed || r.customer.plan.Open == 0 || g.now-r.askedAt < g.tick {
+	if !r.granted || r.askCount == 0 || r.closed || r.customer.plan.MaxInFlight == 0 ||
+		g.now-r.askedAt < g.tick {
 		return
 	}
 	if t := g.tableFor(r.root, r); t != nil {
@@ -1081,8 +1085,8 @@
 	if r.customer.tokens < retryReserve*r.customer.plan.Burst {
 		part = min(1, r.customer.plan.Rate*demandDecayTime.Seconds()/max(r.customer.recentUnits, 1))
 	}
-	g.emit(Tell{To: r.root, Data: encode(answerMessage{r.tag, decision, fill, toByte(100 * g.loadRatio),
-		toByte(250 * part)})})
+	g.emit(SendMessage{To: r.root, Data: encode(answerMessage{r.tag, decision, fill,
+		toByte(100 * g.loadRatio), toByte(250 * part)})})
 }
 
 func (g *Gateway) onAnswer(from int, m answerMessage) {
@@ -1100,7 +1104,7 @@
 	c.tokens, c.lastReportTick = float64(m.TokenFill)/250*c.plan.Burst, g.tickCount+1
 	if m.Verdict == answerHeld {
 		r.heldAtRoot, r.answerDue = true,
-			min(r.arrivedAt+time.Duration(maxHoldShare*float64(r.class.Aim)), r.deadline-g.tick)
+			min(r.arrivedAt+time.Duration(maxHoldShare*float64(r.class.LatencyTarget)), r.deadline-g.tick)
 		g.emit(SetTimer{Token: "ask", After: max(g.settings.Resolution, r.answerDue-g.now)})
 		return
 	}
@@ -1159,7 +1163,7 @@
 		float64(max(1, len(g.tracked), g.allServers.len()))
 	s.verdictBudget = min(maxVerdictBudget, s.verdictBudget+budgetRate*(g.now-s.verdictBudgetAt).Seconds())
 	s.verdictBudgetAt = g.now
-	active := g.activeMonitor(s) == g.settings.Me
+	active := g.activeMonitor(s) == g.settings.Self
 	if !active || !g.largeFleet {
 		s.monitoredLatency = s.relativeLatency // the second monitor observes only failures to connect
 	}
@@ -1178,7 +1182,7 @@
 	g.onVerdict(m, outOfUse)
 	if g.largeFleet {
 		s.verdictBudget--
-		g.emit(Tell{To: -1, Data: encode(g.withMark(m))})
+		g.emit(SendMessage{To: -1, Data: encode(g.withMark(m))})
 	}
 }
 
