--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -27,25 +27,25 @@
 }
 
 func base() Settings {
-	return Settings{Me: 0, Gateways: 2, Zone: "a", Resolution: 2 * ms, MaxAttempts: 5, CanCancel: true,
-		CanTell: true, DatagramsPerSecond: 60, LargestUnits: 4, MaxRetryAfter: 500 * ms,
+	return Settings{Self: 0, Gateways: 2, Zone: "a", Resolution: 2 * ms, MaxAttempts: 5, CanCancel: true,
+		CanSendMessages: true, DatagramsPerSecond: 60, MaxUnits: 4, MaxRetryAfter: 500 * ms,
 		Classes: []Class{
-			{Name: "safe", Aim: 800 * ms, Deadline: 3 * time.Second},
-			{Name: "cell", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Group: GroupCell,
+			{Name: "safe", LatencyTarget: 800 * ms, Deadline: 3 * time.Second},
+			{Name: "cell", LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Group: GroupCell,
 				Window: 2 * time.Second},
-			{Name: "all", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Window: 2 * time.Second},
-			{Name: "once", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Unsafe},
-			{Name: "stream", Aim: 800 * ms, Deadline: 3 * time.Second, Stream: true},
+			{Name: "all", LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Window: 2 * time.Second},
+			{Name: "once", LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Effect: Unsafe},
+			{Name: "stream", LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Stream: true},
 		},
 		Plans: []Plan{
 			{Name: "free"},
 			{Name: "rate", Rate: 10, Burst: 10},
-			{Name: "open", Open: 2},
+			{Name: "open", MaxInFlight: 2},
 			{Name: "hard", HardRate: 10, HardBurst: 20},
-			{Name: "both", Rate: 10, Burst: 10, Open: 2},
+			{Name: "both", Rate: 10, Burst: 10, MaxInFlight: 2},
 		},
-		AnswerSlack: 8 * ms, ColdShare: 0.2, WarmWithin: 10 * time.Second, FallMultiple: 2,
-		FallTime: time.Second}
+		AnswerSlack: 8 * ms, MinWarmUpFraction: 0.2, WarmUpTime: 10 * time.Second, OverloadMultiple: 2,
+		OverloadTime: time.Second}
 }
 
 func fleet(n int) []Server {
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	w := &world{t: t, g: g, now: time.Second}
-	w.do(Members{Kind: Remembered, Servers: servers})
+	w.do(ServerListUpdate{Kind: StoredList, Servers: servers})
 	return w
 }
 
@@ -95,7 +95,7 @@
 
 func (w *world) end(s Send, attempt int, code Code) []Action {
 	return w.do(Outcome{ID: s.ID, Attempt: attempt, Server: s.Server, Code: code, Latency: 50 * ms,
-		Over: code == OK})
+		Answered: code == OK})
 }
 
 func (w *world) send(class, plan string) Send {
@@ -119,9 +119,9 @@
 		code  Code
 		want  int
 	}{
-		{"safe", Error, again}, {"safe", TimedOut, again}, {"safe", Moot, refused},
+		{"safe", Error, again}, {"safe", TimedOut, again}, {"safe", NotSent, refused},
 		{"once", Error, failed}, {"once", TimedOut, failed}, {"once", Full, again},
-		{"once", ConnectFailed, again}, {"once", Reset, failed}, {"once", Moot, refused},
+		{"once", ConnectFailed, again}, {"once", Reset, failed}, {"once", NotSent, refused},
 		{"cell", Error, again}, {"cell", Full, again}, {"all", Reset, again},
 	} {
 		t.Run(fmt.Sprint(c.class, c.code), func(t *testing.T) {
@@ -235,11 +235,11 @@
 func TestNothingNewToDrainingOrGone(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		ev   Members
+		ev   ServerListUpdate
 	}{
-		{"draining", Members{Kind: Changes, Servers: []Server{{ID: 1, State: Draining}}}},
-		{"removed", Members{Kind: Changes, Servers: []Server{{ID: 1, State: Removed}}}},
-		{"not in the whole list", Members{Kind: Whole, Servers: fleet(4)[1:]}},
+		{"draining", ServerListUpdate{Kind: Changes, Servers: []Server{{ID: 1, State: Draining}}}},
+		{"removed", ServerListUpdate{Kind: Changes, Servers: []Server{{ID: 1, State: Removed}}}},
+		{"not in the whole list", ServerListUpdate{Kind: FullList, Servers: fleet(4)[1:]}},
 	} {
 		w := newWorld(t, base(), fleet(4))
 		w.do(c.ev)
@@ -280,7 +280,7 @@
 	level, worst := 20.0, 20.0
 	var gs [2]*world
 	for i := range gs {
-		s.Me = i
+		s.Self = i
 		gs[i] = newWorld(t, s, fleet(8))
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -289,12 +289,12 @@
 		for k, w := range gs {
 			w.now += 4 * ms
 			if i == 1600+200*k || i == 2300+150*k {
-				s.Me = k
+				s.Self = k
 				n := newWorld(t, s, fleet(8))
 				n.now, n.ids = w.now, w.ids
 				g, _ := New(s, uint64(i))
 				n.g = g
-				n.do(Members{Kind: Remembered, Servers: fleet(8)})
+				n.do(ServerListUpdate{Kind: StoredList, Servers: fleet(8)})
 				gs[k], w = n, n
 			}
 			var acts []Action
@@ -306,7 +306,7 @@
 				}
 			}
 			if w.now-w.g.lastTick >= w.g.tick {
-				for _, tell := range of[Tell](w.do(Timer{Token: "tick"})) {
+				for _, tell := range of[SendMessage](w.do(Timer{Token: "tick"})) {
 					if rng.IntN(5) > 0 {
 						gs[tell.To].do(PeerMessage{From: k, Data: tell.Data})
 					}
@@ -559,9 +559,9 @@
 	s := w.send("safe", "free")
 	for _, ev := range []Event{
 		Outcome{ID: 99, Server: 1, Code: OK}, Outcome{ID: s.ID, Attempt: 4, Server: s.Server, Code: Error},
-		Gone{ID: 98}, Timer{Token: "other"}, Started{ID: 97},
+		ClientDisconnected{ID: 98}, Timer{Token: "other"}, Started{ID: 97},
 		PeerMessage{From: 1, Data: []byte("rubbish")}, PeerMessage{From: 1}, PeerMessage{From: -3},
-		PeerMessage{From: 55, Data: (&report{}).encode()}, Members{Kind: AskFailed},
+		PeerMessage{From: 55, Data: (&report{}).encode()}, ServerListUpdate{Kind: WatchFailed},
 	} {
 		if acts := w.do(ev); len(acts) != 0 {
 			t.Errorf("%#v led to %v", ev, acts)
@@ -577,7 +577,7 @@
 	w := newWorld(t, base(), fleet(8))
 	w.hear(1, 1, 1, true)
 	s := w.send("safe", "rate")
-	w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Over: true, Actual: 9})
+	w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Answered: true, ActualUnits: 9})
 	if n := w.spend(5, "rate"); n > 1 {
 		t.Fatalf("%d more passed after 9 of 10 units were settled", n)
 	}
@@ -594,13 +594,13 @@
 
 func TestAsksForTheListWhereItMust(t *testing.T) {
 	s := base()
-	s.MustAsk = true
+	s.MustWatch = true
 	g, _ := New(s, 1)
 	w := &world{t: t, g: g, now: time.Second}
-	if n := len(of[Watch](w.do(Members{Kind: Remembered}))); n != 1 {
+	if n := len(of[Watch](w.do(ServerListUpdate{Kind: StoredList}))); n != 1 {
 		t.Fatalf("%d asks at the start", n)
 	}
-	w.do(Members{Kind: AskFailed})
+	w.do(ServerListUpdate{Kind: WatchFailed})
 	if n := len(of[Watch](w.pass(3 * time.Second))); n != 1 {
 		t.Fatalf("%d asks after a failed one", n)
 	}
@@ -608,12 +608,12 @@
 
 func TestNewNamesTheKey(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
-		"Resolution":     func(s *Settings) { s.Resolution = 0 },
-		"Plans":          func(s *Settings) { s.Plans = nil },
-		"Plans[1].Name":  func(s *Settings) { s.Plans[1].Name = "" },
-		"Plans[1].Rate":  func(s *Settings) { s.Plans[1].Rate = -1 },
-		"Classes[0].Aim": func(s *Settings) { s.Classes[0].Aim = 0 },
-		"Me":             func(s *Settings) { s.Me = 2 },
+		"Resolution":               func(s *Settings) { s.Resolution = 0 },
+		"Plans":                    func(s *Settings) { s.Plans = nil },
+		"Plans[1].Name":            func(s *Settings) { s.Plans[1].Name = "" },
+		"Plans[1].Rate":            func(s *Settings) { s.Plans[1].Rate = -1 },
+		"Classes[0].LatencyTarget": func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
+		"Self":                     func(s *Settings) { s.Self = 2 },
 	} {
 		s := base()
 		spoil(&s)
@@ -725,7 +725,7 @@
 }
 
 // Load no report tells of shows in the latencies; the gateway then lets in a
-// part of the requests. Answers well inside their aim shut nobody out, however
+// part of the requests. Answers well inside their latency target shut nobody out, however
 // large the fleet: servers that start cold are slow without being pressed.
 func TestStrainClosesTheGate(t *testing.T) {
 	for _, gateways := range []int{2, 300} {
@@ -737,7 +737,7 @@
 				w.pass(25 * ms)
 				_, acts := w.ask("safe", "free", "c", 1)
 				for _, s := range of[Send](acts) {
-					w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Over: true, Latency: latency})
+					w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Answered: true, Latency: latency})
 					if i >= 200 {
 						n++
 					}
@@ -883,7 +883,7 @@
 	w := newWorld(t, base(), fleet(2))
 	for i := range 200 {
 		w.now += 20 * ms
-		w.do(Members{Kind: Changes, Servers: []Server{
+		w.do(ServerListUpdate{Kind: Changes, Servers: []Server{
 			{ID: ServerID(i + 3), Zone: "a", Weight: 1}, {ID: ServerID(i + 2), State: Removed}}})
 	}
 	w.pass(forgetAfter + 2*time.Second)
@@ -925,18 +925,18 @@
 	one := func(state State, start time.Duration) []Server {
 		return []Server{{ID: 1, Zone: "a", Weight: 1, State: state, HasStart: start > 0, Start: start}}
 	}
-	w.do(Members{Kind: Changes, Servers: one(Draining, 0)})
+	w.do(ServerListUpdate{Kind: Changes, Servers: one(Draining, 0)})
 	if _, acts := w.ask("safe", "free", "c", 1); len(of[Send](acts)) != 0 {
 		t.Errorf("%v to a server that drains", acts)
 	}
 	w.pass(time.Second)
-	w.do(Members{Kind: Changes, Servers: one(Running, 0)})
+	w.do(ServerListUpdate{Kind: Changes, Servers: one(Running, 0)})
 	if _, acts := w.ask("safe", "free", "c", 1); len(of[Send](acts)) != 1 || w.g.warmUpFraction(w.g.trackedByID[1]) != 1 {
 		t.Errorf("%v, capacity %v once it is back", acts, w.g.warmUpFraction(w.g.trackedByID[1]))
 	}
-	w.do(Members{Kind: Changes, Servers: one(Draining, 0)})
-	w.do(Members{Kind: Changes, Servers: one(Running, w.now)})
-	if cold := w.g.warmUpFraction(w.g.trackedByID[1]); cold != s.ColdShare {
+	w.do(ServerListUpdate{Kind: Changes, Servers: one(Draining, 0)})
+	w.do(ServerListUpdate{Kind: Changes, Servers: one(Running, w.now)})
+	if cold := w.g.warmUpFraction(w.g.trackedByID[1]); cold != s.MinWarmUpFraction {
 		t.Errorf("capacity %v for a new process under an old id", cold)
 	}
 }
--- a/policy/scale_bench_test.go
+++ b/policy/scale_bench_test.go
@@ -20,7 +20,7 @@
 				w.now += time.Millisecond
 				_, acts := w.ask("safe", "free", "c", 1)
 				for _, s := range of[Send](acts) {
-					w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Over: true})
+					w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Answered: true})
 				}
 			}
 		})
@@ -35,7 +35,7 @@
 			for i := range b.N {
 				m := servers[i*7919%len(servers)]
 				m.State = State(i / len(servers) % 2)
-				w.do(Members{Kind: Changes, Servers: []Server{m}})
+				w.do(ServerListUpdate{Kind: Changes, Servers: []Server{m}})
 			}
 		})
 	}
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -231,7 +231,7 @@
 // ringPosition is this gateway's position on a ring of length 1, moved by offset. The positions
 // of all gateways are spread evenly, whatever their number.
 func (g *Gateway) ringPosition(offset float64) float64 {
-	return fractionalPart(float64(g.settings.Me)*math.Phi + offset)
+	return fractionalPart(float64(g.settings.Self)*math.Phi + offset)
 }
 
 // fractionalPart is the distance of v from the next whole number below.
--- a/policy/serverlist_test.go
+++ b/policy/serverlist_test.go
@@ -139,7 +139,7 @@
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		set := base()
-		set.Gateways, set.Me = 300, rng.IntN(300)
+		set.Gateways, set.Self = 300, rng.IntN(300)
 		w := newWorld(t, set, nil)
 		model := map[ServerID]Server{}
 		draw := func() Server {
@@ -149,9 +149,9 @@
 		}
 		for round := range 300 {
 			w.now += 10 * ms
-			ev := Members{Kind: Changes}
+			ev := ServerListUpdate{Kind: Changes}
 			if round%50 == 0 {
-				ev.Kind = Whole
+				ev.Kind = FullList
 				clear(model)
 			}
 			for range 1 + rng.IntN(20)*(1+10*int(ev.Kind)) {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -12,7 +12,7 @@
 	}
 	need(s.Resolution > 0, "Resolution: not above 0")
 	need(s.Gateways >= 1, "Gateways: below 1")
-	need(s.Me >= 0 && s.Me < max(s.Gateways, 1), "Me: outside 0 to Gateways-1")
+	need(s.Self >= 0 && s.Self < max(s.Gateways, 1), "Self: outside 0 to Gateways-1")
 	need(s.DatagramsPerSecond >= 0, "DatagramsPerSecond: negative")
 	need(len(s.Plans) > 0, "Plans: none")
 	need(len(s.Classes) > 0, "Classes: none")
@@ -20,13 +20,13 @@
 		need(p.Name != "", "Plans[%d].Name: empty", i)
 		need(p.Rate >= 0, "Plans[%d].Rate: negative", i)
 		need(p.Burst >= 0, "Plans[%d].Burst: negative", i)
-		need(p.Open >= 0, "Plans[%d].Open: negative", i)
+		need(p.MaxInFlight >= 0, "Plans[%d].MaxInFlight: negative", i)
 		need(p.HardRate >= 0, "Plans[%d].HardRate: negative", i)
 		need(p.HardBurst >= 0, "Plans[%d].HardBurst: negative", i)
 	}
 	for i, c := range s.Classes {
 		need(c.Name != "", "Classes[%d].Name: empty", i)
-		need(c.Aim > 0, "Classes[%d].Aim: not above 0", i)
+		need(c.LatencyTarget > 0, "Classes[%d].LatencyTarget: not above 0", i)
 		need(c.Deadline > 0, "Classes[%d].Deadline: not above 0", i)
 	}
 	return err
--- a/policy/state.go
+++ b/policy/state.go
@@ -195,17 +195,17 @@
 	peers            []*peer              // by number; nil: no state yet
 	retryBudget      float64              // retries that may be sent
 	inFlight         int                  // own attempts, at all servers
-	loadRatio        float64              // moving average of latency over aim
+	loadRatio        float64              // moving average of latency over latency target
 	noRoomAt         time.Duration        // when a request last found no server with room
-	recentDraws      float64              // server choices, decayed over FallTime
-	recentAccepted   float64              // own attempts that servers accepted, decayed over FallTime
+	recentDraws      float64              // server choices, decayed over OverloadTime
+	recentAccepted   float64              // own attempts that servers accepted, decayed over OverloadTime
 	capacity         float64              // of the servers in use, in warm servers of mean size
 	actions          []Action             // of the current event
 	watchSent        bool                 // the server list was asked for
 	meanWeight       float64              // in the server list
 	runningServers   int                  // in the server list
 	meanLatency      float64              // of an idle server over all classes, in seconds
-	minAim           float64              // the shortest aim, in seconds
+	minAim           float64              // the shortest latency target, in seconds
 	unansweredAsks   int                  // since the last message from any peer
 	recentGrants     float64              // requests that roots granted, decayed over grantDecayTime
 	isolationCredit  float64              // requests that may pass now without a root's answer
@@ -273,7 +273,7 @@
 func (g *Gateway) newRequest(ev Request) *request {
 	c, cl := g.customerOf(&ev), g.classes[ev.Class]
 	if cl == nil {
-		cl = &class{Class: Class{Aim: ev.Remaining, Effect: Unsafe}, meanLatency: g.meanLatency}
+		cl = &class{Class: Class{LatencyTarget: ev.Remaining, Effect: Unsafe}, meanLatency: g.meanLatency}
 	}
 	g.advance(c)
 	r := &request{id: ev.ID, customer: c, class: cl, units: ev.Units, arrivedAt: g.now, clientRetry: ev.Retry,
@@ -357,7 +357,7 @@
 		return true
 	})
 	for _, num := range gateways {
-		if num != g.settings.Me && !slices.ContainsFunc(c.peerViews, func(v *peerView) bool {
+		if num != g.settings.Self && !slices.ContainsFunc(c.peerViews, func(v *peerView) bool {
 			return v.peer.num == num
 		}) {
 			v := &peerView{peer: g.peer(num)}
@@ -516,7 +516,7 @@
 
 // requestServerList asks for the server list once, where it must be asked for.
 func (g *Gateway) requestServerList() {
-	if g.settings.MustAsk && !g.watchSent {
+	if g.settings.MustWatch && !g.watchSent {
 		g.watchSent = true
 		g.emit(Watch{})
 	}
@@ -609,7 +609,7 @@
 	delete(g.requests, r.id)
 	delete(g.asksByTag, r.tag)
 	// A grant may still be on its way here, or the root may hold the request.
-	if r.askCount > 0 && (r.customer.plan.Open > 0 || !r.charged) {
+	if r.askCount > 0 && (r.customer.plan.MaxInFlight > 0 || !r.charged) {
 		r.askCount = 0
 		g.notifyEnd(r, endMessage{r.customer.key, r.tag, !r.charged})
 	}
@@ -641,7 +641,7 @@
 		}
 	}
 	recent := slices.ContainsFunc(s.recentSends, func(t time.Duration) bool {
-		return g.now-t <= g.settings.FallTime
+		return g.now-t <= g.settings.OverloadTime
 	})
 	return !recent && math.Abs(math.Log(s.relativeLatency)) < equivalenceMargin &&
 		math.Abs(math.Log(s.monitoredLatency)) < equivalenceMargin
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -155,7 +155,7 @@
 func (g *Gateway) sendTableMark(to int) {
 	if !slices.Contains(g.hintedPeers, to) {
 		g.hintedPeers = append(g.hintedPeers, to)
-		g.emit(Tell{To: to, Data: encode(tablesMessage{g.tables[0].mark})})
+		g.emit(SendMessage{To: to, Data: encode(tablesMessage{g.tables[0].mark})})
 	}
 }
 
@@ -284,12 +284,12 @@
 		oldIndexes[i] = -1
 		cl := old[c.Name]
 		if cl == nil {
-			cl = &class{Class: c, meanLatency: c.Aim.Seconds() / initialLatencyDivisor}
+			cl = &class{Class: c, meanLatency: c.LatencyTarget.Seconds() / initialLatencyDivisor}
 		} else if oldIndexes[i] = cl.index; cl.Class != c {
 			cl = &class{Class: c, meanLatency: cl.meanLatency, outcomes: cl.outcomes}
 		}
 		g.classes[c.Name] = cl
-		g.minAim = min(g.minAim, c.Aim.Seconds())
+		g.minAim = min(g.minAim, c.LatencyTarget.Seconds())
 	}
 	for _, cl := range old {
 		cl.index = -1
@@ -340,7 +340,7 @@
 // onObservation adds an outcome that another gateway observed at a server monitored here.
 func (g *Gateway) onObservation(m observation, class int) {
 	s := g.track(ServerID(m.Server))
-	if s != nil && slices.Contains(s.monitors[:], g.settings.Me) && class >= 0 {
+	if s != nil && slices.Contains(s.monitors[:], g.settings.Self) && class >= 0 {
 		g.observeOutcome(s, class, Code(m.Code), time.Duration(m.Latency)*time.Millisecond)
 	}
 }
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -12,7 +12,7 @@
 // newer is base with its tables turned about: a class and a plan inserted in
 // front, the others in reverse order.
 func newer(s Settings) Settings {
-	s.Classes = append([]Class{{Name: "front", Aim: 800 * ms, Deadline: 3 * time.Second}}, s.Classes...)
+	s.Classes = append([]Class{{Name: "front", LatencyTarget: 800 * ms, Deadline: 3 * time.Second}}, s.Classes...)
 	slices.Reverse(s.Classes[1:])
 	s.Plans = append([]Plan{{Name: "front", Rate: 1, Burst: 1}}, s.Plans...)
 	slices.Reverse(s.Plans[1:])
@@ -57,7 +57,7 @@
 			w.lose = func(int, int) bool { return rng.IntN(20) == 0 }
 			for i := range w.gs { // half by a reload, half of them by a new start
 				s := newer(base())
-				s.Me, s.Gateways = i, 100
+				s.Self, s.Gateways = i, 100
 				switch rng.IntN(4) {
 				case 0:
 					w.do(i, Reconfigure{s})
@@ -67,7 +67,7 @@
 						t.Fatal(err)
 					}
 					w.gs[i] = g
-					w.do(i, Members{Kind: Remembered, Servers: fleet(40)})
+					w.do(i, ServerListUpdate{Kind: StoredList, Servers: fleet(40)})
 				}
 			}
 			plans := []string{"free", "rate", "open", "both"}
@@ -109,8 +109,8 @@
 		if at == 11*time.Second {
 			for i := range w.gs {
 				s := base()
-				s.Me, s.Gateways = i, 100
-				s.Plans[1].Rate, s.Classes[0].Aim = 12, 700*ms
+				s.Self, s.Gateways = i, 100
+				s.Plans[1].Rate, s.Classes[0].LatencyTarget = 12, 700*ms
 				w.do(i, Reconfigure{s})
 			}
 		}
@@ -129,7 +129,7 @@
 	w := newWorld(t, base(), fleet(4))
 	old := w.g.tables[0]
 	s := base()
-	s.Classes = append(s.Classes[:1:1], append([]Class{{Name: "new", Aim: 1, Deadline: 1}}, s.Classes[2:]...)...) // "cell" is gone
+	s.Classes = append(s.Classes[:1:1], append([]Class{{Name: "new", LatencyTarget: 1, Deadline: 1}}, s.Classes[2:]...)...) // "cell" is gone
 	w.do(Reconfigure{s})
 	for no, want := range map[byte]int{0: 0, 1: -1, 2: 2, 4: 4, 5: -1, 255: -1} {
 		if at := w.g.localClass(no, true, old.mark); at != want {
@@ -191,7 +191,7 @@
 
 func TestReconfigureCaps(t *testing.T) {
 	s := base()
-	s.Gateways, s.Plans[2].Open = 1, 6
+	s.Gateways, s.Plans[2].MaxInFlight = 1, 6
 	w := newWorld(t, s, fleet(8))
 	var out []Send
 	for range 6 {
@@ -203,7 +203,7 @@
 		t.Fatalf("%d out, then %v", len(out), acts)
 	}
 	s.Plans = slices.Clone(s.Plans)
-	s.Plans[2].Open = 2 // below what is out
+	s.Plans[2].MaxInFlight = 2 // below what is out
 	w.do(Reconfigure{s})
 	for i := range 4 { // until two are out
 		if acts := w.end(out[i], 0, OK); len(of[Send](acts)) > 0 {
@@ -333,12 +333,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Handle(1, Members{Servers: fleet(4)}, nil)
+		g.Handle(1, ServerListUpdate{Servers: fleet(4)}, nil)
 		n := newer(s)
 		g.Handle(2, Reconfigure{n}, nil)
 		for i := range 3 {
 			for _, a := range g.Handle(time.Duration(3+i)*time.Second, PeerMessage{From: i, Data: data}, nil) {
-				if tell, ok := a.(Tell); ok && len(tell.Data) > maxMessage {
+				if tell, ok := a.(SendMessage); ok && len(tell.Data) > maxMessage {
 					t.Fatalf("%d bytes", len(tell.Data))
 				}
 			}
@@ -354,14 +354,14 @@
 	s := base()
 	s.Gateways = 100
 	w := newWorld(t, s, fleet(4))
-	asks := func(plan byte, tag uint32) []Tell {
+	asks := func(plan byte, tag uint32) []SendMessage {
 		if _, marked := tagMark(tag); marked {
 			t.Fatalf("tag %d passes for marked", tag)
 		}
-		return of[Tell](w.do(PeerMessage{From: 9, Data: encode(askMessage{Customer: uint64(tag) << 40, Spread: 50, Plan: plan, Units: 1,
+		return of[SendMessage](w.do(PeerMessage{From: 9, Data: encode(askMessage{Customer: uint64(tag) << 40, Spread: 50, Plan: plan, Units: 1,
 			RemainingMS: 2000, Tag: tag, AskChance: 250, TokenFill: unknownTokens})}))
 	}
-	granted := func(acts []Tell) bool {
+	granted := func(acts []SendMessage) bool {
 		if len(acts) != 1 || acts[0].To != 9 {
 			return false
 		}
--- a/policy/workingset_test.go
+++ b/policy/workingset_test.go
@@ -10,7 +10,7 @@
 func sharing(t testing.TB, l *serverList, me, gateways int) *Gateway {
 	t.Helper()
 	set := base()
-	set.Me, set.Gateways = me, gateways
+	set.Self, set.Gateways = me, gateways
 	g, err := New(set, uint64(me))
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 		g := sharing(t, listOf(servers), size.gateways/3, size.gateways)
 		change := func(m Server) int {
 			before := members(g)
-			g.Handle(time.Second, Members{Kind: Changes, Servers: []Server{m}}, nil)
+			g.Handle(time.Second, ServerListUpdate{Kind: Changes, Servers: []Server{m}}, nil)
 			return newcomers(before, members(g))
 		}
 		most, sum := 0, 0
@@ -112,7 +112,7 @@
 		if most > maxMoved {
 			t.Errorf("%+v: %d members moved at one change", size, most)
 		}
-		lost := Members{Kind: Changes}
+		lost := ServerListUpdate{Kind: Changes}
 		for _, s := range servers {
 			if s.Zone == "zone 1" {
 				s.State = Removed
@@ -164,7 +164,7 @@
 		before := w.g.allServers.entries()
 		changed := servers[n/2]
 		changed.State = Draining
-		w.do(Members{Kind: Changes, Servers: []Server{changed}})
+		w.do(ServerListUpdate{Kind: Changes, Servers: []Server{changed}})
 		entries := w.g.allServers.entries() - before
 		t.Logf("%d servers: %d for a request, %d for a tick, %d entries for a change", n, request, tick, entries)
 		if request == 0 || request > maxSubsetSize || tick > 2*maxSubsetSize {
@@ -190,7 +190,7 @@
 
 // While so many servers are out of use that they are used all the same, a gateway uses all of its
 // set. In a release of six in ten servers, when their connections come up late, verdicts had most
-// of the fleet out of use for the class with the shortest aim. A gateway that went by its own set
+// of the fleet out of use for the class with the shortest latency target. A gateway that went by its own set
 // alone saw a few left in it, while none left would have been needed, and sent them all it had: on
 // join+mass 592 to 718 of 2,065 to 2,377 choices a second were among three servers or fewer (250 of
 // 2,200 before gateways kept to sets), these timed out, and verdicts took them out of use as well.
@@ -214,7 +214,7 @@
 			id, acts := w.ask("safe", "free", "c", 1)
 			for _, s := range of[Send](acts) {
 				sent[s.Server]++
-				w.do(Outcome{ID: id, Server: s.Server, Code: OK, Latency: 50 * ms, Over: true})
+				w.do(Outcome{ID: id, Server: s.Server, Code: OK, Latency: 50 * ms, Answered: true})
 			}
 		}
 		most, usedOutOfUse := 0, 0
@@ -307,7 +307,7 @@
 		t.Errorf("%d looked at", n)
 	}
 	before := members(w.g)
-	drained := Members{Kind: Changes}
+	drained := ServerListUpdate{Kind: Changes}
 	for id := range before {
 		m := servers[id-1]
 		m.State = Draining
@@ -327,7 +327,7 @@
 	for _, class := range []string{"cell", "zone"} {
 		set := base()
 		set.Gateways = plannedGateways
-		set.Classes = append(set.Classes, Class{Name: "zone", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Group: GroupZone,
+		set.Classes = append(set.Classes, Class{Name: "zone", LatencyTarget: 800 * ms, Deadline: 3 * time.Second, Effect: Keyed, Group: GroupZone,
 			Window: 2 * time.Second})
 		servers := spreadOut(plannedServers, plannedZones)
 		for i := range servers {
@@ -350,7 +350,7 @@
 			t.Errorf("%s: %d looked at", class, n)
 		}
 		// With the whole group out of use, and no server of it left, nothing goes elsewhere.
-		gone := Members{Kind: Changes}
+		gone := ServerListUpdate{Kind: Changes}
 		for _, s := range servers {
 			if class == "cell" && s.Cell == a.Cell || class == "zone" && s.Zone == a.Zone {
 				s.State = Removed
