--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs gateways on the line protocol: events on standard
-// input, actions on standard output, one Gateway for each instance.
+// Command adapter runs gateways behind the line protocol: it reads events from standard
+// input, writes actions to standard output, and keeps one Gateway for each instance.
 package main
 
 import (
@@ -21,13 +21,13 @@
 	}
 }
 
-// run answers every batch of in on out until in ends.
+// run answers each batch of in with actions on out until in ends.
 func run(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(in)
 	w := bufio.NewWriter(out)
 	gateways := map[string]*policy.Gateway{}
 	var reply []byte
-	var acts []policy.Action
+	var actions []policy.Action
 	for {
 		batch, err := dec.Next()
 		if errors.Is(err, io.EOF) {
@@ -37,31 +37,31 @@
 			return err
 		}
 		reply = reply[:0]
-		for _, it := range batch.Items {
-			switch ev := it.Event.(type) {
+		for _, item := range batch.Items {
+			switch ev := item.Event.(type) {
 			case wire.Configure:
 				g, err := policy.New(ev.Settings, ev.Seed)
 				if err != nil {
-					return fmt.Errorf("line %d: %w", it.Line, err)
+					return fmt.Errorf("line %d: %w", item.Line, err)
 				}
-				gateways[it.Node] = g
+				gateways[item.Node] = g
 			case wire.Kill:
-				delete(gateways, it.Node)
+				delete(gateways, item.Node)
 			default:
-				g := gateways[it.Node]
+				g := gateways[item.Node]
 				if g == nil {
-					return fmt.Errorf("line %d: unknown instance %q", it.Line, it.Node)
+					return fmt.Errorf("line %d: unknown instance %q", item.Line, item.Node)
 				}
-				ev2, ok := it.Event.(policy.Event)
+				event, ok := item.Event.(policy.Event)
 				if !ok {
 					continue
 				}
-				acts, err = handle(g, batch.Now, ev2, acts[:0])
-				for _, a := range acts {
-					reply = wire.Append(reply, it.Node, a)
+				actions, err = handle(g, batch.Now, event, actions[:0])
+				for _, a := range actions {
+					reply = wire.Append(reply, item.Node, a)
 				}
 				if err != nil {
-					reply = wire.AppendCrash(reply, it.Node, err.Error())
+					reply = wire.AppendCrash(reply, item.Node, err.Error())
 				}
 			}
 		}
@@ -75,12 +75,12 @@
 	}
 }
 
-// handle turns a panic in the decisions into an error that tells it.
+// handle calls g.Handle and returns a panic in it as an error.
 func handle(g *policy.Gateway, now time.Duration, ev policy.Event, out []policy.Action) (
-	acts []policy.Action, err error) {
+	actions []policy.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			acts, err = out, fmt.Errorf("%T: %v", ev, p)
+			actions, err = out, fmt.Errorf("%T: %v", ev, p)
 		}
 	}()
 	return g.Handle(now, ev, out), nil
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -34,6 +34,6 @@
 
 func TestPanicIsReported(t *testing.T) {
 	if _, err := handle(nil, 1, nil, nil); err == nil {
-		t.Error("a panic was hidden")
+		t.Error("handle returned no error for a panic")
 	}
 }
--- a/cmd/machine/main.go
+++ b/cmd/machine/main.go
@@ -1,6 +1,6 @@
-// Command machine runs the edge nodes of one machine: one for each configuration
-// file of a folder. It starts again what crashes, passes SIGHUP on, and on SIGTERM
-// drains all of them within a budget. It is never part of an edge node.
+// Command machine runs the edge nodes of one machine, one for each configuration
+// file in a folder. It restarts edge nodes that crash, forwards SIGHUP, and on
+// SIGTERM drains all of them within a time budget. It never runs inside an edge node.
 package main
 
 import (
@@ -27,11 +27,11 @@
 	exitLost  = 1
 	exitUsage = 2
 
-	tickEvery = 20 * time.Millisecond
-	mostLine  = 4 << 10 // of an edge node's log that is passed on in one piece
+	tickInterval = 20 * time.Millisecond
+	maxLineBytes = 4 << 10 // longer log lines of an edge node are split
 
-	defaultBudget = 90 * time.Second // eight edge nodes whose longest requests take 6 s, one after another
-	leastBudget   = time.Second
+	defaultBudget = 90 * time.Second // enough for eight drains in sequence with requests of up to 6 s
+	minBudget     = time.Second
 )
 
 const usage = `usage: machine [-program PATH] [-budget DURATION] FOLDER
@@ -46,36 +46,37 @@
 `
 
 func main() {
-	// A child is told to stop when the thread that started it ends, so all are
-	// started by one that does not: this one.
+	// An edge node receives SIGTERM when the thread that started it ends (Pdeathsig).
+	// All edge nodes are therefore started by the locked main thread, which never ends.
 	runtime.LockOSThread()
 	os.Exit(run(os.Args[1:], os.Stderr))
 }
 
-// ending is the end of an edge node's process.
-type ending struct {
-	name  string
-	why   string
-	clean bool
+// exitEvent reports that an edge node's process has ended.
+type exitEvent struct {
+	name   string
+	status string
+	clean  bool
 }
 
-// machine carries out what the supervisor orders.
+// machine executes the supervisor's orders on real processes.
 type machine struct {
 	folder     string
 	program    string
 	log        io.Writer
-	mu         sync.Mutex // of the log
+	mu         sync.Mutex // guards log
 	supervisor *supervisor
 	procs      map[string]*os.Process
-	ends       chan ending
-	began      time.Time
+	exits      chan exitEvent
+	startedAt  time.Time
 }
 
+// run runs the machine until its drain is finished and returns the exit code.
 func run(args []string, log io.Writer) int {
 	flags := flag.NewFlagSet("machine", flag.ContinueOnError)
 	flags.SetOutput(log)
 	flags.Usage = func() { fmt.Fprint(log, usage) }
-	program := flags.String("program", beside("valvering"), "")
+	program := flags.String("program", siblingPath("valvering"), "")
 	budget := flags.Duration("budget", defaultBudget, "")
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
@@ -85,17 +86,17 @@
 	case flags.NArg() != 1:
 		flags.Usage()
 		return exitUsage
-	case *budget < leastBudget:
-		fmt.Fprintf(log, "machine: -budget: %v is under %v\n", *budget, leastBudget)
+	case *budget < minBudget:
+		fmt.Fprintf(log, "machine: -budget: %v is below the minimum of %v\n", *budget, minBudget)
 		return exitUsage
 	}
 	m := &machine{folder: flags.Arg(0), program: *program, log: log, procs: map[string]*os.Process{},
-		ends: make(chan ending), began: time.Now()}
+		exits: make(chan exitEvent), startedAt: time.Now()}
 	if _, err := exec.LookPath(m.program); err != nil {
 		fmt.Fprintln(log, "machine: -program:", err)
 		return exitUsage
 	}
-	names, err := m.files()
+	names, err := m.configNames()
 	if err == nil && len(names) == 0 {
 		err = fmt.Errorf("%s: no configuration file", m.folder)
 	}
@@ -115,8 +116,8 @@
 	return 0
 }
 
-// beside is a program in this one's folder.
-func beside(name string) string {
+// siblingPath returns the path of a program in the folder of this program.
+func siblingPath(name string) string {
 	self, err := os.Executable()
 	if err != nil {
 		return name
@@ -124,8 +125,8 @@
 	return filepath.Join(filepath.Dir(self), name)
 }
 
-// files names the edge nodes by their configuration files.
-func (m *machine) files() ([]string, error) {
+// configNames lists the names of the edge nodes: their configuration files without the extension.
+func (m *machine) configNames() ([]string, error) {
 	entries, err := os.ReadDir(m.folder)
 	if err != nil {
 		return nil, err
@@ -139,77 +140,80 @@
 	return names, nil
 }
 
-func (m *machine) now() time.Duration { return time.Since(m.began) }
+func (m *machine) now() time.Duration { return time.Since(m.startedAt) }
 
-// serve runs until the drain is over.
+// serve runs until the drain is finished.
 func (m *machine) serve() (line string, lost bool) {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	for !m.supervisor.over() {
+	for !m.supervisor.finished() {
 		select {
 		case s := <-signals:
 			if s == syscall.SIGHUP {
 				m.reload()
 			} else {
-				slog.Info("drain", "hurry", m.supervisor.drained)
+				slog.Info("drain", "hurry", m.supervisor.drainStarted)
 				m.supervisor.drain(m.now())
 			}
-		case e := <-m.ends:
+		case e := <-m.exits:
 			delete(m.procs, e.name)
-			if u := m.supervisor.units[e.name]; u.state == running {
-				slog.Error("crashed", "edge node", e.name, "how", e.why)
+			if u := m.supervisor.edgeNodes[e.name]; u.state == running {
+				slog.Error("crashed", "edge node", e.name, "how", e.status)
 			} else {
-				slog.Info("ended", "edge node", e.name, "how", e.why)
+				slog.Info("ended", "edge node", e.name, "how", e.status)
 			}
-			m.supervisor.exited(e.name, m.now(), e.why, e.clean)
+			m.supervisor.exited(e.name, m.now(), e.status, e.clean)
 		case <-tick.C:
 		}
-		m.carryOut(m.supervisor.tick(m.now()))
+		m.execute(m.supervisor.tick(m.now()))
 	}
 	return m.supervisor.report(m.now())
 }
 
+// reload reads the folder again and updates the edge nodes accordingly.
 func (m *machine) reload() {
-	names, err := m.files()
-	if err != nil { // a folder that can't be read says of none that it is gone
-		slog.Error("folder not read; the edge nodes stay as they are", "err", err)
+	names, err := m.configNames()
+	if err != nil { // an unreadable folder doesn't mean that its files were removed
+		slog.Error("cannot read the folder; the edge nodes are left unchanged", "err", err)
 		return
 	}
-	m.carryOut(m.supervisor.listed(names, m.now()))
+	m.execute(m.supervisor.updateFiles(names, m.now()))
 }
 
-func (m *machine) carryOut(orders []order) {
+// execute executes orders of the supervisor.
+func (m *machine) execute(orders []order) {
 	for _, o := range orders {
-		if o.what == start {
+		if o.action == start {
 			m.start(o.name)
 			continue
 		}
-		sig := map[what]syscall.Signal{reload: syscall.SIGHUP, stop: syscall.SIGTERM, kill: syscall.SIGKILL}[o.what]
+		sig := map[action]syscall.Signal{reload: syscall.SIGHUP, stop: syscall.SIGTERM,
+			kill: syscall.SIGKILL}[o.action]
 		if p := m.procs[o.name]; p != nil {
 			if err := p.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
-				slog.Error("not told", "edge node", o.name, "signal", sig, "err", err)
+				slog.Error("cannot signal the edge node", "edge node", o.name, "signal", sig, "err", err)
 			}
 		}
 	}
 }
 
-// start runs an edge node. One that can't be started counts as crashed.
+// start starts an edge node. A failed start counts as a crash.
 func (m *machine) start(name string) {
 	cmd := exec.Command(m.program)
 	cmd.Env = slices.DeleteFunc(os.Environ(), func(v string) bool {
 		return strings.HasPrefix(v, "GW_") || strings.HasPrefix(v, "VALVERING_")
 	})
 	cmd.Env = append(cmd.Env, "GW_CONFIG="+filepath.Join(m.folder, name+".json"))
-	out := &prefixed{m: m, name: name}
+	out := &prefixWriter{m: m, name: name}
 	cmd.Stdout, cmd.Stderr = out, out
-	// A signal from the terminal is for this program alone; if this one is killed the
-	// edge nodes stop as planned.
+	// Signals from the terminal reach this program only. If this program is killed,
+	// the edge nodes get a SIGTERM and drain.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGTERM}
 	if err := cmd.Start(); err != nil {
-		go func() { m.ends <- ending{name, err.Error(), false} }()
+		go func() { m.exits <- exitEvent{name, err.Error(), false} }()
 		return
 	}
 	slog.Info("started", "edge node", name, "pid", cmd.Process.Pid)
@@ -217,46 +221,47 @@
 	go func() {
 		err := cmd.Wait()
 		out.flush()
-		m.ends <- ending{name, cmd.ProcessState.String(), err == nil}
+		m.exits <- exitEvent{name, cmd.ProcessState.String(), err == nil}
 	}()
 }
 
-// Write passes a piece of a log on whole.
+// Write writes p to the log without interleaving it with other writes.
 func (m *machine) Write(p []byte) (int, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.Write(p)
 }
 
-// prefixed passes an edge node's lines on under its name.
-type prefixed struct {
-	m    *machine
-	name string
-	rest []byte
+// prefixWriter passes an edge node's log lines on, each prefixed with the edge node's name.
+type prefixWriter struct {
+	m       *machine
+	name    string
+	pending []byte
 }
 
-func (p *prefixed) Write(b []byte) (int, error) {
-	p.rest = append(p.rest, b...)
+func (p *prefixWriter) Write(b []byte) (int, error) {
+	p.pending = append(p.pending, b...)
 	for {
-		n := bytes.IndexByte(p.rest, '\n') + 1
-		if n == 0 && len(p.rest) < mostLine {
+		n := bytes.IndexByte(p.pending, '\n') + 1
+		if n == 0 && len(p.pending) < maxLineBytes {
 			return len(b), nil
 		}
-		if n == 0 || n > mostLine {
-			n = mostLine
+		if n == 0 || n > maxLineBytes {
+			n = maxLineBytes
 		}
-		p.pass(p.rest[:n])
-		p.rest = p.rest[:copy(p.rest, p.rest[n:])]
+		p.writeLine(p.pending[:n])
+		p.pending = p.pending[:copy(p.pending, p.pending[n:])]
 	}
 }
 
-func (p *prefixed) flush() {
-	if len(p.rest) > 0 {
-		p.pass(p.rest)
+// flush writes an incomplete last line.
+func (p *prefixWriter) flush() {
+	if len(p.pending) > 0 {
+		p.writeLine(p.pending)
 	}
 }
 
-func (p *prefixed) pass(line []byte) {
+func (p *prefixWriter) writeLine(line []byte) {
 	text := append([]byte(p.name+": "), bytes.TrimSuffix(line, []byte("\n"))...)
-	_, _ = p.m.Write(append(text, '\n')) // a log that can't be written stops nothing
+	_, _ = p.m.Write(append(text, '\n')) // log errors must not stop the machine
 }
--- a/cmd/machine/supervisor.go
+++ b/cmd/machine/supervisor.go
@@ -10,212 +10,217 @@
 	"time"
 )
 
-// Restarts of what has crashed, and the drain.
+// Restarts of crashed edge nodes.
 const (
-	leastWait  = 100 * time.Millisecond
-	mostWait   = 10 * time.Second
-	steadyFor  = 30 * time.Second // one that ran for so long has not crashed for what it crashed for before
-	jitterPart = 0.5              // of a wait: what crashes together must not come back together
+	minRestartDelay = 100 * time.Millisecond
+	maxRestartDelay = 10 * time.Second
+	stableAfter     = 30 * time.Second // after this time a crash resets the restart delay
+	jitterFraction  = 0.5              // of a delay: keeps edge nodes from restarting all at once
 
-	hastenPart = 0.2 // of the budget, at its end, in which what still drains is hastened
+	// Drain.
+	hurryFraction = 0.2 // of the budget, at its end: drains still running are hastened
 )
 
-// supervisor is the edge nodes of a machine as a state machine: events and time in,
-// orders out. It is not safe for concurrent use.
+// supervisor is the state machine behind a machine's edge nodes: it takes events and the
+// time, and returns orders. It is not safe for concurrent use.
 //
-// It promises: nothing starts once the drain has begun, or before its wait is
-// over; while there is time for it one edge node drains after the other, so that
-// a customer's root and deputy don't leave together; none is left running when
-// the budget is over.
+// It guarantees that
+//   - no edge node starts after the drain has begun or before its restart delay is over;
+//   - edge nodes drain one after another while time permits, so that a customer's root and
+//     deputy don't shut down together;
+//   - no edge node still runs when the budget is over.
 type supervisor struct {
-	units   map[string]*unit
-	rng     *rand.Rand
-	budget  time.Duration
-	drained bool          // the drain has begun
-	hasty   bool          // it was asked for twice
-	began   time.Duration // when
-	next    time.Duration // when the next edge node drains though the one before has not ended
+	edgeNodes      map[string]*edgeNode
+	rng            *rand.Rand
+	budget         time.Duration
+	drainStarted   bool
+	hurry          bool // a second drain was requested
+	drainStartedAt time.Duration
+	nextDrain      time.Duration // the next edge node drains then even if another still drains
 }
 
-// unit is one edge node.
-type unit struct {
-	name    string
-	state   state
-	since   time.Duration // of the state
-	wait    time.Duration // before the last start
-	due     time.Duration // of the next
-	crashes int
-	hurried bool   // told twice to stop
-	lost    string // what became of it, if that cost a request
-	gone    bool   // its file is
-	back    bool   // and was there again before it had ended
+// edgeNode is the supervisor's record of one edge node.
+type edgeNode struct {
+	name         string
+	state        state
+	stateSince   time.Duration // when state was entered
+	restartDelay time.Duration // before the last restart
+	startAt      time.Duration
+	crashes      int
+	hastened     bool   // got a second SIGTERM
+	lossReason   string // how the edge node ended, if requests were lost
+	fileRemoved  bool
+	fileRestored bool // the file was restored before the edge node ended
 }
 
 type state int
 
 const (
-	waiting state = iota // to be started, when due
+	waiting state = iota // starts at startAt
 	running
 	draining
 	ended
 )
 
-// order is something to be done to an edge node.
+// order is an action that the machine must perform on an edge node.
 type order struct {
-	name string
-	what what
+	name   string
+	action action
 }
 
-type what int
+type action int
 
 const (
-	start  what = iota
-	reload      // SIGHUP
-	stop        // SIGTERM; the second hastens
-	kill        // SIGKILL
+	start  action = iota
+	reload        // SIGHUP
+	stop          // SIGTERM; the second one hastens the drain
+	kill          // SIGKILL
 )
 
 func newSupervisor(names []string, budget time.Duration, seed uint64) *supervisor {
-	s := &supervisor{units: map[string]*unit{}, rng: rand.New(rand.NewPCG(seed, 0)), budget: budget}
+	s := &supervisor{edgeNodes: map[string]*edgeNode{}, rng: rand.New(rand.NewPCG(seed, 0)), budget: budget}
 	for _, n := range names {
-		s.units[n] = &unit{name: n}
+		s.edgeNodes[n] = &edgeNode{name: n}
 	}
 	return s
 }
 
-// sorted gives the edge nodes in the order of their names.
-func (s *supervisor) sorted() []*unit {
-	return slices.SortedFunc(maps.Values(s.units), func(a, b *unit) int { return cmp.Compare(a.name, b.name) })
+// sorted returns the edge nodes in the order of their names.
+func (s *supervisor) sorted() []*edgeNode {
+	return slices.SortedFunc(maps.Values(s.edgeNodes), func(a, b *edgeNode) int {
+		return cmp.Compare(a.name, b.name)
+	})
 }
 
-func (u *unit) become(s state, now time.Duration) { u.state, u.since = s, now }
+func (u *edgeNode) setState(s state, now time.Duration) { u.state, u.stateSince = s, now }
 
-// exited takes in the end of a process.
-func (s *supervisor) exited(name string, now time.Duration, why string, clean bool) {
-	u := s.units[name]
+// exited handles the end of an edge node's process.
+func (s *supervisor) exited(name string, now time.Duration, status string, clean bool) {
+	u := s.edgeNodes[name]
 	switch u.state {
 	case draining:
-		if !clean && u.lost == "" {
-			u.lost = why
+		if !clean && u.lossReason == "" {
+			u.lossReason = status
 		}
-		u.become(ended, now)
+		u.setState(ended, now)
 	case running:
 		u.crashes++
-		if now-u.since >= steadyFor {
-			u.wait = 0
+		if now-u.stateSince >= stableAfter {
+			u.restartDelay = 0
 		}
-		u.wait = min(max(2*u.wait, leastWait), mostWait)
-		u.due = now + u.wait + time.Duration(jitterPart*s.rng.Float64()*float64(u.wait))
-		u.become(waiting, now)
-		if s.drained || u.gone {
-			u.lost = cmp.Or(u.lost, why)
-			u.become(ended, now)
+		u.restartDelay = min(max(2*u.restartDelay, minRestartDelay), maxRestartDelay)
+		u.startAt = now + u.restartDelay +
+			time.Duration(jitterFraction*s.rng.Float64()*float64(u.restartDelay))
+		u.setState(waiting, now)
+		if s.drainStarted || u.fileRemoved {
+			u.lossReason = cmp.Or(u.lossReason, status)
+			u.setState(ended, now)
 		}
 	}
 	switch {
-	case u.state != ended || !u.gone || s.drained:
-	case u.back:
-		s.units[name] = &unit{name: name, due: now}
-	case u.lost == "":
-		delete(s.units, name)
+	case u.state != ended || !u.fileRemoved || s.drainStarted:
+	case u.fileRestored:
+		s.edgeNodes[name] = &edgeNode{name: name, startAt: now}
+	case u.lossReason == "":
+		delete(s.edgeNodes, name)
 	}
 }
 
-// listed takes in which files there are now: new ones are started, what has none
-// drains, all others are told to read theirs.
-func (s *supervisor) listed(names []string, now time.Duration) (out []order) {
-	if s.drained {
-		names = nil // told again below, to those that run
+// updateFiles handles a new list of configuration files: it schedules the start of new edge
+// nodes, drains those whose file was removed, and has all others reload their file.
+func (s *supervisor) updateFiles(names []string, now time.Duration) (out []order) {
+	if s.drainStarted {
+		names = nil // running edge nodes are still asked to reload below
 	}
 	for _, n := range names {
-		u := s.units[n]
-		if u == nil || u.gone && u.state == ended {
-			s.units[n] = &unit{name: n}
+		u := s.edgeNodes[n]
+		if u == nil || u.fileRemoved && u.state == ended {
+			s.edgeNodes[n] = &edgeNode{name: n}
 		} else {
-			u.back = u.gone
+			u.fileRestored = u.fileRemoved
 		}
 	}
 	for _, u := range s.sorted() {
-		there := slices.Contains(names, u.name)
+		fileExists := slices.Contains(names, u.name)
 		switch {
-		case u.state == running && !there && !s.drained:
-			u.gone = true
-			u.become(draining, now)
+		case u.state == running && !fileExists && !s.drainStarted:
+			u.fileRemoved = true
+			u.setState(draining, now)
 			out = append(out, order{u.name, stop})
 		case u.state == running:
 			out = append(out, order{u.name, reload})
-		case u.state == waiting && there:
-			u.due = now // its file may be mended
-		case u.state == waiting && !s.drained:
-			delete(s.units, u.name)
+		case u.state == waiting && fileExists:
+			u.startAt = now // the file may have been fixed
+		case u.state == waiting && !s.drainStarted:
+			delete(s.edgeNodes, u.name)
 		}
 	}
 	return out
 }
 
-// drain begins the end of the machine's service; asked for again it hurries.
+// drain begins draining all edge nodes. A second call hastens the drain.
 func (s *supervisor) drain(now time.Duration) {
-	if s.drained {
-		s.hasty = true
+	if s.drainStarted {
+		s.hurry = true
 		return
 	}
-	s.drained, s.began, s.next = true, now, now
-	for _, u := range s.units {
+	s.drainStarted, s.drainStartedAt, s.nextDrain = true, now, now
+	for _, u := range s.edgeNodes {
 		if u.state == waiting {
-			u.become(ended, now) // nothing of it is open
+			u.setState(ended, now) // it has no open requests
 		}
 	}
 }
 
-// tick gives the orders that are due.
+// tick returns the orders that are due.
 func (s *supervisor) tick(now time.Duration) (out []order) {
-	if !s.drained {
+	if !s.drainStarted {
 		for _, u := range s.sorted() {
-			if u.state == waiting && now >= u.due {
-				u.become(running, now)
+			if u.state == waiting && now >= u.startAt {
+				u.setState(running, now)
 				out = append(out, order{u.name, start})
 			}
 		}
 		return out
 	}
-	left := s.began + s.budget - now
-	hurry := s.hasty || left <= time.Duration(hastenPart*float64(s.budget))
-	var active, rest []*unit
+	remaining := s.drainStartedAt + s.budget - now
+	hurry := s.hurry || remaining <= time.Duration(hurryFraction*float64(s.budget))
+	var drainingNodes, toDrain []*edgeNode
 	for _, u := range s.sorted() {
 		switch u.state {
 		case draining:
-			active = append(active, u)
+			drainingNodes = append(drainingNodes, u)
 		case running:
-			rest = append(rest, u)
+			toDrain = append(toDrain, u)
 		}
 	}
-	for len(rest) > 0 && (hurry || len(active) == 0 || now >= s.next) {
-		u := rest[0]
-		rest, active = rest[1:], append(active, u)
-		u.become(draining, now)
+	for len(toDrain) > 0 && (hurry || len(drainingNodes) == 0 || now >= s.nextDrain) {
+		u := toDrain[0]
+		toDrain, drainingNodes = toDrain[1:], append(drainingNodes, u)
+		u.setState(draining, now)
 		out = append(out, order{u.name, stop})
-		// If this one takes its time the others still have an even part of what is left.
-		s.next = now + (left-time.Duration(hastenPart*float64(s.budget)))/time.Duration(len(rest)+1)
+		// If this drain is slow, each remaining edge node still gets an equal part of the remaining time.
+		s.nextDrain = now + (remaining-time.Duration(hurryFraction*float64(s.budget)))/time.Duration(len(toDrain)+1)
 	}
-	for _, u := range active {
+	for _, u := range drainingNodes {
 		switch {
-		case left <= 0 && u.lost == "":
-			u.lost = "killed when the budget was over"
+		case remaining <= 0 && u.lossReason == "":
+			u.lossReason = "killed when the budget was over"
 			out = append(out, order{u.name, kill})
-		case hurry && !u.hurried && u.since < now: // not in the same breath as the first
-			u.hurried = true
+		case hurry && !u.hastened && u.stateSince < now: // not in the same tick as the first SIGTERM
+			u.hastened = true
 			out = append(out, order{u.name, stop})
 		}
 	}
 	return out
 }
 
-// over tells whether the machine's service has ended.
-func (s *supervisor) over() bool {
-	if !s.drained {
+// finished reports whether the drain has begun and all edge nodes have ended.
+func (s *supervisor) finished() bool {
+	if !s.drainStarted {
 		return false
 	}
-	for _, u := range s.units {
+	for _, u := range s.edgeNodes {
 		if u.state != ended {
 			return false
 		}
@@ -223,25 +228,26 @@
 	return true
 }
 
-// report is the last line: whether anything was lost, and where.
+// report returns the last log line and whether any edge node lost requests.
 func (s *supervisor) report(now time.Duration) (line string, lost bool) {
-	var where, crashed []string
+	var losses, crashed []string
 	for _, u := range s.sorted() {
-		if u.lost != "" {
-			where = append(where, fmt.Sprintf("%s (%s)", u.name, u.lost))
+		if u.lossReason != "" {
+			losses = append(losses, fmt.Sprintf("%s (%s)", u.name, u.lossReason))
 		}
 		if u.crashes > 0 {
 			crashed = append(crashed, fmt.Sprintf("%s (%d)", u.name, u.crashes))
 		}
 	}
-	line = fmt.Sprintf("drained %d edge nodes in %v: ", len(s.units), (now - s.began).Round(10*time.Millisecond))
-	if len(where) == 0 {
+	line = fmt.Sprintf("drained %d edge nodes in %v: ", len(s.edgeNodes),
+		(now - s.drainStartedAt).Round(10*time.Millisecond))
+	if len(losses) == 0 {
 		line += "nothing lost"
 	} else {
-		line += "lost at " + strings.Join(where, ", ")
+		line += "lost at " + strings.Join(losses, ", ")
 	}
 	if len(crashed) > 0 {
 		line += "; crashes in service: " + strings.Join(crashed, ", ")
 	}
-	return line, len(where) > 0
+	return line, len(losses) > 0
 }
--- a/cmd/machine/supervisor_test.go
+++ b/cmd/machine/supervisor_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-func names(n int) (l []string) {
+func nodeNames(n int) (l []string) {
 	for i := range n {
 		l = append(l, fmt.Sprintf("n%d", i))
 	}
 	return l
 }
 
+// states describes the edge nodes' states for error messages.
 func (c *supervisor) states() string {
 	var out []string
 	for _, u := range c.sorted() {
@@ -23,10 +24,10 @@
 	return strings.Join(out, ", ")
 }
 
-// What crashes is started again after waits that double up to a bound, with a
-// jitter, and begin anew for one that ran for long.
+// A crashed edge node restarts after delays that double up to a limit, with a
+// jitter. The delay is reset for one that ran for a long time.
 func TestBackoff(t *testing.T) {
-	c := newSupervisor(names(1), time.Minute, 1)
+	c := newSupervisor(nodeNames(1), time.Minute, 1)
 	now := time.Second
 	var last time.Duration
 	for i := range 12 {
@@ -34,195 +35,201 @@
 			t.Fatalf("start %d: %v", i, o)
 		}
 		c.exited("n0", now, "exit status 1", false)
-		wait := c.units["n0"].due - now
-		least := min(leastWait<<i, mostWait)
-		if wait < least || float64(wait) > (1+jitterPart)*float64(least) {
-			t.Errorf("wait %d: %v, want %v and a jitter", i, wait, least)
+		wait := c.edgeNodes["n0"].startAt - now
+		minDelay := min(minRestartDelay<<i, maxRestartDelay)
+		if wait < minDelay || float64(wait) > (1+jitterFraction)*float64(minDelay) {
+			t.Errorf("delay %d: %v, want %v plus jitter", i, wait, minDelay)
 		}
 		if o := c.tick(now + wait - 1); len(o) != 0 {
-			t.Errorf("started before its wait was over: %v", o)
+			t.Errorf("started before its delay was over: %v", o)
 		}
 		now, last = now+wait, wait
 	}
 	c.tick(now)
-	c.exited("n0", now+steadyFor, "signal: killed", false)
-	if wait := c.units["n0"].due - now - steadyFor; wait >= last/2 {
-		t.Errorf("waits %v after it ran for long", wait)
+	c.exited("n0", now+stableAfter, "signal: killed", false)
+	if wait := c.edgeNodes["n0"].startAt - now - stableAfter; wait >= last/2 {
+		t.Errorf("delay of %v after a long run", wait)
 	}
-	other := newSupervisor(names(1), time.Minute, 2)
+	other := newSupervisor(nodeNames(1), time.Minute, 2)
 	other.tick(0)
 	other.exited("n0", 0, "", false)
-	first := newSupervisor(names(1), time.Minute, 1)
+	first := newSupervisor(nodeNames(1), time.Minute, 1)
 	first.tick(0)
 	first.exited("n0", 0, "", false)
-	if other.units["n0"].due == first.units["n0"].due {
-		t.Error("two machines wait alike")
+	if other.edgeNodes["n0"].startAt == first.edgeNodes["n0"].startAt {
+		t.Error("two machines have equal delays")
 	}
 }
 
-func TestListed(t *testing.T) {
-	c := newSupervisor(names(3), time.Minute, 1)
+// A reload drains edge nodes whose file was removed, starts new ones, and restarts a
+// crashed one at once; an edge node whose file is restored while it drains starts again.
+func TestUpdateFiles(t *testing.T) {
+	c := newSupervisor(nodeNames(3), time.Minute, 1)
 	c.tick(0)
 	c.exited("n2", time.Second, "exit status 2", false)
-	c.units["n2"].due = time.Hour
-	got := fmt.Sprint(c.listed([]string{"n0", "n2", "n9"}, 2*time.Second))
+	c.edgeNodes["n2"].startAt = time.Hour
+	got := fmt.Sprint(c.updateFiles([]string{"n0", "n2", "n9"}, 2*time.Second))
 	if want := fmt.Sprint([]order{{"n0", reload}, {"n1", stop}}); got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 	if o := fmt.Sprint(c.tick(2 * time.Second)); o != fmt.Sprint([]order{{"n2", start}, {"n9", start}}) {
-		t.Errorf("%s: a mended file waits, or a new one", o)
+		t.Errorf("%s: want the crashed and the new edge node started at once", o)
 	}
-	c.listed(names(3), 3*time.Second) // n1 is back before it has ended, n9 goes
+	// n1's file is restored before n1 has ended, n9's file is removed
+	c.updateFiles(nodeNames(3), 3*time.Second)
 	c.exited("n1", 4*time.Second, "exit status 0", true)
 	c.exited("n9", 4*time.Second, "exit status 0", true)
-	if o := fmt.Sprint(c.tick(4 * time.Second)); o != fmt.Sprint([]order{{"n1", start}}) || len(c.units) != 3 {
+	if o := fmt.Sprint(c.tick(4 * time.Second)); o != fmt.Sprint([]order{{"n1", start}}) ||
+		len(c.edgeNodes) != 3 {
 		t.Errorf("%s, %s", o, c.states())
 	}
 }
 
-// While there is time for it one drains after the other; one in a crash loop has
-// nothing open.
-func TestDrainInTurn(t *testing.T) {
-	c := newSupervisor(names(4), 100*time.Second, 1)
+// Edge nodes drain one after another while time permits. One in a crash loop has
+// no open requests and doesn't drain.
+func TestDrainOneAfterAnother(t *testing.T) {
+	c := newSupervisor(nodeNames(4), 100*time.Second, 1)
 	c.tick(0)
 	c.exited("n3", 0, "exit status 1", false)
 	c.drain(time.Second)
 	now := time.Second
-	for _, n := range names(3) {
+	for _, n := range nodeNames(3) {
 		if o := c.tick(now); len(o) != 1 || o[0] != (order{n, stop}) {
-			t.Fatalf("%v, want %s alone", o, n)
+			t.Fatalf("%v, want only %s to drain", o, n)
 		}
 		if o := c.tick(now + time.Second); len(o) != 0 {
-			t.Fatalf("%v beside %s", o, n)
+			t.Fatalf("%v while %s drains", o, n)
 		}
 		now += 2 * time.Second
 		c.exited(n, now, "exit status 0", true)
 	}
 	line, lost := c.report(now)
-	if !c.over() || lost || !strings.Contains(line, "nothing lost") || !strings.Contains(line, "n3 (1)") {
-		t.Errorf("%v %v: %s", c.over(), lost, line)
+	if !c.finished() || lost || !strings.Contains(line, "nothing lost") || !strings.Contains(line, "n3 (1)") {
+		t.Errorf("%v %v: %s", c.finished(), lost, line)
 	}
 }
 
-// Asked twice, all drain at once and are hastened; what outlasts the budget is
-// killed, and the last line says where.
-func TestDrainInAHurry(t *testing.T) {
-	c := newSupervisor(names(2), 10*time.Second, 1)
+// After a second drain request all edge nodes drain at once and are hastened. Those
+// that outlast the budget are killed, and the last line names them.
+func TestHurriedDrain(t *testing.T) {
+	c := newSupervisor(nodeNames(2), 10*time.Second, 1)
 	c.tick(0)
 	c.drain(time.Second)
 	c.tick(time.Second)
 	c.drain(2 * time.Second)
 	if o := fmt.Sprint(c.tick(2 * time.Second)); o != fmt.Sprint([]order{{"n1", stop}, {"n0", stop}}) {
-		t.Errorf("%s: n1 begins, n0 is hastened", o)
+		t.Errorf("%s: want n1 to begin and n0 to be hastened", o)
 	}
 	if o := fmt.Sprint(c.tick(3 * time.Second)); o != fmt.Sprint([]order{{"n1", stop}}) {
-		t.Errorf("%s: n1 is hastened", o)
+		t.Errorf("%s: want n1 to be hastened", o)
 	}
 	c.exited("n0", 4*time.Second, "exit status 1", false)
 	if o := fmt.Sprint(c.tick(11 * time.Second)); o != fmt.Sprint([]order{{"n1", kill}}) {
-		t.Errorf("%s at the budget's end", o)
+		t.Errorf("%s when the budget was over", o)
 	}
 	c.exited("n1", 11*time.Second, "signal: killed", false)
 	line, lost := c.report(11 * time.Second)
-	if !lost || !c.over() || !strings.Contains(line, "n0 (exit status 1), n1 (killed when the budget was over)") {
+	if !lost || !c.finished() ||
+		!strings.Contains(line, "n0 (exit status 1), n1 (killed when the budget was over)") {
 		t.Error(line)
 	}
 }
 
-// Whatever ends when, and however signals come: nothing starts once the drain has
-// begun or before its wait is over, no more than one drains while there is time,
-// every edge node that runs is told to stop, and the budget holds.
+// Random crashes, reloads and signals: no edge node starts after the drain has begun or
+// before its restart delay is over, only one drains at a time while time permits, every
+// running edge node is told to stop, and the budget holds.
 func TestSupervisorModel(t *testing.T) {
 	for seed := range uint64(1000) {
-		if err := model(seed, newSupervisor(names(int(seed%9)+1), 20*time.Second, seed)); err != nil {
+		if err := runModel(seed, newSupervisor(nodeNames(int(seed%9)+1), 20*time.Second, seed)); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 }
 
-func model(seed uint64, c *supervisor) error {
+// runModel plays random events against the supervisor until the drain is finished.
+func runModel(seed uint64, c *supervisor) error {
 	rng := rand.New(rand.NewPCG(seed, 9))
-	type proc struct{ ends time.Duration }
-	alive := map[string]*proc{}
+	type process struct{ endsAt time.Duration }
+	alive := map[string]*process{}
 	const never = time.Hour
-	drainAt, again := time.Duration(rng.Int64N(int64(30*time.Second))), time.Duration(0)
+	drainAt, secondDrainAt := time.Duration(rng.Int64N(int64(30*time.Second))), time.Duration(0)
 	if rng.IntN(3) == 0 {
-		again = drainAt + time.Duration(rng.Int64N(int64(20*time.Second)))
-	}
-	slow := rng.IntN(2) == 0           // some take longer than there is
-	quick := !slow && rng.IntN(2) == 0 // all take less than their part
-	asked := false
-	for now := time.Duration(0); ; now += tickEvery {
-		if now >= drainAt && !asked {
-			asked = true
+		secondDrainAt = drainAt + time.Duration(rng.Int64N(int64(20*time.Second)))
+	}
+	slow := rng.IntN(2) == 0           // some drains outlast the budget
+	quick := !slow && rng.IntN(2) == 0 // all drains fit into their part of the budget
+	drainStarted := false
+	for now := time.Duration(0); ; now += tickInterval {
+		if now >= drainAt && !drainStarted {
+			drainStarted = true
 			c.drain(now)
 		}
-		if again > 0 && now >= again {
-			again = 0
+		if secondDrainAt > 0 && now >= secondDrainAt {
+			secondDrainAt = 0
 			c.drain(now)
 		}
 		if rng.IntN(200) == 0 {
-			for _, o := range c.listed(names(rng.IntN(9)+1), now) {
-				if p := alive[o.name]; o.what == stop && p != nil {
-					p.ends = now + time.Duration(rng.Int64N(int64(2*time.Second)))
+			for _, o := range c.updateFiles(nodeNames(rng.IntN(9)+1), now) {
+				if p := alive[o.name]; o.action == stop && p != nil {
+					p.endsAt = now + time.Duration(rng.Int64N(int64(2*time.Second)))
 				}
 			}
 		}
 		for name, p := range alive {
-			if now >= p.ends {
+			if now >= p.endsAt {
 				delete(alive, name)
 				c.exited(name, now, "ended", rng.IntN(4) > 0)
 			}
 		}
-		due := map[string]time.Duration{}
-		for name, u := range c.units {
-			due[name] = u.due
+		startAt := map[string]time.Duration{}
+		for name, u := range c.edgeNodes {
+			startAt[name] = u.startAt
 		}
 		for _, o := range c.tick(now) {
 			p := alive[o.name]
 			switch {
-			case o.what == start && (asked || p != nil || now < due[o.name]):
+			case o.action == start && (drainStarted || p != nil || now < startAt[o.name]):
 				return fmt.Errorf("%v: started %s", now, o.name)
-			case o.what == start:
-				alive[o.name] = &proc{ends: never}
-				if rng.IntN(3) == 0 { // it crashes
-					alive[o.name].ends = now + time.Duration(rng.Int64N(int64(5*time.Second)))
+			case o.action == start:
+				alive[o.name] = &process{endsAt: never}
+				if rng.IntN(3) == 0 { // the process will crash
+					alive[o.name].endsAt = now + time.Duration(rng.Int64N(int64(5*time.Second)))
 				}
 			case p == nil:
-				return fmt.Errorf("%v: %v to %s, which does not run", now, o.what, o.name)
-			case o.what == kill:
-				p.ends = now
-			case o.what == stop:
+				return fmt.Errorf("%v: order %v for %s, which does not run", now, o.action, o.name)
+			case o.action == kill:
+				p.endsAt = now
+			case o.action == stop:
 				if quick {
-					p.ends = min(p.ends, now+100*time.Millisecond)
-				} else if p.ends == never {
-					p.ends = now + time.Duration(rng.Int64N(int64(2*time.Second)))
+					p.endsAt = min(p.endsAt, now+100*time.Millisecond)
+				} else if p.endsAt == never {
+					p.endsAt = now + time.Duration(rng.Int64N(int64(2*time.Second)))
 					if slow && rng.IntN(3) == 0 {
-						p.ends = never
+						p.endsAt = never
 					}
 				}
 			}
 		}
-		if !asked {
+		if !drainStarted {
 			continue
 		}
 		n := 0
-		for _, u := range c.units {
-			if u.state == draining && !u.gone {
+		for _, u := range c.edgeNodes {
+			if u.state == draining && !u.fileRemoved {
 				n++
 			}
 		}
-		if n > 1 && !c.hasty && quick {
-			return fmt.Errorf("%v: %d drain at once: %s", now, n, c.states())
+		if n > 1 && !c.hurry && quick {
+			return fmt.Errorf("%v: %d edge nodes drain at once: %s", now, n, c.states())
 		}
-		if c.over() {
+		if c.finished() {
 			if len(alive) > 0 {
-				return fmt.Errorf("%v: over while %d run", now, len(alive))
+				return fmt.Errorf("%v: finished while %d processes run", now, len(alive))
 			}
 			return nil
 		}
-		if now > c.began+c.budget+time.Second {
-			return fmt.Errorf("%v: not over: %s", now, c.states())
+		if now > c.drainStartedAt+c.budget+time.Second {
+			return fmt.Errorf("%v: not finished: %s", now, c.states())
 		}
 	}
 }
--- a/cmd/valvering/garbage.go
+++ b/cmd/valvering/garbage.go
@@ -7,50 +7,51 @@
 	"time"
 )
 
-// The heap of an edge node before a small fleet is small, and memory is spent to save
-// processor time: it may grow to five times what lives. Before a large fleet that would be
-// most of its memory, so what it may grow by is bounded.
+// Limits of heap growth between garbage collections. Memory is traded for processor time: the small
+// heap of an edge node in a small fleet may grow to five times its live size. In a large fleet that
+// growth would take most of the memory, so it is bounded.
 const (
-	mostGCPercent  = 400
-	leastGCPercent = 50
-	mostGarbage    = 16 << 20 // bytes; where less lives than a quarter of it, mostGCPercent holds
-	gcLookEvery    = 100 * time.Millisecond
-	gcLeastChange  = 8 // a change by less than this fraction is not worth stopping the world
+	maxGCPercent       = 400
+	minGCPercent       = 50
+	maxGarbageBytes    = 16 << 20 // growth limit, unless minGCPercent requires more
+	gcCheckInterval    = 100 * time.Millisecond
+	gcMinChangeDivisor = 8 // smaller changes (current percentage / 8) don't justify stopping the world
 )
 
-// gcPercentFor is by how much the heap may grow over so many live bytes.
+// gcPercentFor returns the GOGC percentage for a heap of live bytes.
 func gcPercentFor(live uint64) int {
-	if live <= mostGarbage*100/mostGCPercent {
-		return mostGCPercent
+	if live <= maxGarbageBytes*100/maxGCPercent {
+		return maxGCPercent
 	}
-	return max(leastGCPercent, int(100*uint64(mostGarbage)/live))
+	return max(minGCPercent, int(100*uint64(maxGarbageBytes)/live))
 }
 
-// paceGC keeps the garbage collector's percentage by what lives, until ctx ends.
-func paceGC(ctx context.Context) {
-	percent := mostGCPercent
+// adjustGC sets the garbage collector's percentage according to the live heap, until ctx ends.
+func adjustGC(ctx context.Context) {
+	percent := maxGCPercent
 	debug.SetGCPercent(percent)
 	live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
-	look := time.NewTicker(gcLookEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(gcCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
 		metrics.Read(live)
 		if live[0].Value.Kind() != metrics.KindUint64 {
-			return // not told by this runtime
+			return // this runtime doesn't report the metric
 		}
-		if next := gcPercentFor(live[0].Value.Uint64()); worthSetting(percent, next) {
+		if next := gcPercentFor(live[0].Value.Uint64()); significantChange(percent, next) {
 			percent = next
 			debug.SetGCPercent(percent)
 		}
 	}
 }
 
-func worthSetting(percent, next int) bool {
+// significantChange reports whether the change of the percentage justifies stopping the world.
+func significantChange(percent, next int) bool {
 	change := max(percent-next, next-percent)
-	return change > percent/gcLeastChange || change > 0 && next == mostGCPercent
+	return change > percent/gcMinChangeDivisor || change > 0 && next == maxGCPercent
 }
--- a/cmd/valvering/idle_clients_test.go
+++ b/cmd/valvering/idle_clients_test.go
@@ -17,33 +17,34 @@
 	"valvering.example/valvering/internal/testkit"
 )
 
-// idleClients hold connections open and say nothing on them. One that is closed is opened
-// again, so that the edge node's descriptors stay as full as it lets them be.
+// idleClients hold connections open and send nothing on them. A closed connection is opened
+// again, so that the edge node always holds as many descriptors as it allows.
 type idleClients struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 }
 
+// fillDescriptors starts n idle clients.
 func fillDescriptors(addr string, n int) *idleClients {
 	i := &idleClients{stop: make(chan struct{})}
 	for range n {
-		i.wg.Go(func() { i.hold(addr) })
+		i.wg.Go(func() { i.holdConnection(addr) })
 	}
 	return i
 }
 
-// hold opens one connection after another until stop is closed.
-func (i *idleClients) hold(addr string) {
+// holdConnection opens one connection after another until stop is closed.
+func (i *idleClients) holdConnection(addr string) {
 	for {
 		if c, err := net.Dial("tcp", addr); err == nil {
-			ended := make(chan struct{})
-			go func() { _, _ = io.Copy(io.Discard, c); close(ended) }()
+			closed := make(chan struct{})
+			go func() { _, _ = io.Copy(io.Discard, c); close(closed) }()
 			select {
-			case <-ended:
+			case <-closed:
 			case <-i.stop:
 			}
 			c.Close()
-			<-ended
+			<-closed
 		}
 		select {
 		case <-i.stop:
@@ -53,23 +54,24 @@
 	}
 }
 
-func (i *idleClients) end() {
+func (i *idleClients) closeAll() {
 	close(i.stop)
 	i.wg.Wait()
 }
 
-// moved has the file name another discovery, which tells the list there is now.
-func (s *service) moved() {
-	s.disc = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// replaceDiscovery starts another discovery server, at a new address, with the current list.
+func (s *deployment) replaceDiscovery() {
+	s.discovery = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(10 * time.Millisecond)
-		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, s.rev.Load(), strings.Join(*s.list.Load(), ","))
+		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, s.revision.Load(),
+			strings.Join(*s.serverLines.Load(), ","))
 	}))
-	s.t.Cleanup(s.disc.Close)
+	s.t.Cleanup(s.discovery.Close)
 }
 
-// writeWithGrace puts a configuration in place in which sends to a draining server must end
-// within so many milliseconds.
-func (s *service) writeWithGrace(ms string) {
+// writeWithDrainGrace writes a configuration in which requests to a draining server must end
+// within ms milliseconds.
+func (s *deployment) writeWithDrainGrace(ms string) {
 	s.t.Helper()
 	s.write(`{"name":"dasar"}`)
 	text, err := os.ReadFile(s.config)
@@ -82,66 +84,75 @@
 	}
 }
 
-// Idle clients fill the descriptors while discovery is down. On every path that opens a watch
-// there is one left for it: the first call, the calls that follow a watch which broke or was
-// refused, several beside one another where an agent swallows them, and the first call at
+// Idle clients fill the descriptors while discovery is down. A descriptor must remain for the
+// watch in each case that opens one: the first call, the calls after a watch broke or was
+// refused, several concurrent calls to an agent that never answers, and the first call to
 // another address.
-func TestWatchIsOpenedBesideIdleClients(t *testing.T) {
-	for most, grace := range map[int]string{32: "250", 64: "2000"} { // the shorter, the more calls beside one another
+func TestWatchOpensDespiteIdleClients(t *testing.T) {
+	// the shorter the grace, the more concurrent calls
+	for maxDescriptors, grace := range map[int]string{32: "250", 64: "2000"} {
 		for _, path := range []string{"first call, silent", "first call, refused", "watch, silent", "watch, refused", "other address, silent"} {
-			t.Run(fmt.Sprintf("%d descriptors, %s", most, path), func(t *testing.T) {
-				s := newService(t)
-				s.most = most
-				s.more = fmt.Sprintf(`"known":{"rev":1,"all":true,"targets":[%s]},`, strings.Join(*s.list.Load(), ","))
-				s.writeWithGrace(grace)
+			t.Run(fmt.Sprintf("%d descriptors, %s", maxDescriptors, path), func(t *testing.T) {
+				s := newDeployment(t)
+				s.maxDescriptors = maxDescriptors
+				s.extraFields = fmt.Sprintf(`"known":{"rev":1,"all":true,"targets":[%s]},`,
+					strings.Join(*s.serverLines.Load(), ","))
+				s.writeWithDrainGrace(grace)
 				hold := make(chan struct{})
-				down := func() {
+				stopDiscovery := func() {
 					if strings.HasSuffix(path, "refused") {
-						s.down.Store(true)
+						s.discoveryDown.Store(true)
 					} else {
-						s.silent.Store(&hold)
+						s.discoveryHold.Store(&hold)
 					}
 				}
 				if strings.HasPrefix(path, "first call") {
-					down()
+					stopDiscovery()
 					s.start()
 				} else {
 					s.start()
-					list := newLender(s)
-					s.lenders = append(s.lenders, list)
-					s.tellList([]string{list.line(1<<10, 0)})
-					c := s.load(1)
-					testkit.Eventually(t, "work by discovery's list", func() bool { return list.ran.Load() > 0 })
+					listed := newTestServer(s)
+					s.servers = append(s.servers, listed)
+					s.setServers([]string{listed.line(1<<10, 0)})
+					c := s.startClients(1)
+					testkit.Eventually(t, "requests to a server of discovery's list", func() bool {
+						return listed.requests.Load() > 0
+					})
 					c.stop()
-					down()
+					stopDiscovery()
 				}
-				idle := fillDescriptors(s.listen, 3*most)
-				s.says("discovery does not answer")
-				testkit.Eventually(t, "the clients' descriptors used up", func() bool { return s.descriptors() >= most/2 })
-				c := s.loadOf(&clients{deadline: 2000, lossy: true, crowded: true}, 2)
-				for range 20 { // the operators' address takes its part too
-					_, _, _ = s.tryToOperate("GET", "/status")
+				idle := fillDescriptors(s.listen, 3*maxDescriptors)
+				s.awaitLog("discovery does not answer")
+				testkit.Eventually(t, "the descriptors for clients in use", func() bool {
+					return s.descriptors() >= maxDescriptors/2
+				})
+				c := s.startClientsLike(&clients{deadline: 2000, serversFail: true, descriptorsShort: true},
+					2)
+				for range 20 { // admin connections compete for descriptors too
+					_, _, _ = s.tryAdmin("GET", "/status")
 				}
-				c.more(20) // and idle ones give way to those that ask for something
-				fresh := newLender(s)
-				s.tellList([]string{fresh.line(1<<20, 0)})
+				c.awaitServed(20) // idle connections are closed in favour of those with requests
+				fresh := newTestServer(s)
+				s.setServers([]string{fresh.line(1<<20, 0)})
 				if strings.HasPrefix(path, "other address") {
-					s.moved()
-					s.writeWithGrace(grace)
+					s.replaceDiscovery()
+					s.writeWithDrainGrace(grace)
 					s.signal(syscall.SIGHUP)
 				} else {
-					s.silent.Store(nil)
-					s.down.Store(false)
+					s.discoveryHold.Store(nil)
+					s.discoveryDown.Store(false)
 					close(hold)
 				}
-				testkit.Eventually(t, "work by the new list", func() bool { return fresh.ran.Load() > 0 })
+				testkit.Eventually(t, "requests to a server of the new list", func() bool {
+					return fresh.requests.Load() > 0
+				})
 				c.stop()
-				idle.end()
+				idle.closeAll()
 				if strings.HasPrefix(path, "other address") {
 					close(hold)
 				}
 				if log := s.log.String(); strings.Contains(log, "too many open files") {
-					t.Errorf("no descriptor left:\n%s", log)
+					t.Errorf("the program ran out of descriptors:\n%s", log)
 				}
 			})
 		}
--- a/cmd/valvering/main.go
+++ b/cmd/valvering/main.go
@@ -1,6 +1,6 @@
-// Command valvering is one edge node on real sockets. It takes its settings
-// from the environment (GW_CONFIG and its like), takes over a new configuration
-// file on SIGHUP, and stops on SIGTERM once all that it has taken is answered.
+// Command valvering is one edge node on real sockets. It takes its settings from
+// the environment (GW_CONFIG and related variables), reloads the configuration
+// file on SIGHUP, and on SIGTERM exits after answering all accepted requests.
 package main
 
 import (
@@ -30,7 +30,7 @@
 	exitConfig = 2
 	exitServe  = 1
 
-	memoryPart = 0.7 // of the memory limit, from where on garbage is collected harder
+	memoryLimitFraction = 0.7 // of the memory limit; above it the garbage collector works harder
 )
 
 const usage = `usage: valvering             serve, with the configuration file that GW_CONFIG names
@@ -42,23 +42,23 @@
 
 func main() { os.Exit(start(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// start does what the arguments ask for.
-func start(args []string, out, errs io.Writer) int {
+// start runs the command that the arguments name and returns the exit code.
+func start(args []string, stdout, stderr io.Writer) int {
 	switch {
 	case len(args) == 0:
 		return run()
 	case len(args) == 1 && slices.Contains([]string{"-h", "-help", "--help", "help"}, args[0]):
-		fmt.Fprint(out, usage)
+		fmt.Fprint(stdout, usage)
 		return 0
 	case len(args) == 2 && args[0] == "check" && !strings.HasPrefix(args[1], "-"):
-		return check(args[1], out, errs)
+		return check(args[1], stdout, stderr)
 	}
-	fmt.Fprint(errs, usage)
+	fmt.Fprint(stderr, usage)
 	return exitConfig
 }
 
-// check tells what is wrong with a file, a line for each fault.
-func check(path string, out, errs io.Writer) int {
+// check validates a configuration file and prints one line for each fault.
+func check(path string, stdout, stderr io.Writer) int {
 	raw, err := config.ReadFile(path)
 	var f *config.File
 	if err == nil {
@@ -68,24 +68,24 @@
 	switch {
 	case errors.As(err, &faults):
 		for _, fault := range faults {
-			fmt.Fprintf(errs, "%s: %s\n", path, fault)
+			fmt.Fprintf(stderr, "%s: %s\n", path, fault)
 		}
 		return exitConfig
 	case err != nil:
-		fmt.Fprintf(errs, "%s: %v\n", path, err)
+		fmt.Fprintf(stderr, "%s: %v\n", path, err)
 		return exitConfig
 	}
 	for _, w := range f.Warnings {
-		fmt.Fprintf(errs, "%s: warning: %s\n", path, w)
+		fmt.Fprintf(stderr, "%s: warning: %s\n", path, w)
 	}
-	fmt.Fprintf(out, "%s: good, digest %s\n", path, config.DigestOf(raw))
+	fmt.Fprintf(stdout, "%s: good, digest %s\n", path, config.DigestOf(raw))
 	return 0
 }
 
-// recall reads the configuration, and what is kept where that or the environment
-// names a state directory. A directory that can't be used is no reason not to
-// serve: the edge node starts without it.
-func recall(src config.Source) (*config.History, *node.Kept, error) {
+// restore loads the configuration, and the stored snapshot if the configuration
+// or the environment names a state directory. The edge node serves without
+// snapshots if the state directory can't be used.
+func restore(src config.Source) (*config.History, *node.Kept, error) {
 	loaded := src.Load()
 	path, name := src.Getenv(config.StateDirEnv), src.Getenv("GW_NAME")
 	if loaded.Err == nil {
@@ -95,33 +95,33 @@
 		h, err := config.Start(loaded, time.Now())
 		return h, nil, err
 	}
-	kept, err := open(path, name)
+	stored, err := openState(path, name)
 	if err != nil {
-		slog.Error("the state directory can't be used; no snapshots are kept", "err", err)
+		slog.Error("cannot use the state directory; no snapshots will be written", "err", err)
 		h, err := config.Start(loaded, time.Now())
 		return h, nil, err
 	}
-	found := kept.Found
+	found := stored.Found
 	for _, p := range found.Problems {
 		slog.Warn("snapshot passed over", "why", p)
 	}
 	if found.State == nil {
 		h, err := config.Start(loaded, time.Now())
-		return h, kept, err
+		return h, stored, err
 	}
 	h, notes, err := config.Resume(loaded, found.State.Current, found.State.Before, found.State.Left, time.Now())
 	for _, n := range notes {
 		slog.Warn("configuration", "note", n)
 	}
-	return h, kept, err
+	return h, stored, err
 }
 
-// openWait is how long the state directory may take: a disk may hang.
-const openWait = 5 * time.Second
+// openTimeout limits the time for reading the state directory: a disk may hang.
+const openTimeout = 5 * time.Second
 
-// open reads what is kept in a state directory.
-func open(path, name string) (*node.Kept, error) {
-	kept, err := bounded.Do(openWait, func() (*node.Kept, error) {
+// openState opens a state directory and reads its latest snapshot.
+func openState(path, name string) (*node.Kept, error) {
+	stored, err := bounded.Do(openTimeout, func() (*node.Kept, error) {
 		dir, err := snapshot.OpenDir(path)
 		if err != nil {
 			return nil, err
@@ -130,42 +130,44 @@
 		return &node.Kept{Store: store, Found: found}, nil
 	})
 	if errors.Is(err, bounded.ErrLate) {
-		return nil, fmt.Errorf("%s: not read within %v", path, openWait)
+		return nil, fmt.Errorf("%s: reading took longer than %v", path, openTimeout)
 	}
-	return kept, err
+	return stored, err
 }
 
+// run serves until a shutdown signal and returns the exit code.
 func run() int {
-	// Caught from the start: by default they would end the process, and one that comes while
-	// it starts is to find a planned stop. A log that nobody reads any more ends nothing.
-	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 2) // a second SIGTERM hastens
+	// Signals are caught from the start. By default they would end the process, but a signal
+	// during startup must lead to an orderly shutdown as well. SIGPIPE is ignored so that a log
+	// that nobody reads doesn't end the process.
+	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 2) // a second SIGTERM hastens the shutdown
 	signal.Notify(hup, syscall.SIGHUP)
 	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGPIPE)
-	errs := newTape(os.Stderr)
-	defer errs.End()
-	slog.SetDefault(slog.New(slog.NewTextHandler(errs, nil)))
+	logOutput := newLogWriter(os.Stderr)
+	defer logOutput.Close()
+	slog.SetDefault(slog.New(slog.NewTextHandler(logOutput, nil)))
 	runtime.GOMAXPROCS(1) // an edge node has one core
-	history, kept, err := recall(config.Source{Getenv: os.Getenv})
+	history, stored, err := restore(config.Source{Getenv: os.Getenv})
 	if err != nil {
-		fmt.Fprintln(errs, "valvering: configuration:", err)
+		fmt.Fprintln(logOutput, "valvering: configuration:", err)
 		return exitConfig
 	}
 	cfg := history.Current().File
-	collecting, endCollecting := context.WithCancel(context.Background())
-	defer endCollecting()
-	go paceGC(collecting)
+	gcContext, stopGC := context.WithCancel(context.Background())
+	defer stopGC()
+	go adjustGC(gcContext)
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(cfg.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(cfg.MemoryMB) * (1 << 20)))
 	}
-	n, err := node.New(history, kept)
+	n, err := node.New(history, stored)
 	if err != nil {
-		fmt.Fprintln(errs, "valvering:", err)
+		fmt.Fprintln(logOutput, "valvering:", err)
 		return exitConfig
 	}
 	if cfg.Admin.IsValid() {
-		ctx, end := context.WithCancel(context.Background()) // a planned stop can be looked at too
-		defer end()
+		ctx, cancel := context.WithCancel(context.Background()) // the admin server stays up during a shutdown
+		defer cancel()
 		admin.Open(ctx, cfg.Admin, n)
 	}
 	slog.Info("serving", "name", cfg.Name, "addr", n.Addr().String())
--- a/cmd/valvering/main_test.go
+++ b/cmd/valvering/main_test.go
@@ -16,33 +16,34 @@
 	"time"
 )
 
-// The test binary stands in for the program when it is told so.
+// The test binary acts as the program if VALVERING_TEST_RUN is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("VALVERING_TEST_RUN") != "" {
 		os.Exit(start(nil, os.Stdout, os.Stderr))
 	}
 	code := m.Run()
-	if programDir != "" {
-		os.RemoveAll(programDir)
+	if buildDir != "" {
+		os.RemoveAll(buildDir)
 	}
 	os.Exit(code)
 }
 
-var programDir string // where build has put it; empty: nowhere yet
+var buildDir string // where build put the program; empty: not built yet
 
-// build makes the real program, once for all tests that play it.
+// build compiles the real program once for all tests that run it.
 var build = sync.OnceValues(func() (path string, err error) {
-	if programDir, err = os.MkdirTemp("", "valvering-"); err != nil {
+	if buildDir, err = os.MkdirTemp("", "valvering-"); err != nil {
 		return "", err
 	}
-	path = filepath.Join(programDir, "valvering")
+	path = filepath.Join(buildDir, "valvering")
 	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", path, ".").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w\n%s", err, out)
 	}
 	return path, nil
 })
 
-func built(t testing.TB) string {
+// buildProgram returns the path of the compiled program.
+func buildProgram(t testing.TB) string {
 	t.Helper()
 	path, err := build()
 	if err != nil {
@@ -51,7 +52,9 @@
 	return path
 }
 
-func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+// testCommand returns a command that runs the test binary as the program with the given configuration,
+// and the buffer for its standard error.
+func testCommand(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -64,14 +67,14 @@
 	return cmd, &out
 }
 
-// Operators must see what is wrong with a configuration, and the platform that
-// the edge node did not start.
+// A broken configuration ends the program with exitConfig, so that the platform notices that the
+// edge node did not start, and the log shows operators what is wrong.
 func TestBrokenConfiguration(t *testing.T) {
 	for config, want := range map[string]string{
 		`{`:                        "unexpected end of JSON",
 		`{"listen":"127.0.0.1:0"}`: "discovery",
 	} {
-		cmd, out := program(t, config)
+		cmd, out := testCommand(t, config)
 		var exit *exec.ExitError
 		if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != exitConfig || !strings.Contains(out.String(), want) {
 			t.Errorf("%s: %v, %q, want exit code %d and %q", config, err, out, exitConfig, want)
@@ -79,25 +82,25 @@
 	}
 }
 
-// SIGTERM ends the program with code 0 once all is answered; SIGHUP does not
-// end it.
+// SIGTERM ends the program with code 0 once all requests are answered; SIGHUP
+// doesn't end it.
 func TestTerminates(t *testing.T) {
-	asked := make(chan struct{}, 100)
-	disc := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discoveryCalled := make(chan struct{}, 100)
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case asked <- struct{}{}:
+		case discoveryCalled <- struct{}{}:
 		default:
 		}
 		_, _ = w.Write([]byte(`{"rev":1,"all":true,"targets":[]}`))
 	}))
-	defer disc.Close()
-	cmd, out := program(t, `{"listen":"127.0.0.1:0","discovery":"`+disc.Listener.Addr().String()+`","settings":
+	defer discovery.Close()
+	cmd, out := testCommand(t, `{"listen":"127.0.0.1:0","discovery":"`+discovery.Listener.Addr().String()+`","settings":
 		{"me":0,"balancers":1,"tick_ms":1,"classes":[{"name":"c","aim_ms":1,"hard_limit_ms":2,"semantics":"once"}],
 		"plans":[{"name":"p"}]}}`)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	<-asked // it runs: signals are caught by then
+	<-discoveryCalled // the program runs and catches signals by now
 	for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		if err := cmd.Process.Signal(sig); err != nil {
 			t.Fatal(err)
@@ -112,11 +115,11 @@
 		}
 	case <-time.After(20 * time.Second):
 		_ = cmd.Process.Kill()
-		t.Error("did not end")
+		t.Error("the program did not exit")
 	}
 }
 
-// check names every fault, each with its field, and tells by its exit code.
+// check prints every fault with its field and reports failure by its exit code.
 func TestCheckCommand(t *testing.T) {
 	write := func(text string) string {
 		path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/valvering/measure_test.go
+++ b/cmd/valvering/measure_test.go
@@ -24,44 +24,45 @@
 	"valvering.example/valvering/policy"
 )
 
-// The harness for docs/MEASUREMENTS.md: the real program under a fixed load.
+// The harness for docs/MEASUREMENTS.md runs the real program under a fixed load.
 
 var otherProgram = flag.String("program", "", "measure this program instead of one built from here")
 
-// measured is a large deployment round one edge node.
-type measured struct {
-	b       *testing.B
-	program string
-	dir     string
-	listen  string
-	admin   string
-	targets string
-	server  *httptest.Server
-	disc    *httptest.Server
-	answer  string // how discovery answers: at once, slow, refuses, silent
+// benchSetup is one edge node with the servers and customers of a large deployment.
+type benchSetup struct {
+	b             *testing.B
+	program       string
+	dir           string
+	listen        string
+	admin         string
+	targets       string
+	server        *httptest.Server
+	discovery     *httptest.Server
+	discoveryMode string // at once, slow, refuses or silent
 }
 
 const (
-	measuredServers   = 200
-	measuredCustomers = 10000
+	benchServers   = 200
+	benchCustomers = 10000
 )
 
-func newMeasured(b *testing.B) *measured {
+func newBenchSetup(b *testing.B) *benchSetup {
 	b.Helper()
-	m := &measured{b: b, program: *otherProgram, dir: b.TempDir(), listen: testkit.FreeAddr(b), admin: testkit.FreeAddr(b), answer: "at once"}
+	m := &benchSetup{b: b, program: *otherProgram, dir: b.TempDir(), listen: testkit.FreeAddr(b),
+		admin: testkit.FreeAddr(b), discoveryMode: "at once"}
 	if m.program == "" {
-		m.program = built(b)
+		m.program = buildProgram(b)
 	}
 	m.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
 	b.Cleanup(m.server.Close)
 	var lines []string
-	for i := range measuredServers {
+	for i := range benchServers {
 		lines = append(lines, fmt.Sprintf(`{"uid":"s-%08x","endpoint":%q,"az":"a","state":"SERVING","capacity_hint":1,"boot_ms":0}`,
 			i+1, m.server.Listener.Addr()))
 	}
 	m.targets = strings.Join(lines, ",")
-	m.disc = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch m.answer {
+	m.discovery = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		switch m.discoveryMode {
 		case "slow":
 			time.Sleep(700 * time.Millisecond)
 		case "refuses":
@@ -81,28 +82,28 @@
 		}
 		fmt.Fprintf(w, `{"rev":7,"all":true,"targets":[%s]}`, m.targets)
 	}))
-	b.Cleanup(m.disc.Close)
+	b.Cleanup(m.discovery.Close)
 	return m
 }
 
-// write puts the configuration in place; more are further fields.
-func (m *measured) write(more string) string {
+// write writes the configuration with extraFields and returns its path.
+func (m *benchSetup) write(extraFields string) string {
 	path := filepath.Join(m.dir, "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1",%s
 		"limits":{"cores":1,"memory_mb":192,"sockets":512},"settings":{"me":0,"balancers":1,"zone":"a","tick_ms":2,"discovery":"push",
 		"caps":{"max_attempts":6,"cancel":true,"retry_after":true,"max_retry_after_ms":1000,"dial_timeout_ms":250,"conn_idle_ms":15000},
 		"family_info":{"largest":6},"rules":{"drain_grace_ms":2000},
 		"classes":[{"name":"katalog","aim_ms":300,"hard_limit_ms":1000,"semantics":"repeatable","group":"all"}],
-		"plans":[{"name":"dasar","rate":1000,"store_size":5000}]}}`, m.listen, m.disc.Listener.Addr(), more)
+		"plans":[{"name":"dasar","rate":1000,"store_size":5000}]}}`, m.listen, m.discovery.Listener.Addr(), extraFields)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		m.b.Fatal(err)
 	}
 	return path
 }
 
-// start runs the program and tells how long it took until it was ready, and until
-// its first request was served; -1: longer than most.
-func (m *measured) start(config string, most time.Duration) (cmd *exec.Cmd, ready, served time.Duration) {
+// start runs the program and returns the times until it was ready and until its
+// first request was served; a time over limit is -1.
+func (m *benchSetup) start(config string, limit time.Duration) (cmd *exec.Cmd, ready, served time.Duration) {
 	cmd = exec.Command(m.program)
 	cmd.Env = []string{"GW_CONFIG=" + config}
 	began := time.Now()
@@ -110,7 +111,7 @@
 		m.b.Fatal(err)
 	}
 	ready, served = -1, -1
-	for time.Since(began) < most {
+	for time.Since(began) < limit {
 		resp, err := http.Get("http://" + m.listen + "/healthz")
 		if err == nil {
 			resp.Body.Close()
@@ -121,12 +122,12 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	for id := 0; ready > 0 && time.Since(began) < most; id++ {
+	for id := 0; ready > 0 && time.Since(began) < limit; id++ {
 		c, err := net.Dial("tcp", m.listen)
 		if err != nil {
 			continue
 		}
-		code, err := m.one(c, bufio.NewReader(c), fmt.Sprintf("first-%d", id), 1)
+		code, err := m.exchange(c, bufio.NewReader(c), fmt.Sprintf("first-%d", id), 1)
 		c.Close()
 		if err == nil && code == 200 {
 			served = time.Since(began)
@@ -137,8 +138,8 @@
 	return cmd, ready, served
 }
 
-// one sends a request and reads the answer.
-func (m *measured) one(c net.Conn, br *bufio.Reader, id string, customer int) (int, error) {
+// exchange sends a request, reads the answer and returns its status code.
+func (m *benchSetup) exchange(c net.Conn, br *bufio.Reader, id string, customer int) (int, error) {
 	if _, err := fmt.Fprintf(c, "GET /katalog HTTP/1.1\r\nHost: app\r\nX-Request-Id: %s\r\nX-Class: katalog\r\nX-Tier: dasar\r\n"+
 		"Cookie: key=%016x\r\nX-Deadline-Ms: 1000\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", id, customer); err != nil {
 		return 0, err
@@ -151,8 +152,8 @@
 	return resp.StatusCode, err
 }
 
-// cpu is what a process has used, by the kernel's count.
-func cpu(b *testing.B, pid int) time.Duration {
+// cpuTime returns the processor time that a process has used, by the kernel's count.
+func cpuTime(b *testing.B, pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Fatal(err)
@@ -163,68 +164,69 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// run sends n requests of ever other customers at a steady pace and tells the
-// process's CPU for them.
-func (m *measured) run(cmd *exec.Cmd, n int, every time.Duration) time.Duration {
+// sendRequests sends n requests of changing customers at a fixed interval and returns the
+// process's processor time for them.
+func (m *benchSetup) sendRequests(cmd *exec.Cmd, n int, interval time.Duration) time.Duration {
 	c, err := net.Dial("tcp", m.listen)
 	if err != nil {
 		m.b.Fatal(err)
 	}
 	defer c.Close()
 	br := bufio.NewReader(c)
-	before, next := cpu(m.b, cmd.Process.Pid), time.Now()
+	before, next := cpuTime(m.b, cmd.Process.Pid), time.Now()
 	for i := range n {
-		if code, err := m.one(c, br, fmt.Sprintf("r-%d", i), i%measuredCustomers+1); err != nil || code != 200 {
-			m.b.Fatalf("request %d: %d, %v", i, code, err)
+		if code, err := m.exchange(c, br, fmt.Sprintf("r-%d", i), i%benchCustomers+1); err != nil ||
+			code != 200 {
+			m.b.Fatalf("request %d: status %d, %v", i, code, err)
 		}
-		next = next.Add(every)
+		next = next.Add(interval)
 		time.Sleep(time.Until(next))
 	}
-	return cpu(m.b, cmd.Process.Pid) - before
+	return cpuTime(m.b, cmd.Process.Pid) - before
 }
 
-func end(cmd *exec.Cmd) {
+func killProcess(cmd *exec.Cmd) {
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
 }
 
-// BenchmarkRequest tells the CPU of a request where nothing new is configured. Two
-// programs are compared by running it in turn with -program and without.
+// BenchmarkRequest measures the processor time of a request without optional settings. To
+// compare two programs, run it alternately with -program and without.
 func BenchmarkRequest(b *testing.B) {
-	m := newMeasured(b)
+	m := newBenchSetup(b)
 	cmd, _, served := m.start(m.write(""), 5*time.Second)
-	defer end(cmd)
+	defer killProcess(cmd)
 	if served < 0 {
 		b.Fatal("never served")
 	}
-	m.run(cmd, 2000, 0)
+	m.sendRequests(cmd, 2000, 0)
 	b.ResetTimer()
-	used := m.run(cmd, b.N, 0)
+	used := m.sendRequests(cmd, b.N, 0)
 	b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-us/request")
 }
 
-// BenchmarkStart tells the times from a start to ready and to the first request
-// served, by what the edge node knows and how discovery answers.
+// BenchmarkStart measures the times from start to ready and to the first served request, by
+// what the edge node knows and how discovery answers.
 func BenchmarkStart(b *testing.B) {
-	const most = 4 * time.Second
+	const limit = 4 * time.Second
 	for _, answer := range []string{"at once", "slow", "refuses", "silent"} {
-		for _, knows := range []string{"nothing", "known list", "snapshot"} {
-			b.Run(answer+"/"+knows, func(b *testing.B) {
-				m := newMeasured(b)
-				m.answer = answer
+		for _, known := range []string{"nothing", "known list", "snapshot"} {
+			b.Run(answer+"/"+known, func(b *testing.B) {
+				m := newBenchSetup(b)
+				m.discoveryMode = answer
 				var ready, served []float64
 				for range b.N {
-					more := ""
-					switch knows {
+					extraFields := ""
+					switch known {
 					case "known list":
-						more = fmt.Sprintf(`"known":{"rev":6,"all":true,"targets":[%s]},`, m.targets)
+						extraFields = fmt.Sprintf(`"known":{"rev":6,"all":true,"targets":[%s]},`, m.targets)
 					case "snapshot":
 						state := filepath.Join(b.TempDir(), "state")
-						more = fmt.Sprintf(`"valvering":{"state_dir":%q},`, state)
-						m.keep(state, m.write(more))
+						extraFields = fmt.Sprintf(`"valvering":{"state_dir":%q},`, state)
+						m.writeSnapshot(state, m.write(extraFields))
 					}
-					cmd, r, s := m.start(m.write(more), most)
-					end(cmd)
+					cmd, r, s := m.start(m.write(extraFields), limit)
+					killProcess(cmd)
 					ready, served = append(ready, r.Seconds()*1e3), append(served, s.Seconds()*1e3)
 				}
 				slices.Sort(ready)
@@ -237,8 +239,8 @@
 	}
 }
 
-// keep writes what an edge node would have kept at a planned stop.
-func (m *measured) keep(path, file string) {
+// writeSnapshot writes the snapshot that an edge node would have written at its shutdown.
+func (m *benchSetup) writeSnapshot(path, file string) {
 	dir, err := snapshot.OpenDir(path)
 	if err != nil {
 		m.b.Fatal(err)
@@ -251,14 +253,14 @@
 	st := &snapshot.State{Taken: snapshot.Now(), Clean: true, List: &roster.List{Rev: 7, All: true},
 		Current: config.Kept{Number: 1, Digest: config.DigestOf(raw), Time: time.Now(), Raw: raw},
 		Memory:  policy.Memory{Tokens: map[uint64]float64{}}}
-	for i := range measuredServers {
+	for i := range benchServers {
 		uid := fmt.Sprintf("s-%08x", i+1)
 		st.List.Targets = append(st.List.Targets, roster.Target{UID: uid, Endpoint: m.server.Listener.Addr().String(),
 			Zone: "a", State: "SERVING", Weight: 1})
 		st.Memory.Servers = append(st.Memory.Servers, policy.ServerMemory{ID: roster.ID(uid), Slow: 1.2, Pace: 1.2,
 			Faults: []policy.FaultMemory{{Class: "katalog", Errs: 0.1}}})
 	}
-	for i := range measuredCustomers {
+	for i := range benchCustomers {
 		st.Memory.Tokens[uint64(i)] = float64(i % 5000)
 	}
 	store, _ := snapshot.Open(dir, "n0")
@@ -269,31 +271,32 @@
 	m.b.ReportMetric(float64(n), "snapshot-bytes")
 }
 
-// BenchmarkKeeping tells what snapshots cost beside a steady load of 500 requests
-// a second from 10,000 customers, b.N of them.
-func BenchmarkKeeping(b *testing.B) {
-	for _, where := range []string{"off", "on"} {
-		b.Run(where, func(b *testing.B) {
-			m := newMeasured(b)
-			more := fmt.Sprintf(`"valvering":{"admin":%q},`, m.admin)
-			if where == "on" {
-				more = fmt.Sprintf(`"valvering":{"admin":%q,"state_dir":%q},`, m.admin, filepath.Join(b.TempDir(), "state"))
+// BenchmarkSnapshots measures what snapshots cost beside a steady load of b.N requests at
+// 500 requests a second from 10,000 customers.
+func BenchmarkSnapshots(b *testing.B) {
+	for _, snapshots := range []string{"off", "on"} {
+		b.Run(snapshots, func(b *testing.B) {
+			m := newBenchSetup(b)
+			extraFields := fmt.Sprintf(`"valvering":{"admin":%q},`, m.admin)
+			if snapshots == "on" {
+				extraFields = fmt.Sprintf(`"valvering":{"admin":%q,"state_dir":%q},`, m.admin,
+					filepath.Join(b.TempDir(), "state"))
 			}
-			cmd, _, served := m.start(m.write(more), 5*time.Second)
-			defer end(cmd)
+			cmd, _, served := m.start(m.write(extraFields), 5*time.Second)
+			defer killProcess(cmd)
 			if served < 0 {
 				b.Fatal("never served")
 			}
-			m.run(cmd, measuredCustomers, 0)
-			s := &service{t: b, admin: m.admin}
-			_, before := s.operate("GET", "/status")
+			m.sendRequests(cmd, benchCustomers, 0)
+			s := &deployment{t: b, admin: m.admin}
+			_, before := s.callAdmin("GET", "/status")
 			began := time.Now()
 			b.ResetTimer()
-			used := m.run(cmd, b.N, 2*time.Millisecond)
+			used := m.sendRequests(cmd, b.N, 2*time.Millisecond)
 			b.StopTimer()
 			took := time.Since(began).Seconds()
 			b.ReportMetric(used.Seconds()*1e3/took, "cpu-ms/s")
-			if _, after := s.operate("GET", "/status"); where == "on" {
+			if _, after := s.callAdmin("GET", "/status"); snapshots == "on" {
 				b.ReportMetric(float64(after.Snapshots.Bytes-before.Snapshots.Bytes)/took, "bytes/s")
 				b.ReportMetric(2*float64(after.Snapshots.Written-before.Snapshots.Written)/took, "syncs/s")
 			}
--- a/cmd/valvering/service_test.go
+++ b/cmd/valvering/service_test.go
@@ -24,57 +24,58 @@
 	"valvering.example/valvering/internal/testkit"
 )
 
-// service is the real program with what stands round it: discovery, lending
-// servers, clients and an operator.
-type service struct {
-	t       testing.TB
-	program string
-	config  string
-	state   string
-	listen  string
-	admin   string
-	disc    *httptest.Server
-	down    atomic.Bool                   // discovery refuses
-	silent  atomic.Pointer[chan struct{}] // discovery says nothing until it is closed; nil: it answers
-	rev     atomic.Int64
-	list    atomic.Pointer[[]string] // the list's lines
-	lenders []*lender
-	id      atomic.Int64 // of the requests
-	more    string       // further fields of the configuration
-	nodes   int          // of the tier
-	most    int          // descriptors that the system allows the program; 0: as many as it allows the test
-	ran     sync.Map     // how often a lending server was sent each request
-
-	cmd *exec.Cmd
-	log *testkit.Log
-	out *os.File // where the program writes instead; nil: to log
-}
-
-func newService(t testing.TB) *service {
+// deployment is the real program with everything it needs: discovery, servers, clients and
+// an operator.
+type deployment struct {
+	t              testing.TB
+	program        string
+	config         string
+	stateDir       string
+	listen         string
+	admin          string
+	discovery      *httptest.Server
+	discoveryDown  atomic.Bool                   // discovery refuses calls
+	discoveryHold  atomic.Pointer[chan struct{}] // discovery answers once it is closed; nil: at once
+	revision       atomic.Int64
+	serverLines    atomic.Pointer[[]string] // discovery's list, one line a server
+	servers        []*testServer
+	lastID         atomic.Int64 // of request ids
+	extraFields    string       // further fields of the configuration
+	nodes          int          // edge nodes in the fleet
+	maxDescriptors int          // the program's descriptor limit; 0: the limit of the test process
+	attempts       sync.Map     // request id → attempts that reached a server
+
+	cmd     *exec.Cmd
+	log     *testkit.Log
+	logFile *os.File // the program writes here instead of to log, unless nil
+}
+
+func newDeployment(t testing.TB) *deployment {
 	t.Helper()
-	s := &service{t: t, nodes: 1, config: filepath.Join(t.TempDir(), "config.json"), state: filepath.Join(t.TempDir(), "state"),
-		listen: testkit.FreeAddr(t), admin: testkit.FreeAddr(t)}
-	s.program = built(t)
+	s := &deployment{t: t, nodes: 1, config: filepath.Join(t.TempDir(), "config.json"),
+		stateDir: filepath.Join(t.TempDir(), "state"),
+		listen:   testkit.FreeAddr(t), admin: testkit.FreeAddr(t)}
+	s.program = buildProgram(t)
 	var lines []string
 	for i := range 2 {
-		l := newLender(s)
-		s.lenders = append(s.lenders, l)
+		l := newTestServer(s)
+		s.servers = append(s.servers, l)
 		lines = append(lines, l.line(i+1, 0))
 	}
-	s.tellList(lines)
-	s.disc = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if hold := s.silent.Load(); hold != nil {
+	s.setServers(lines)
+	s.discovery = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if hold := s.discoveryHold.Load(); hold != nil {
 			select {
 			case <-r.Context().Done():
 				return
 			case <-*hold:
 			}
 		}
-		if s.down.Load() {
+		if s.discoveryDown.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if since := r.URL.Query().Get("since"); since == fmt.Sprint(s.rev.Load()) {
+		if since := r.URL.Query().Get("since"); since == fmt.Sprint(s.revision.Load()) {
 			select {
 			case <-r.Context().Done():
 			case <-time.After(50 * time.Millisecond):
@@ -82,51 +83,51 @@
 			fmt.Fprintf(w, `{"rev":%s,"all":false,"targets":[]}`, since)
 			return
 		}
-		rev, list := s.rev.Load(), s.list.Load()
+		rev, list := s.revision.Load(), s.serverLines.Load()
 		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, rev, strings.Join(*list, ","))
 	}))
-	t.Cleanup(s.disc.Close)
+	t.Cleanup(s.discovery.Close)
 	return s
 }
 
-// tellList has discovery tell another list.
-func (s *service) tellList(lines []string) {
-	s.list.Store(&lines)
-	s.rev.Add(1)
+// setServers changes discovery's list.
+func (s *deployment) setServers(lines []string) {
+	s.serverLines.Store(&lines)
+	s.revision.Add(1)
 }
 
-// lender is a lending server. While it is dark it takes nothing in and answers nothing,
-// and open connections stay open.
-type lender struct {
+// testServer is a server that can be blocked: it then accepts and answers nothing, while
+// open connections stay open.
+type testServer struct {
 	net.Listener
-	s    *service
-	http *httptest.Server
-	dark atomic.Pointer[chan struct{}]
-	ran  atomic.Int64
+	s        *deployment
+	http     *httptest.Server
+	blocked  atomic.Pointer[chan struct{}]
+	requests atomic.Int64
 
 	mu    sync.Mutex
-	conns []net.Conn // accepted, some of them closed since
+	conns []net.Conn // accepted connections; some may be closed
 }
 
-func newLender(s *service) *lender {
-	l := &lender{s: s}
+func newTestServer(s *deployment) *testServer {
+	l := &testServer{s: s}
 	l.http = httptest.NewUnstartedServer(l)
 	l.Listener = l.http.Listener
 	l.http.Listener = l
 	l.http.Start()
-	s.t.Cleanup(func() { l.light(); l.http.Close() })
+	s.t.Cleanup(func() { l.unblock(); l.http.Close() })
 	return l
 }
 
-// line is what discovery tells of it.
-func (l *lender) line(uid int, boot int64) string {
+// line is discovery's description of the server.
+func (l *testServer) line(uid int, boot int64) string {
 	return fmt.Sprintf(`{"uid":"s-%08x","endpoint":%q,"az":"a","state":"SERVING","capacity_hint":1,"boot_ms":%d}`, uid, l.Addr(), boot)
 }
 
-func (l *lender) Accept() (net.Conn, error) {
+func (l *testServer) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	if dark := l.dark.Load(); dark != nil {
-		<-*dark
+	if blocked := l.blocked.Load(); blocked != nil {
+		<-*blocked
 	}
 	if err == nil {
 		l.mu.Lock()
@@ -136,46 +137,46 @@
 	return c, err
 }
 
-// reset breaks all its connections at once, as a machine does that is back and knows none
-// of them.
-func (l *lender) reset() {
+// reset resets all connections at once, as a rebooted machine does that doesn't know them.
+func (l *testServer) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // it may be closed
+			_ = tcp.SetLinger(0) // the connection may already be closed
 		}
 		c.Close()
 	}
 	l.conns = nil
 }
 
-func (l *lender) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if dark := l.dark.Load(); dark != nil {
-		<-*dark
-		panic(http.ErrAbortHandler) // it has lost what it was asked
+func (l *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if blocked := l.blocked.Load(); blocked != nil {
+		<-*blocked
+		panic(http.ErrAbortHandler) // the request is lost
 	}
 	id := r.Header.Get("X-Request-Id")
-	n, _ := l.s.ran.LoadOrStore(id, new(atomic.Int32))
+	n, _ := l.s.attempts.LoadOrStore(id, new(atomic.Int32))
 	n.(*atomic.Int32).Add(1)
-	l.ran.Add(1)
+	l.requests.Add(1)
 	fmt.Fprint(w, id)
 }
 
-func (l *lender) darken() {
-	dark := make(chan struct{})
-	l.dark.Store(&dark)
+// block makes the server accept and answer nothing.
+func (l *testServer) block() {
+	blocked := make(chan struct{})
+	l.blocked.Store(&blocked)
 }
 
-func (l *lender) light() {
-	if dark := l.dark.Swap(nil); dark != nil {
-		close(*dark)
+// unblock ends a block.
+func (l *testServer) unblock() {
+	if blocked := l.blocked.Swap(nil); blocked != nil {
+		close(*blocked)
 	}
 }
 
-// write puts a configuration in place by rename. Its list of plans is what the
-// test changes.
-func (s *service) write(plans string) {
+// write replaces the configuration by rename. Tests vary the list of plans.
+func (s *deployment) write(plans string) {
 	s.t.Helper()
 	peers := ""
 	if s.nodes > 1 {
@@ -188,7 +189,7 @@
 		"family_info":{"largest":6,"mail_per_s":100},"rules":{"drain_grace_ms":2000},
 		"classes":[{"name":"katalog","aim_ms":300,"hard_limit_ms":10000,"semantics":"repeatable","group":"all"},
 		{"name":"perpanjang","aim_ms":1500,"hard_limit_ms":10000,"semantics":"once"}],
-		"plans":[%s]}}`, s.listen, s.disc.Listener.Addr(), s.more, s.admin, s.state, s.nodes, peers, plans)
+		"plans":[%s]}}`, s.listen, s.discovery.Listener.Addr(), s.extraFields, s.admin, s.stateDir, s.nodes, peers, plans)
 	if err := os.WriteFile(s.config+".new", []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
@@ -197,25 +198,26 @@
 	}
 }
 
-// start runs the program until it is ready.
-func (s *service) start() {
+// start launches the program and waits until it is ready.
+func (s *deployment) start() {
 	s.t.Helper()
-	s.begin()
+	s.launch()
 	testkit.Eventually(s.t, "ready", func() bool { return s.health() == 200 })
 }
 
-// begin runs the program.
-func (s *service) begin() {
+// launch starts the program.
+func (s *deployment) launch() {
 	s.t.Helper()
 	s.log = &testkit.Log{}
 	s.cmd = exec.Command(s.program)
-	if s.most > 0 {
-		s.cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", s.most, s.program))
+	if s.maxDescriptors > 0 {
+		s.cmd = exec.Command("/bin/sh", "-c",
+			fmt.Sprintf("ulimit -n %d; exec %s", s.maxDescriptors, s.program))
 	}
 	s.cmd.Env = []string{"GW_CONFIG=" + s.config, "PATH=" + os.Getenv("PATH")}
 	s.cmd.Stdout, s.cmd.Stderr = s.log, s.log
-	if s.out != nil {
-		s.cmd.Stdout, s.cmd.Stderr = s.out, s.out
+	if s.logFile != nil {
+		s.cmd.Stdout, s.cmd.Stderr = s.logFile, s.logFile
 	}
 	if err := s.cmd.Start(); err != nil {
 		s.t.Fatal(err)
@@ -224,8 +226,8 @@
 	s.t.Cleanup(func() { _ = cmd.Process.Kill() })
 }
 
-// health is the answer to the question for readiness; 0: none.
-func (s *service) health() int {
+// health returns the status code of the readiness check; 0: no answer.
+func (s *deployment) health() int {
 	resp, err := http.Get("http://" + s.listen + "/healthz")
 	if err != nil {
 		return 0
@@ -234,31 +236,31 @@
 	return resp.StatusCode
 }
 
-// says waits until the program's log has something in it: it is written beside the work.
-func (s *service) says(want string) {
+// awaitLog waits until the log contains want: the program writes it asynchronously.
+func (s *deployment) awaitLog(want string) {
 	s.t.Helper()
 	testkit.Eventually(s.t, fmt.Sprintf("%q in the log", want), func() bool { return strings.Contains(s.log.String(), want) })
 }
 
-func (s *service) signal(sig syscall.Signal) {
+func (s *deployment) signal(sig syscall.Signal) {
 	s.t.Helper()
 	if err := s.cmd.Process.Signal(sig); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// operate calls the operators' address.
-func (s *service) operate(method, path string) (int, adminStatus) {
+// callAdmin calls the admin server.
+func (s *deployment) callAdmin(method, path string) (int, adminStatus) {
 	s.t.Helper()
-	code, st, err := s.tryToOperate(method, path)
+	code, st, err := s.tryAdmin(method, path)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	return code, st
 }
 
-// tryToOperate does so where descriptors may be short.
-func (s *service) tryToOperate(method, path string) (code int, st adminStatus, err error) {
+// tryAdmin is callAdmin for tests in which descriptors may run short.
+func (s *deployment) tryAdmin(method, path string) (code int, st adminStatus, err error) {
 	r, err := http.NewRequest(method, "http://"+s.admin+path, nil)
 	if err != nil {
 		return 0, st, err
@@ -280,39 +282,39 @@
 	Loop               struct{ Looks int64 }
 }
 
-func (s *service) generation() int {
-	_, st := s.operate("GET", "/status")
+func (s *deployment) generation() int {
+	_, st := s.callAdmin("GET", "/status")
 	return st.Generation.Number
 }
 
-// once begins the ids of requests that must not run twice. Others may be sent on
-// again when an answer takes long.
-const once = "once-"
+// oncePrefix begins the ids of requests that must not run twice. The edge node may repeat
+// others when an answer takes long.
+const oncePrefix = "once-"
 
-// clients ask for what they can until stop is called. As the front does, each
-// sends one request at a time on a connection it keeps, and sends a request again
-// that crossed the closing of its connection by the edge node.
+// clients send requests until stop is called. Like the platform's load balancer, each sends
+// one request at a time on a persistent connection, and repeats a request that raced with
+// the closing of its connection by the edge node.
 type clients struct {
-	s    *service
+	s    *deployment
 	done chan struct{}
 	wg   sync.WaitGroup
 
-	served atomic.Int64
-	died   atomic.Int64 // connections that ended with a request open: the process was killed
-	kills  atomic.Int64 // that were about to come
-	dying  atomic.Bool  // between a kill and the process's end
-	errs   chan string
+	served    atomic.Int64
+	brokenOff atomic.Int64 // connections closed with a request open
+	kills     atomic.Int64 // kills of the process, also those about to happen
+	killing   atomic.Bool  // between a kill and the exit of the process
+	errs      chan string
 
-	deadline int  // ms
-	lossy    bool // servers fail: an answer may be a failure
-	crowded  bool // descriptors are short: a new connection may be closed
+	deadline         int  // in ms
+	serversFail      bool // so answers may be failures
+	descriptorsShort bool // so new connections may be closed
 }
 
-func (s *service) load(n int) *clients {
-	return s.loadOf(&clients{deadline: 10000}, n)
+func (s *deployment) startClients(n int) *clients {
+	return s.startClientsLike(&clients{deadline: 10000}, n)
 }
 
-func (s *service) loadOf(c *clients, n int) *clients {
+func (s *deployment) startClientsLike(c *clients, n int) *clients {
 	c.s, c.done, c.errs = s, make(chan struct{}), make(chan string, 100)
 	for i := range n {
 		c.wg.Add(1)
@@ -336,23 +338,24 @@
 			return
 		default:
 		}
-		id := fmt.Sprintf("%x", c.s.id.Add(1))
+		id := fmt.Sprintf("%x", c.s.lastID.Add(1))
 		class, method, length := "katalog", "GET", ""
 		if i%2 == 1 {
 			class, method, length = "perpanjang", "POST", "Content-Length: 0\r\n"
-			id = once + id
+			id = oncePrefix + id
 		}
 		text := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: app\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tier: dasar\r\n"+
 			"Cookie: key=%016x\r\nX-Deadline-Ms: %d\r\n%sX-Call-Terms: units=1,spread=1,first=0\r\n\r\n", method, class, id, class, i, c.deadline, length)
-		kills, dying := c.kills.Load(), c.dying.Load()
-		kill := func() bool { return dying || c.kills.Load() != kills } // the request may have met one
+		kills, killing := c.kills.Load(), c.killing.Load()
+		// the request may have raced with a kill
+		metKill := func() bool { return killing || c.kills.Load() != kills }
 		for try := 0; ; try++ {
 			fresh := conn == nil
 			if fresh {
 				var err error
 				if conn, err = net.Dial("tcp", c.s.listen); err != nil {
 					conn = nil
-					time.Sleep(5 * time.Millisecond) // it is being restarted
+					time.Sleep(5 * time.Millisecond) // the program is being restarted
 					break
 				}
 				br = bufio.NewReader(conn)
@@ -365,11 +368,11 @@
 			if err != nil {
 				conn.Close()
 				conn = nil
-				if !fresh && try == 0 && !kill() {
-					continue // it crossed the closing of an idle connection
+				if !fresh && try == 0 && !metKill() {
+					continue // the request raced with the closing of an idle connection
 				}
-				c.died.Add(1)
-				if !kill() && !(c.crowded && fresh) {
+				c.brokenOff.Add(1)
+				if !metKill() && !(c.descriptorsShort && fresh) {
 					c.errs <- fmt.Sprintf("%s: %v", id, err)
 				}
 				break
@@ -378,8 +381,8 @@
 			switch {
 			case err == nil && resp.StatusCode == 200 && string(body) == id:
 				c.served.Add(1)
-			case err == nil && c.lossy && resp.StatusCode >= 500:
-			case err != nil || resp.StatusCode != 429: // one that took too long on a slow machine
+			case err == nil && c.serversFail && resp.StatusCode >= 500:
+			case err != nil || resp.StatusCode != 429: // 429: the request took too long on a slow machine
 				c.errs <- fmt.Sprintf("%s: %d %q %v", id, resp.StatusCode, body, err)
 			}
 			if resp.Close {
@@ -391,18 +394,19 @@
 	}
 }
 
-// kill ends the process as a crash does, and starts it again.
+// kill kills the process, as a crash does, and starts it again.
 func (c *clients) kill() {
 	c.s.t.Helper()
-	// In this order: a client that reads the new count must not read that nothing dies.
-	c.dying.Store(true)
+	// The order matters: a client that reads the new count must also see that a kill is going on.
+	c.killing.Store(true)
 	c.kills.Add(1)
 	c.s.signal(syscall.SIGKILL)
 	_ = c.s.cmd.Wait()
-	c.dying.Store(false)
+	c.killing.Store(false)
 	c.s.start()
 }
 
+// stop ends the load and reports all errors of the clients.
 func (c *clients) stop() {
 	c.s.t.Helper()
 	close(c.done)
@@ -413,34 +417,34 @@
 	}
 }
 
-// more waits until so many further requests have been served.
-func (c *clients) more(n int64) {
+// awaitServed waits until n more requests are served.
+func (c *clients) awaitServed(n int64) {
 	c.s.t.Helper()
 	from := c.served.Load()
 	testkit.Eventually(c.s.t, "further requests served", func() bool { return c.served.Load() >= from+n })
 }
 
-// The real program serves through reloads, refusals, a roll back, a kill and
-// planned stops: each request is answered, none is sent on twice, and what was in
-// force and known comes back.
+// The real program serves through reloads, refused configurations, a rollback, a kill and
+// shutdowns: every request is answered, none reaches servers twice, and each restart
+// restores the configuration and the snapshot.
 func TestService(t *testing.T) {
 	const dasar, madya, tiga = `{"name":"dasar"}`, `{"name":"dasar"},{"name":"madya"}`, `{"name":"tiga"},{"name":"dasar"}`
-	s := newService(t)
+	s := newDeployment(t)
 	s.write(dasar)
 	s.start()
-	c := s.load(4)
-	c.more(50)
+	c := s.startClients(4)
+	c.awaitServed(50)
 
-	for n := 2; n <= 11; n++ { // good files, one after another
+	for n := 2; n <= 11; n++ { // valid files, one after another
 		s.write([]string{dasar, madya}[n%2] + fmt.Sprintf(`,{"name":"p%d"}`, n))
 		s.signal(syscall.SIGHUP)
 		testkit.Eventually(t, "the new generation", func() bool { return s.generation() == n })
-		c.more(10)
+		c.awaitServed(10)
 	}
 	s.write(`{"name":"dasar","rate":-1}`)
 	s.signal(syscall.SIGHUP)
 	testkit.Eventually(t, "the refusal", func() bool {
-		_, st := s.operate("GET", "/status")
+		_, st := s.callAdmin("GET", "/status")
 		return st.Refused != nil && len(st.Refused.Faults) == 1 && st.Refused.Faults[0].Field == "settings.plans.0.rate"
 	})
 	if n := s.generation(); n != 11 {
@@ -448,42 +452,43 @@
 	}
 	s.write(tiga)
 	s.signal(syscall.SIGHUP)
-	testkit.Eventually(t, "the good file behind it", func() bool { return s.generation() == 12 })
-	if code, st := s.operate("POST", "/rollback"); code != 200 || st.Generation.Number != 13 {
-		t.Errorf("%d, generation %d after a roll back", code, st.Generation.Number)
-	}
-	if code, _ := s.operate("POST", "/rollback"); code != 409 {
-		t.Errorf("%d for a second roll back", code)
-	}
-	c.more(50)
-	testkit.Eventually(t, "what is in force on disk", func() bool {
-		_, st := s.operate("GET", "/status")
-		return st.Snapshots.Written > 2 && st.Snapshots.Failed == 0 && strings.Contains(string(s.newest()), `{"name":"p11"}`)
+	testkit.Eventually(t, "the valid file after the refused one", func() bool { return s.generation() == 12 })
+	if code, st := s.callAdmin("POST", "/rollback"); code != 200 || st.Generation.Number != 13 {
+		t.Errorf("%d, generation %d after a rollback", code, st.Generation.Number)
+	}
+	if code, _ := s.callAdmin("POST", "/rollback"); code != 409 {
+		t.Errorf("%d for a second rollback", code)
+	}
+	c.awaitServed(50)
+	testkit.Eventually(t, "the current configuration on disk", func() bool {
+		_, st := s.callAdmin("GET", "/status")
+		return st.Snapshots.Written > 2 && st.Snapshots.Failed == 0 &&
+			strings.Contains(string(s.snapshotBytes()), `{"name":"p11"}`)
 	})
 
-	// A kill under load, and discovery refuses when it starts again.
-	s.down.Store(true)
+	// The process is killed under load, and discovery refuses calls when it starts again.
+	s.discoveryDown.Store(true)
 	c.kill()
-	c.more(50)
+	c.awaitServed(50)
 	if n := s.generation(); n != 13 {
 		t.Errorf("generation %d after the kill, 13 was in force", n)
 	}
 	for _, want := range []string{"the file was rolled back from", "snapshot found", "discovery does not answer"} {
-		s.says(want)
+		s.awaitLog(want)
 	}
-	s.down.Store(false)
-	if code, st := s.operate("POST", "/apply"); code != 200 || st.Generation.Number != 14 {
-		t.Errorf("%d, generation %d applied by hand", code, st.Generation.Number)
+	s.discoveryDown.Store(false)
+	if code, st := s.callAdmin("POST", "/apply"); code != 200 || st.Generation.Number != 14 {
+		t.Errorf("%d, generation %d after /apply", code, st.Generation.Number)
 	}
-	c.more(50)
+	c.awaitServed(50)
 	c.stop()
 
-	// Planned stops lose nothing, and the next start knows that it was one.
+	// A shutdown loses no request, and the next start recognizes that it was one.
 	for range 2 {
-		c = s.load(4)
-		c.more(50)
+		c = s.startClients(4)
+		c.awaitServed(50)
 		s.signal(syscall.SIGTERM)
-		testkit.Eventually(t, "the front told to go elsewhere", func() bool {
+		testkit.Eventually(t, "the readiness check reporting the shutdown", func() bool {
 			return s.health() == 503
 		})
 		c.stop()
@@ -496,35 +501,35 @@
 				t.Errorf("%v\n%s", err, s.log)
 			}
 		case <-time.After(testkit.Patience):
-			t.Fatalf("did not end\n%s", s.log)
+			t.Fatalf("the program did not exit\n%s", s.log)
 		}
 		s.start()
-		s.says(`"planned stop"=true`)
+		s.awaitLog(`"planned stop"=true`)
 	}
-	s.onlyOnce()
+	s.checkSentOnce()
 }
 
-// onlyOnce checks that nothing that must not run twice was sent on twice.
-func (s *service) onlyOnce() {
+// checkSentOnce checks that no request with oncePrefix reached servers twice.
+func (s *deployment) checkSentOnce() {
 	s.t.Helper()
 	n := 0
-	s.ran.Range(func(id, times any) bool {
-		if strings.HasPrefix(id.(string), once) {
+	s.attempts.Range(func(id, times any) bool {
+		if strings.HasPrefix(id.(string), oncePrefix) {
 			if n++; times.(*atomic.Int32).Load() != 1 {
-				s.t.Errorf("%v was sent on %d times", id, times.(*atomic.Int32).Load())
+				s.t.Errorf("%v reached servers %d times", id, times.(*atomic.Int32).Load())
 			}
 		}
 		return true
 	})
 	if n == 0 {
-		s.t.Error("nothing that must not run twice was sent on")
+		s.t.Error("no request with oncePrefix reached a server")
 	}
 }
 
-// newest is what both snapshots hold, as bytes.
-func (s *service) newest() (all []byte) {
+// snapshotBytes returns the raw bytes of both snapshot files.
+func (s *deployment) snapshotBytes() (all []byte) {
 	for _, name := range []string{"snapshot-0", "snapshot-1"} {
-		b, err := os.ReadFile(filepath.Join(s.state, name))
+		b, err := os.ReadFile(filepath.Join(s.stateDir, name))
 		if err == nil {
 			all = append(all, b...)
 		}
@@ -532,10 +537,10 @@
 	return all
 }
 
-// keeps tells whether a snapshot that is whole lists a server at the address.
-func (s *service) keeps(addr string) bool {
+// snapshotLists reports whether a valid snapshot lists a server at addr.
+func (s *deployment) snapshotLists(addr string) bool {
 	for _, name := range []string{"snapshot-0", "snapshot-1"} {
-		b, err := os.ReadFile(filepath.Join(s.state, name))
+		b, err := os.ReadFile(filepath.Join(s.stateDir, name))
 		if err != nil {
 			continue
 		}
@@ -547,27 +552,30 @@
 	return false
 }
 
-// Killed again and again under load, at any step of a write: each start finds a
-// whole snapshot and serves, and nothing is sent on twice.
+// The process is killed repeatedly under load, at any step of a snapshot write: each start
+// finds a whole snapshot and serves, and no request reaches servers twice.
 func TestKillLoop(t *testing.T) {
-	s := newService(t)
+	s := newDeployment(t)
 	s.write(`{"name":"dasar"}`)
 	s.start()
-	testkit.Eventually(t, "the list on disk", func() bool { return s.keeps(s.lenders[1].Addr().String()) })
-	s.down.Store(true) // from now on it is there alone
-	c := s.load(4)
+	testkit.Eventually(t, "the list on disk", func() bool {
+		return s.snapshotLists(s.servers[1].Addr().String())
+	})
+	s.discoveryDown.Store(true) // from now on only the snapshot has the list
+	c := s.startClients(4)
 	for i := range 12 {
 		if i%3 == 0 {
-			c.more(20)
+			c.awaitServed(20)
 		}
-		time.Sleep(time.Duration(i*i) * time.Millisecond) // not waited for: the kill is to come anywhere
+		// a fixed pause, not a condition, so that the kill may hit any step
+		time.Sleep(time.Duration(i*i) * time.Millisecond)
 		c.kill()
-		s.says("snapshot found") // and ahead of it what was passed over
+		s.awaitLog("snapshot found") // logged after any snapshot that was passed over
 		if log := s.log.String(); strings.Contains(log, "passed over") {
 			t.Fatalf("start %d:\n%s", i, log)
 		}
 	}
-	c.more(20)
+	c.awaitServed(20)
 	c.stop()
-	s.onlyOnce()
+	s.checkSentOnce()
 }
--- a/cmd/valvering/soak_fleet_test.go
+++ b/cmd/valvering/soak_fleet_test.go
@@ -30,11 +30,11 @@
 	safeClass, keyedClass, onceClass = "read", "loan", "renew"
 	freePlan, ratePlan, ceilingPlan  = "free", "rate", "ceiling"
 	longestDeadline                  = 2 * time.Second
-	crowdSockets, plentySockets      = 64, 512
+	fewSockets, manySockets          = 64, 512
 )
 
-// randomSource is a seeded source that several goroutines may draw from. The schedule of a play,
-// each client and each server have their own, so that none changes what another draws.
+// randomSource is a seeded source for several goroutines. The schedule of a run, each client and
+// each server have their own source, so that none affects the numbers that another draws.
 type randomSource struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -50,38 +50,39 @@
 	return r.rng.IntN(n)
 }
 
-func (r *randomSource) upTo(most time.Duration) time.Duration {
-	return time.Duration(r.intN(int(most)))
+func (r *randomSource) upTo(limit time.Duration) time.Duration {
+	return time.Duration(r.intN(int(limit)))
 }
 
-// chance is true once in n times.
+// chance is true with probability 1/n.
 func (r *randomSource) chance(n int) bool { return r.intN(n) == 0 }
 
-// serverMode is what a server of the soak does with a request.
+// serverMode is how a server of the soak handles requests.
 type serverMode int32
 
 const (
 	serving serverMode = iota
-	hanging            // it answers nothing
+	hanging            // answers nothing
 	resetting
 )
 
-// soakServer is a lending server.
+// soakServer is a server for all nodes.
 type soakServer struct {
-	fleet  *soakFleet
-	uid    string
-	random *randomSource
-	ln     net.Listener
-	mode   atomic.Int32
-	drain  atomic.Bool
+	fleet    *soakFleet
+	uid      string
+	random   *randomSource
+	ln       net.Listener
+	mode     atomic.Int32
+	draining atomic.Bool
 }
 
-func newSoakServer(f *soakFleet, no int) *soakServer {
+func newSoakServer(f *soakFleet, number int) *soakServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	s := &soakServer{fleet: f, uid: fmt.Sprintf("s-%08x", no+1), ln: ln, random: newRandomSource(f.seed, serverStreams+uint64(no))}
+	s := &soakServer{fleet: f, uid: fmt.Sprintf("s-%08x", number+1), ln: ln,
+		random: newRandomSource(f.seed, serverStreams+uint64(number))}
 	go s.accept()
 	f.t.Cleanup(func() { ln.Close() })
 	return s
@@ -99,7 +100,7 @@
 
 func (s *soakServer) line() string {
 	state := "SERVING"
-	if s.drain.Load() {
+	if s.draining.Load() {
 		state = "DRAINING"
 	}
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","state":%q,"capacity_hint":1,"boot_ms":0}`, s.uid, s.ln.Addr(), state)
@@ -122,14 +123,14 @@
 	}
 }
 
-// answer does what the server's mode and chance want; it is false when the connection is over.
+// answer answers by the server's mode and at random, and reports whether the connection stays open.
 func (s *soakServer) answer(c net.Conn, id string) bool {
 	random, mode := s.random, serverMode(s.mode.Load())
-	turnedAway := mode == serving && random.chance(25)
-	s.fleet.arrived(id, attemptSeen{server: s.uid, at: time.Now(), ran: !turnedAway})
+	rejected := mode == serving && random.chance(25)
+	s.fleet.recordAttempt(id, attemptRecord{server: s.uid, at: time.Now(), mayHaveRun: !rejected})
 	reset := func() bool { _ = c.(*net.TCPConn).SetLinger(0); return false }
 	switch {
-	case turnedAway:
+	case rejected:
 		_, err := io.WriteString(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	case mode == hanging:
@@ -140,7 +141,7 @@
 	case random.chance(40):
 		_, err := io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
-	case random.chance(60): // breaks off half way
+	case random.chance(60): // breaks off in the middle of the answer
 		body := servedBody(id)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
 		return reset()
@@ -151,19 +152,19 @@
 	return err == nil
 }
 
-// servedBody is the body that a server makes for a request.
+// servedBody is the body of a server's answer to a request.
 func servedBody(id string) string { return "served:" + id }
 
-// discoveryMode is what an agent does with a call.
+// discoveryMode is how a discovery agent handles calls.
 type discoveryMode int32
 
 const (
-	telling discoveryMode = iota
+	answering discoveryMode = iota
 	refusing
 	silent
 )
 
-// soakAgent is discovery's agent on one node's machine.
+// soakAgent is the discovery agent of one node.
 type soakAgent struct {
 	fleet *soakFleet
 	node  string
@@ -174,7 +175,7 @@
 func newSoakAgent(f *soakFleet, node string) *soakAgent {
 	a := &soakAgent{fleet: f, node: node}
 	a.http = httptest.NewServer(a)
-	f.t.Cleanup(func() { a.mode.Store(int32(telling)); a.http.CloseClientConnections(); a.http.Close() })
+	f.t.Cleanup(func() { a.mode.Store(int32(answering)); a.http.CloseClientConnections(); a.http.Close() })
 	return a
 }
 
@@ -191,10 +192,10 @@
 		case mode == refusing:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		case mode == telling && since != strconv.Itoa(rev):
-			a.tell(w, rev)
+		case mode == answering && since != strconv.Itoa(rev):
+			a.writeList(w, rev)
 			return
-		case mode == telling && ctx.Err() != nil:
+		case mode == answering && ctx.Err() != nil:
 			fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, rev)
 			return
 		}
@@ -207,23 +208,23 @@
 	}
 }
 
-// tell writes the whole list, which counts as told from then on.
-func (a *soakAgent) tell(w http.ResponseWriter, rev int) {
+// writeList writes the whole list and records the draining servers that the node now knows of.
+func (a *soakAgent) writeList(w http.ResponseWriter, rev int) {
 	var lines []string
 	var draining []string
 	for _, s := range a.fleet.servers {
-		if s.drain.Load() {
+		if s.draining.Load() {
 			draining = append(draining, s.uid)
 		}
 		lines = append(lines, s.line())
 	}
 	fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, rev, strings.Join(lines, ","))
 	if err := http.NewResponseController(w).Flush(); err == nil {
-		a.fleet.told(a.node, draining)
+		a.fleet.recordDrains(a.node, draining)
 	}
 }
 
-// soakNode is an edge node of the fleet: the real program under its name, process after process.
+// soakNode is an edge node of the fleet: one process of the real program after another under one name.
 type soakNode struct {
 	fleet  *soakFleet
 	name   string
@@ -231,29 +232,29 @@
 	config string
 	agent  *soakAgent
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	log    *testkit.Log
-	exited chan struct{} // closed once the process has ended
-	front  bool          // the front opens connections to it
-	killed time.Time     // when the last process was killed
+	mu        sync.Mutex
+	cmd       *exec.Cmd
+	log       *testkit.Log
+	exited    chan struct{} // closed once the process has exited
+	accepting bool          // clients open connections to it
+	killedAt  time.Time     // when the last process was killed
 }
 
-// soakFleet is a small fleet of the real program, with what stands round it.
+// soakFleet is a small fleet of the real program with its servers and discovery agents.
 type soakFleet struct {
-	t        testing.TB
-	program  string
-	seed     uint64
-	schedule *randomSource
-	seen     *observations
-	servers  []*soakServer
-	nodes    []*soakNode
-	crowded  bool
+	t                testing.TB
+	program          string
+	seed             uint64
+	schedule         *randomSource
+	observed         *observations
+	servers          []*soakServer
+	nodes            []*soakNode
+	descriptorsShort bool
 
-	mu      sync.Mutex
-	rev     int
-	changed chan struct{} // closed at the next change of the list
-	ids     int
+	mu             sync.Mutex
+	revisionNumber int
+	changed        chan struct{} // closed at the next change of the list
+	lastID         int
 }
 
 const (
@@ -261,16 +262,17 @@
 	soakServers = 4
 )
 
-// Streams of a play's random sources.
+// Streams of a run's random sources.
 const (
 	scheduleStream = 1
-	serverStreams  = 100  // and one more for each server
-	clientStreams  = 1000 // and one more for each client of all nodes
+	serverStreams  = 100  // plus the number of the server
+	clientStreams  = 1000 // plus the number of the client over all nodes
 )
 
 func newSoakFleet(t testing.TB, seed uint64, crowded bool) *soakFleet {
-	f := &soakFleet{t: t, program: built(t), seed: seed, schedule: newRandomSource(seed, scheduleStream), seen: newObservations(), crowded: crowded,
-		rev: 1, changed: make(chan struct{})}
+	f := &soakFleet{t: t, program: buildProgram(t), seed: seed, schedule: newRandomSource(seed, scheduleStream),
+		observed: newObservations(), descriptorsShort: crowded,
+		revisionNumber: 1, changed: make(chan struct{})}
 	for i := range soakServers {
 		f.servers = append(f.servers, newSoakServer(f, i))
 	}
@@ -280,7 +282,7 @@
 			config: filepath.Join(t.TempDir(), "config.json"), agent: newSoakAgent(f, name)})
 	}
 	for _, n := range f.nodes {
-		n.write(n.text(""))
+		n.write(n.settings(""))
 	}
 	return f
 }
@@ -288,21 +290,21 @@
 func (f *soakFleet) revision() (int, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.rev, f.changed
+	return f.revisionNumber, f.changed
 }
 
-// change has discovery tell the list anew.
-func (f *soakFleet) change() {
+// changeList has discovery send the list again under a new revision.
+func (f *soakFleet) changeList() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rev++
+	f.revisionNumber++
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// told notes which servers a node has been told to drain, and which no more.
-func (f *soakFleet) told(node string, draining []string) {
-	o := f.seen
+// recordDrains records which servers a node now knows to be draining, and which no longer.
+func (f *soakFleet) recordDrains(node string, draining []string) {
+	o := f.observed
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
@@ -319,24 +321,24 @@
 	}
 	for _, uid := range draining {
 		if !known[uid] {
-			o.drains = append(o.drains, drainSeen{node: node, server: uid, from: now})
+			o.drains = append(o.drains, drainRecord{node: node, server: uid, from: now})
 		}
 	}
 }
 
-// arrived notes an attempt. One for a request that nobody sent is itself a fault.
-func (f *soakFleet) arrived(id string, a attemptSeen) {
-	f.seen.mu.Lock()
-	defer f.seen.mu.Unlock()
-	if r := f.seen.requests[id]; r != nil {
+// recordAttempt records an attempt. An attempt for a request that no client sent is an error.
+func (f *soakFleet) recordAttempt(id string, a attemptRecord) {
+	f.observed.mu.Lock()
+	defer f.observed.mu.Unlock()
+	if r := f.observed.requests[id]; r != nil {
 		r.attempts = append(r.attempts, a)
 		return
 	}
 	f.t.Errorf("%s got a request %q that no client sent", a.server, id)
 }
 
-// text is a node's configuration with a further plan, none if that is empty.
-func (n *soakNode) text(plan string) string {
+// settings returns a node's configuration, with a further plan unless plan is empty.
+func (n *soakNode) settings(plan string) string {
 	f := n.fleet
 	var peers []string
 	me := 0
@@ -346,9 +348,9 @@
 			me = i
 		}
 	}
-	sockets := plentySockets
-	if f.crowded {
-		sockets = crowdSockets
+	sockets := manySockets
+	if f.descriptorsShort {
+		sockets = fewSockets
 	}
 	if plan != "" {
 		plan = fmt.Sprintf(`,{"name":%q}`, plan)
@@ -377,7 +379,7 @@
 	return strings.Join(lines, ",")
 }
 
-// write puts a configuration in place by rename.
+// write replaces the configuration by rename.
 func (n *soakNode) write(text string) {
 	if err := os.WriteFile(n.config+".new", []byte(text), 0o600); err != nil {
 		n.fleet.t.Fatal(err)
@@ -387,8 +389,8 @@
 	}
 }
 
-// begin starts a process.
-func (n *soakNode) begin() {
+// launch starts a process.
+func (n *soakNode) launch() {
 	cmd, log, exited := exec.Command(n.fleet.program), &testkit.Log{}, make(chan struct{})
 	cmd.Env = []string{"GW_CONFIG=" + n.config, "PATH=" + os.Getenv("PATH")}
 	cmd.Stdout, cmd.Stderr = log, log
@@ -402,8 +404,9 @@
 	go func() { _ = cmd.Wait(); close(exited) }()
 }
 
-// ready waits until the process says that it is ready, and has the front open connections to it.
-func (n *soakNode) ready() (took time.Duration) {
+// awaitReady waits until the process is ready, has clients open connections to it, and returns
+// the time taken.
+func (n *soakNode) awaitReady() (took time.Duration) {
 	from := time.Now()
 	testkit.Eventually(n.fleet.t, n.name+" ready", func() bool {
 		resp, err := http.Get("http://" + n.listen + "/healthz")
@@ -413,23 +416,24 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	})
-	n.setFront(true)
+	n.setAccepting(true)
 	return time.Since(from)
 }
 
-func (n *soakNode) setFront(opens bool) {
+// setAccepting sets whether clients open connections to the node.
+func (n *soakNode) setAccepting(opens bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.front = opens
+	n.accepting = opens
 }
 
-func (n *soakNode) frontOpens() bool {
+func (n *soakNode) isAccepting() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.front
+	return n.accepting
 }
 
-// signal sends the process a signal; one that has ended gets none.
+// signal sends the process a signal unless it has exited.
 func (n *soakNode) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -438,49 +442,49 @@
 	}
 }
 
-// kill ends the process as a crash does and starts another.
+// kill kills the process, as a crash does, and starts another.
 func (n *soakNode) kill() {
 	n.mu.Lock()
-	n.killed, n.front = time.Now(), false
+	n.killedAt, n.accepting = time.Now(), false
 	exited := n.exited
 	n.mu.Unlock()
 	n.signal(syscall.SIGKILL)
 	<-exited
 	n.mu.Lock()
-	n.killed = time.Now()
+	n.killedAt = time.Now()
 	n.mu.Unlock()
-	n.begin()
-	n.ready()
+	n.launch()
+	n.awaitReady()
 }
 
-// killedSince tells whether a process was killed, or was about to be, after a time.
+// killedSince reports whether a process was killed, or was about to be, after a time.
 func (n *soakNode) killedSince(at time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.killed.After(at)
+	return n.killedAt.After(at)
 }
 
-// ending waits for the process to end until it may be killed, and notes how it ended.
-func (n *soakNode) ending(from time.Time) stopSeen {
+// awaitExit waits until the process exits, kills it after killAfter, and records how it ended.
+func (n *soakNode) awaitExit(from time.Time) stopRecord {
 	n.mu.Lock()
 	exited, cmd := n.exited, n.cmd
 	n.mu.Unlock()
-	seen := stopSeen{node: n.name}
+	record := stopRecord{node: n.name}
 	select {
 	case <-exited:
-	case <-time.After(time.Until(from.Add(killAfter + n.fleet.seen.allowed()))):
-		seen.killed = true
+	case <-time.After(time.Until(from.Add(killAfter + n.fleet.observed.tolerance()))):
+		record.killed = true
 		n.mu.Lock()
-		n.killed = time.Now()
+		n.killedAt = time.Now()
 		n.mu.Unlock()
 		_ = cmd.Process.Kill()
 		<-exited
 	}
-	seen.after, seen.code = time.Since(from), cmd.ProcessState.ExitCode()
-	return seen
+	record.took, record.exitCode = time.Since(from), cmd.ProcessState.ExitCode()
+	return record
 }
 
-// resources are what a process holds.
+// resources are a process's descriptors and resident memory.
 type resources struct {
 	descriptors int
 	residentKB  int
--- a/cmd/valvering/soak_test.go
+++ b/cmd/valvering/soak_test.go
@@ -18,45 +18,45 @@
 	soakStops = flag.Int("soak-stops", 2, "planned stops in each")
 )
 
-// Memory that a process which serves on through all stops may hold more of at the last than at
-// the first: a leak of each stop would show over many.
+// Growth of resident memory allowed, between the first and the last stop, in a process that runs
+// through all stops. A leak at each stop exceeds it over many stops.
 const maxGrowthKB = 16 << 10
 
-// Planned stops, restarts and reloads of the real program, seen from outside: three edge nodes
-// with peers and quotas under clients that use their connections until these end. Signals come in
-// series; every third seed has a crowd of idle clients, and the others trouble at discovery, at the
-// servers or at a peer through the stop. A violation is told with its request and the seed, and
-// played again by -soaks 1 -soak-seed N.
+// Shutdowns, restarts and reloads of the real program, checked from outside: three edge nodes with
+// peers and quotas serve clients that use their connections until these close. Signals come in
+// series. Every third seed adds many idle clients, the others a fault of discovery, a server or a
+// peer during the shutdown. A violation is reported with its request and the seed, and
+// -soaks 1 -soak-seed N repeats the run.
 func TestStopSoak(t *testing.T) {
 	for i := range *soaks {
 		seed := *soakSeed + uint64(i)
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playSoak(t, seed, *soakStops) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runSoak(t, seed, *soakStops) })
 	}
 }
 
-// longEnough is how long a server drains beyond the time for which it may still be sent to.
-const longEnough = 500 * time.Millisecond
+// extraDrainTime is how long a server drains beyond the time for which requests may still be sent to it.
+const extraDrainTime = 500 * time.Millisecond
 
-// trouble is what happens beside a planned stop.
-type trouble int
+// fault is what fails during a shutdown.
+type fault int
 
 const (
-	noTrouble trouble = iota
+	noFault fault = iota
 	discoveryRefuses
 	discoverySilent
 	serverHangs
 	serverResets
 	serverDrains
 	peerKilled
-	troubles
+	faultCount
 )
 
-func (t trouble) String() string {
+func (t fault) String() string {
 	return [...]string{"no trouble", "discovery refuses", "discovery silent", "a server hangs", "a server resets",
 		"a server drains", "a peer is killed"}[t]
 }
 
-// signalSeries is the order of signals with which a process is told to end.
+// signalSeries is the order of the signals that shut a process down.
 type signalSeries int
 
 const (
@@ -73,85 +73,88 @@
 	return [...]string{"TERM", "HUP TERM", "TERM HUP", "TERM TERM", "HUP TERM HUP TERM", "HUP with a bad file, TERM"}[s]
 }
 
-func playSoak(t *testing.T, seed uint64, stops int) {
+// runSoak runs one soak.
+func runSoak(t *testing.T, seed uint64, stops int) {
 	f := newSoakFleet(t, seed, seed%3 == 0)
 	quit := make(chan struct{})
-	var aside, clients sync.WaitGroup
-	defer func() { close(quit); aside.Wait() }()
-	aside.Go(func() { f.seen.measureLateness(quit) })
+	var background, clients sync.WaitGroup
+	defer func() { close(quit); background.Wait() }()
+	background.Go(func() { f.observed.measureLateness(quit) })
 	for _, n := range f.nodes {
-		n.begin()
+		n.launch()
 	}
 	for _, n := range f.nodes {
-		n.ready()
+		n.awaitReady()
 	}
-	var crowds []*idleClients
-	if f.crowded {
+	var idle []*idleClients
+	if f.descriptorsShort {
 		for _, n := range f.nodes {
-			crowds = append(crowds, fillDescriptors(n.listen, 2*crowdSockets))
+			idle = append(idle, fillDescriptors(n.listen, 2*fewSockets))
 		}
 	}
 	done := make(chan struct{})
 	for _, n := range f.nodes {
-		f.clientsOf(n, done, &clients)
+		f.startClients(n, done, &clients)
 	}
 	time.Sleep(400 * time.Millisecond)
 
-	stays := f.nodes[soakNodes-1] // but for being killed
+	survivor := f.nodes[soakNodes-1] // runs on through all stops, unless the fault kills it
 	var first, last resources
-	var story []string
+	var events []string
 	for stop := range stops {
-		n, series, beside := f.nodes[stop%(soakNodes-1)], signalSeries(f.schedule.intN(int(signalSeriesCount))), noTrouble
-		if !f.crowded { // in turn, so that four seeds have met each
-			beside = trouble((int(seed-seed/3)*stops + stop) % int(troubles))
+		n, series, during := f.nodes[stop%(soakNodes-1)],
+			signalSeries(f.schedule.intN(int(signalSeriesCount))), noFault
+		if !f.descriptorsShort { // one after another, so that four seeds cover all
+			during = fault((int(seed-seed/3)*stops + stop) % int(faultCount))
 		}
-		story = append(story, fmt.Sprintf("%s: %v, %v", n.name, series, beside))
-		f.stop(n, series, beside, stays)
-		if last = stays.resources(); stop == 0 || beside == peerKilled {
-			first = last // of another process from now on
+		events = append(events, fmt.Sprintf("%s: %v, %v", n.name, series, during))
+		f.stop(n, series, during, survivor)
+		if last = survivor.resources(); stop == 0 || during == peerKilled {
+			first = last // of a new process
 		}
 	}
 	close(done)
 	clients.Wait()
-	for _, c := range crowds {
-		c.end()
+	for _, c := range idle {
+		c.closeAll()
 	}
 	if last.residentKB > first.residentKB+maxGrowthKB {
-		t.Errorf("%s holds %d kB at the last stop, %d at the first", stays.name, last.residentKB, first.residentKB)
+		t.Errorf("%s holds %d kB at the last stop, %d at the first", survivor.name, last.residentKB,
+			first.residentKB)
 	}
 	f.finish()
-	f.report(seed, story)
+	f.report(seed, events)
 }
 
-// stop has a process end and starts the next one, with trouble beside it.
-func (f *soakFleet) stop(n *soakNode, series signalSeries, beside trouble, peer *soakNode) {
-	ended := f.begin(beside, peer)
+// stop shuts a process down with a fault at the same time, and starts the next process.
+func (f *soakFleet) stop(n *soakNode, series signalSeries, during fault, peer *soakNode) {
+	endFault := f.beginFault(during, peer)
 	time.Sleep(f.schedule.upTo(150 * time.Millisecond))
-	from := n.tellToEnd(series)
+	from := n.sendSignals(series)
 	time.Sleep(time.Until(from.Add(200*time.Millisecond + f.schedule.upTo(200*time.Millisecond))))
-	n.setFront(false)
-	seen := n.ending(from)
-	n.write(n.text(""))
-	n.begin()
-	if f.schedule.chance(4) { // told to end before it is ready
+	n.setAccepting(false)
+	record := n.awaitExit(from)
+	n.write(n.settings(""))
+	n.launch()
+	if f.schedule.chance(4) { // SIGTERM before it is ready
 		time.Sleep(f.schedule.upTo(40 * time.Millisecond))
 		n.signal(syscall.SIGTERM)
-		early := n.ending(time.Now())
+		early := n.awaitExit(time.Now())
 		if early.killed {
-			f.t.Errorf("%s: told to end at its start, it did not", n.name)
+			f.t.Errorf("%s: did not exit after a SIGTERM during its start", n.name)
 		}
-		n.begin()
+		n.launch()
 	}
-	seen.restart, seen.restarts = n.ready(), true
-	f.seen.mu.Lock()
-	f.seen.stops = append(f.seen.stops, seen)
-	f.seen.mu.Unlock()
-	ended()
+	record.restartTook, record.restarted = n.awaitReady(), true
+	f.observed.mu.Lock()
+	f.observed.stops = append(f.observed.stops, record)
+	f.observed.mu.Unlock()
+	endFault()
 	time.Sleep(f.schedule.upTo(300 * time.Millisecond))
 }
 
-// begin has a trouble begin; what it returns ends it.
-func (f *soakFleet) begin(beside trouble, peer *soakNode) (end func()) {
+// beginFault begins a fault and returns a function that ends it.
+func (f *soakFleet) beginFault(kind fault, peer *soakNode) (end func()) {
 	s := f.servers[f.schedule.intN(len(f.servers))]
 	agents := func(mode discoveryMode) func() {
 		for _, n := range f.nodes {
@@ -159,23 +162,23 @@
 		}
 		return func() {
 			for _, n := range f.nodes {
-				n.agent.mode.Store(int32(telling))
+				n.agent.mode.Store(int32(answering))
 			}
 		}
 	}
-	switch beside {
+	switch kind {
 	case discoveryRefuses:
 		return agents(refusing)
 	case discoverySilent:
 		return agents(silent)
 	case serverHangs, serverResets:
-		s.mode.Store(int32(map[trouble]serverMode{serverHangs: hanging, serverResets: resetting}[beside]))
+		s.mode.Store(int32(map[fault]serverMode{serverHangs: hanging, serverResets: resetting}[kind]))
 		return func() { s.mode.Store(int32(serving)) }
 	case serverDrains:
-		s.drain.Store(true)
-		f.change()
-		over := time.Now().Add(drainGrace + longEnough)
-		return func() { time.Sleep(time.Until(over)); s.drain.Store(false); f.change() }
+		s.draining.Store(true)
+		f.changeList()
+		over := time.Now().Add(drainGrace + extraDrainTime)
+		return func() { time.Sleep(time.Until(over)); s.draining.Store(false); f.changeList() }
 	case peerKilled:
 		wait := f.schedule.upTo(500 * time.Millisecond)
 		var group sync.WaitGroup
@@ -185,10 +188,10 @@
 	return func() {}
 }
 
-// tellToEnd sends a series of signals and returns when the first SIGTERM was sent.
-func (n *soakNode) tellToEnd(series signalSeries) (from time.Time) {
+// sendSignals sends a series of signals and returns the time of the first SIGTERM.
+func (n *soakNode) sendSignals(series signalSeries) (from time.Time) {
 	pause := func() { time.Sleep(n.fleet.schedule.upTo(30 * time.Millisecond)) }
-	reload := func() { n.write(n.text(fmt.Sprint("plan", n.fleet.schedule.intN(100)))); n.signal(syscall.SIGHUP) }
+	reload := func() { n.write(n.settings(fmt.Sprint("plan", n.fleet.schedule.intN(100)))); n.signal(syscall.SIGHUP) }
 	end := func() time.Time { at := time.Now(); n.signal(syscall.SIGTERM); return at }
 	switch series {
 	case hupTerm:
@@ -220,26 +223,28 @@
 	return from
 }
 
-// measureLateness notes how late the machine runs.
+// measureLateness records how late timers fire in the test's process, until quit is closed.
 func (o *observations) measureLateness(quit <-chan struct{}) {
 	for {
 		from := time.Now()
 		select {
 		case <-quit:
 			return
-		case <-time.After(measureLateness):
+		case <-time.After(latenessInterval):
 		}
-		late := time.Since(from) - measureLateness
+		late := time.Since(from) - latenessInterval
 		o.mu.Lock()
 		o.lateness = max(o.lateness, late)
 		o.mu.Unlock()
 	}
 }
 
-// finish ends all processes and looks at what they hold with nobody asking any more.
+// finish ends all processes and checks what they still hold without load.
 func (f *soakFleet) finish() {
 	for _, n := range f.nodes {
-		testkit.Eventually(f.t, n.name+"'s descriptors let go", func() bool { return n.resources().descriptors <= idleDescriptors })
+		testkit.Eventually(f.t, n.name+"'s descriptors being closed", func() bool {
+			return n.resources().descriptors <= idleDescriptors
+		})
 		n.signal(syscall.SIGQUIT) // the runtime writes all stacks and ends
 		<-n.exited
 		log := n.log.String()
@@ -254,32 +259,33 @@
 	}
 }
 
-// report tells what was seen and what of it breaks a rule.
-func (f *soakFleet) report(seed uint64, story []string) {
-	o := f.seen
+// report logs what was observed and fails the test for each violation.
+func (f *soakFleet) report(seed uint64, events []string) {
+	o := f.observed
 	violations := o.violations()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	counts, crossed := map[outcome]int{}, 0
+	counts, closeRaces := map[outcome]int{}, 0
 	longest := time.Duration(0)
 	for _, r := range o.requests {
 		counts[r.outcome]++
-		if r.outcome == ended && r.left.IsZero() && !r.halted {
-			crossed++
+		if r.outcome == connectionClosed && r.disconnected.IsZero() && !r.stalled {
+			closeRaces++
 		}
 	}
 	for _, s := range o.stops {
-		longest = max(longest, s.after)
+		longest = max(longest, s.took)
 	}
-	f.t.Logf("seed %d: %d requests, %d answered, %d crossed the end of their connection, %d stops, the longest %v, lateness %v; %s",
-		seed, len(o.requests), counts[answered], crossed, len(o.stops), longest, o.lateness, strings.Join(story, "; "))
-	if o.lateness > tooLateToJudge {
-		f.t.Logf("seed %d: the machine was %v late: too late to judge times", seed, o.lateness)
+	f.t.Logf("seed %d: %d requests, %d answered, %d raced with a close, %d stops, the longest %v, lateness %v; %s",
+		seed, len(o.requests), counts[answered], closeRaces, len(o.stops), longest, o.lateness,
+		strings.Join(events, "; "))
+	if o.lateness > maxReliableLateness {
+		f.t.Logf("seed %d: the machine was %v late: too late to check time bounds", seed, o.lateness)
 	}
 	for _, v := range violations {
 		f.t.Errorf("seed %d: %s", seed, v)
 	}
 	if counts[answered] < 100 {
-		f.t.Errorf("seed %d: a soak that shows nothing", seed)
+		f.t.Errorf("seed %d: fewer than 100 requests were answered", seed)
 	}
 }
--- a/cmd/valvering/start_test.go
+++ b/cmd/valvering/start_test.go
@@ -14,24 +14,24 @@
 	"valvering.example/valvering/internal/testkit"
 )
 
-// tier names a tier of so many edge nodes and a known list of so many servers, which are
-// all at the lenders' addresses. Nobody listens at the other edge nodes'.
-func (s *service) tier(nodes, servers int) {
+// setFleet configures a fleet of that many edge nodes and a known list of that many servers.
+// All listed servers share the addresses of the test servers; the other edge nodes don't exist.
+func (s *deployment) setFleet(nodes, servers int) {
 	peers := []string{strconv.Quote(s.listen)}
 	for i := 1; i < nodes; i++ {
 		peers = append(peers, fmt.Sprintf(`"127.77.%d.%d:7946"`, i>>8, i&255))
 	}
-	lines := append([]string(nil), *s.list.Load()...)
+	lines := append([]string(nil), *s.serverLines.Load()...)
 	for i := len(lines); i < servers; i++ {
-		lines = append(lines, s.lenders[i%len(s.lenders)].line(i+1, 0))
+		lines = append(lines, s.servers[i%len(s.servers)].line(i+1, 0))
 	}
 	s.nodes = nodes
-	s.more = fmt.Sprintf(`"admin":"10.0.0.1:9901","peer_listen":%q,"peers":[%s],"known":{"rev":1,"all":true,"targets":[%s]},`,
+	s.extraFields = fmt.Sprintf(`"admin":"10.0.0.1:9901","peer_listen":%q,"peers":[%s],"known":{"rev":1,"all":true,"targets":[%s]},`,
 		s.listen, strings.Join(peers, ","), strings.Join(lines, ","))
 }
 
-// descriptors is how many the program holds.
-func (s *service) descriptors() int {
+// descriptors returns the number of descriptors that the program holds.
+func (s *deployment) descriptors() int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.cmd.Process.Pid))
 	if err != nil {
 		s.t.Fatal(err)
@@ -39,18 +39,20 @@
 	return len(list)
 }
 
-// Of a program that nobody asks anything any more: what it opened for itself, with some
-// idle connections to lending servers and discovery.
+// Limits for a program without load: its own descriptors and goroutines, and those of some idle
+// connections to servers and discovery.
 const (
 	idleDescriptors = 24
 	idleGoroutines  = 40
 )
 
-// left checks that a program which has been under load keeps nothing of it, and ends
-// it.
-func (s *service) left() {
+// checkReleased checks that the program has released all resources of the load, and ends the
+// program.
+func (s *deployment) checkReleased() {
 	s.t.Helper()
-	testkit.Eventually(s.t, "descriptors let go", func() bool { return s.descriptors() <= idleDescriptors })
+	testkit.Eventually(s.t, "the descriptors being closed", func() bool {
+		return s.descriptors() <= idleDescriptors
+	})
 	s.signal(syscall.SIGQUIT) // the runtime writes all stacks and ends
 	_ = s.cmd.Wait()
 	log := s.log.String()
@@ -64,73 +66,75 @@
 	}
 }
 
-// finish ends the load and the program, and checks what they leave behind.
+// finish ends the load and the program, and checks that no resources are left over.
 func (c *clients) finish() {
 	c.s.t.Helper()
 	c.stop()
-	c.s.onlyOnce()
-	c.s.left()
+	c.s.checkSentOnce()
+	c.s.checkReleased()
 }
 
-// The largest fleet that is described, and one of ten times its size, start whatever
-// discovery does, serve with the list they know, and take a new one once it comes.
+// Edge nodes of the largest described fleet and of one ten times as large start while discovery
+// is silent or refuses calls, serve with the known list, and use a new list once it comes.
 func TestLargestStart(t *testing.T) {
 	for _, size := range [][2]int{{300, 200}, {3000, 2000}} {
 		for _, discovery := range []string{"silent", "refusing"} {
 			t.Run(fmt.Sprintf("%d edge nodes, %d servers, discovery %s", size[0], size[1], discovery), func(t *testing.T) {
-				s := newService(t)
-				s.tier(size[0], size[1])
+				s := newDeployment(t)
+				s.setFleet(size[0], size[1])
 				s.write(`{"name":"dasar"}`)
 				hold := make(chan struct{})
 				if discovery == "silent" {
-					s.silent.Store(&hold)
+					s.discoveryHold.Store(&hold)
 				} else {
-					s.down.Store(true)
+					s.discoveryDown.Store(true)
 				}
 				s.start()
-				c := s.load(4)
-				c.more(50)
-				fresh := newLender(s)
-				s.tellList([]string{fresh.line(1<<20, 0)})
-				s.silent.Store(nil)
-				s.down.Store(false)
+				c := s.startClients(4)
+				c.awaitServed(50)
+				fresh := newTestServer(s)
+				s.setServers([]string{fresh.line(1<<20, 0)})
+				s.discoveryHold.Store(nil)
+				s.discoveryDown.Store(false)
 				close(hold)
-				testkit.Eventually(t, "work by discovery's list", func() bool { return fresh.ran.Load() > 0 })
-				c.more(50)
+				testkit.Eventually(t, "requests to a server of discovery's list", func() bool {
+					return fresh.requests.Load() > 0
+				})
+				c.awaitServed(50)
 				c.finish()
 			})
 		}
 	}
 }
 
-// With nothing known an edge node is not ready, however long discovery is silent, and
-// is as soon as it has answered.
+// An edge node that knows no server is not ready while discovery is silent, and becomes ready
+// once discovery answers.
 func TestReadyOnceDiscoveryAnswers(t *testing.T) {
-	s := newService(t)
-	s.more = `"known":{"rev":0,"all":true,"targets":[]},`
+	s := newDeployment(t)
+	s.extraFields = `"known":{"rev":0,"all":true,"targets":[]},`
 	s.write(`{"name":"dasar"}`)
 	hold := make(chan struct{})
-	s.silent.Store(&hold)
-	s.begin()
-	s.says("discovery does not answer")
+	s.discoveryHold.Store(&hold)
+	s.launch()
+	s.awaitLog("discovery does not answer")
 	if code := s.health(); code != 503 {
 		t.Errorf("%d with nothing known", code)
 	}
-	s.silent.Store(nil)
+	s.discoveryHold.Store(nil)
 	close(hold)
 	testkit.Eventually(t, "ready", func() bool { return s.health() == 200 })
-	c := s.load(2)
-	c.more(10)
+	c := s.startClients(2)
+	c.awaitServed(10)
 	c.stop()
-	s.left()
+	s.checkReleased()
 }
 
-// A configuration beyond what an edge node can number ends it with one plain line.
+// A configuration with too many edge nodes ends the program with a one-line error.
 func TestTooLargeStart(t *testing.T) {
-	s := newService(t)
+	s := newDeployment(t)
 	s.nodes = 1 << 20
 	s.write(`{"name":"dasar"}`)
-	s.begin()
+	s.launch()
 	err := s.cmd.Wait()
 	log := strings.TrimSpace(s.log.String())
 	if err == nil || s.cmd.ProcessState.ExitCode() != exitConfig || strings.Contains(log, "\n") || !strings.Contains(log, "settings.balancers: ") {
@@ -138,15 +142,15 @@
 	}
 }
 
-// With fewer descriptors than its configuration says, and more clients than fit, an edge
-// node goes on serving, and serves all as before once they are fewer.
+// With fewer descriptors than configured and more clients than fit, an edge node continues to
+// serve, and it serves all clients again once there are fewer.
 func TestDescriptorsAtTheirLimit(t *testing.T) {
-	s := newService(t)
-	s.most = 32
+	s := newDeployment(t)
+	s.maxDescriptors = 32
 	s.write(`{"name":"dasar"}`)
 	s.start()
 	var silent []net.Conn
-	for range 2 * s.most {
+	for range 2 * s.maxDescriptors {
 		c, err := net.Dial("tcp", s.listen)
 		if err != nil {
 			t.Fatal(err)
@@ -154,132 +158,137 @@
 		defer c.Close()
 		silent = append(silent, c)
 	}
-	c := s.loadOf(&clients{deadline: 2000, lossy: true, crowded: true}, 2*s.most)
-	c.more(200)
+	c := s.startClientsLike(&clients{deadline: 2000, serversFail: true, descriptorsShort: true},
+		2*s.maxDescriptors)
+	c.awaitServed(200)
 	c.stop()
-	s.says("fewer descriptors than the configuration says")
+	s.awaitLog("fewer descriptors than the configuration says")
 	for _, c := range silent {
 		c.Close()
 	}
-	c = s.load(2)
-	c.more(50)
+	c = s.startClients(2)
+	c.awaitServed(50)
 	c.finish()
 }
 
-// getsOn checks that the event loop turns: that so many looks for clients that have gone
-// come, however long that takes here.
-func (s *service) getsOn(looks int64) {
+// checkLoopRuns checks that the event loop makes progress: it waits until the loop has made that
+// many more checks for disconnected clients.
+func (s *deployment) checkLoopRuns(looks int64) {
 	s.t.Helper()
-	now := func() int64 {
-		_, st, _ := s.tryToOperate("GET", "/status") // 0 where no descriptor was left for it
+	checks := func() int64 {
+		_, st, _ := s.tryAdmin("GET", "/status") // 0 if no descriptor was left for the call
 		return st.Loop.Looks
 	}
 	var first int64
-	testkit.Eventually(s.t, "a status", func() bool { first = now(); return first > 0 })
-	testkit.Eventually(s.t, "the loop getting on", func() bool { return now() >= first+looks })
+	testkit.Eventually(s.t, "a status", func() bool { first = checks(); return first > 0 })
+	testkit.Eventually(s.t, "more turns of the event loop", func() bool { return checks() >= first+looks })
 }
 
-// What an edge node goes through on the worst days, in one life and then in many: under
-// load, with descriptors at their limit, a zone falls silent with its connections open, is
-// reset in one instant and comes back cold under new ids; the process is killed and started
-// again at once, fifty times, discovery refusing and a tier of 300 known; signals come at
-// any moment of a start. No request is left without its answer or sent on twice, each start
-// serves, the loop gets on, and nothing is left over.
+// The worst days of an edge node. Under load and at the descriptor limit, a zone falls silent
+// with its connections open, resets them all at once and returns cold under new ids. The
+// process is killed and restarted fifty times while discovery refuses calls and a fleet of 300
+// is configured. Signals arrive at any moment of a start. Every request is answered, none reaches
+// servers twice, each start serves, the event loop makes progress, and no resources are left over.
 func TestLiveness(t *testing.T) {
 	const (
-		each   = 4 // servers of the zone
-		kills  = 50
-		starts = 30
+		zoneServers = 4
+		kills       = 50
+		starts      = 30
 	)
-	s := newService(t)
-	var lost []*lender
-	stay := *s.list.Load()
-	lines := stay
-	for i := range each {
-		l := newLender(s)
-		lost = append(lost, l)
+	s := newDeployment(t)
+	var zone []*testServer
+	otherLines := *s.serverLines.Load()
+	lines := otherLines
+	for i := range zoneServers {
+		l := newTestServer(s)
+		zone = append(zone, l)
 		lines = append(lines, l.line(100+i, 0))
 	}
-	s.tellList(lines)
-	s.most = 48
+	s.setServers(lines)
+	s.maxDescriptors = 48
 	s.write(`{"name":"dasar"}`)
 	s.start()
-	c := s.loadOf(&clients{deadline: 2000, lossy: true, crowded: true}, s.most)
-	for _, l := range lost {
-		testkit.Eventually(t, "work for the zone", func() bool { return l.ran.Load() > 0 })
+	c := s.startClientsLike(&clients{deadline: 2000, serversFail: true, descriptorsShort: true},
+		s.maxDescriptors)
+	for _, l := range zone {
+		testkit.Eventually(t, "requests to the zone", func() bool { return l.requests.Load() > 0 })
 	}
-	for _, l := range lost {
-		l.darken()
+	for _, l := range zone {
+		l.block()
 	}
-	c.more(50)
-	for _, l := range lost {
+	c.awaitServed(50)
+	for _, l := range zone {
 		l.reset()
 	}
-	c.more(50)
-	s.tellList(stay)
-	c.more(50)
-	lines = stay
+	c.awaitServed(50)
+	s.setServers(otherLines)
+	c.awaitServed(50)
+	lines = otherLines
 	boot := time.Now().UnixMilli()
 	var before []int64
-	for i, l := range lost {
-		l.light()
-		before = append(before, l.ran.Load())
+	for i, l := range zone {
+		l.unblock()
+		before = append(before, l.requests.Load())
 		lines = append(lines, l.line(200+i, boot))
 	}
-	s.tellList(lines)
-	for i, l := range lost {
-		testkit.Eventually(t, "work for the zone that is back", func() bool { return l.ran.Load() > before[i] })
+	s.setServers(lines)
+	for i, l := range zone {
+		testkit.Eventually(t, "requests to the zone after its return", func() bool {
+			return l.requests.Load() > before[i]
+		})
 	}
-	s.getsOn(20)
+	s.checkLoopRuns(20)
 	c.stop()
-	c = s.load(2)
-	c.more(20)
+	c = s.startClients(2)
+	c.awaitServed(20)
 	c.finish()
 
-	s.most = 0
-	s.tier(300, 200)
-	s.down.Store(true)
+	s.maxDescriptors = 0
+	s.setFleet(300, 200)
+	s.discoveryDown.Store(true)
 	s.write(`{"name":"dasar"}`)
 	s.start()
-	c = s.loadOf(&clients{deadline: 2000, lossy: true}, 4)
+	c = s.startClientsLike(&clients{deadline: 2000, serversFail: true}, 4)
 	for range kills {
 		c.kill()
 	}
-	c.more(10)
-	s.getsOn(20)
+	c.awaitServed(10)
+	s.checkLoopRuns(20)
 	c.finish()
 
 	for seed := range uint64(starts) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		moment := func() { time.Sleep(time.Duration(rng.IntN(15_000)) * time.Microsecond) } // anywhere in a start
-		s.begin()
-		moment()
+		// hits any moment of a start
+		randomPause := func() { time.Sleep(time.Duration(rng.IntN(15_000)) * time.Microsecond) }
+		s.launch()
+		randomPause()
 		s.write(fmt.Sprintf(`{"name":"dasar"},{"name":"p%d"}`, seed))
 		for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
-			_ = s.cmd.Process.Signal(sig) // a process that the one before ended has no log
-			moment()
+			_ = s.cmd.Process.Signal(sig) // the process may already have exited
+			randomPause()
 		}
 		_ = s.cmd.Wait()
 		status := s.cmd.ProcessState.Sys().(syscall.WaitStatus)
-		// Before its first instruction a process can't have caught a signal yet.
-		if early := status.Signaled() && status.Signal() != syscall.SIGKILL && s.log.String() == ""; !early && status.ExitStatus() != 0 {
+		// A signal that arrives before the program has installed its handlers ends the process.
+		if beforeHandlers := status.Signaled() && status.Signal() != syscall.SIGKILL &&
+			s.log.String() == ""; !beforeHandlers && status.ExitStatus() != 0 {
 			t.Errorf("seed %d: %v\n%s", seed, s.cmd.ProcessState, s.log)
 		}
 	}
 }
 
-// An address that the process before still holds is waited for, and a planned stop that
-// comes meanwhile is one.
+// The program waits for an address that the previous process still holds, and a SIGTERM during
+// the wait leads to an orderly shutdown.
 func TestAddressStillTaken(t *testing.T) {
 	for _, term := range []bool{false, true} {
-		s := newService(t)
+		s := newDeployment(t)
 		s.write(`{"name":"dasar"}`)
 		ln, err := net.Listen("tcp", s.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.begin()
-		s.says("can't be had yet")
+		s.launch()
+		s.awaitLog("can't be had yet")
 		if term {
 			s.signal(syscall.SIGTERM)
 		}
@@ -291,28 +300,29 @@
 			continue
 		}
 		testkit.Eventually(t, "ready", func() bool { return s.health() == 200 })
-		c := s.load(2)
-		c.more(10)
+		c := s.startClients(2)
+		c.awaitServed(10)
 		c.finish()
 	}
 }
 
-// A log that nobody takes, and then nobody can take any more, holds up nothing.
-func TestLogNobodyTakes(t *testing.T) {
-	s := newService(t)
+// A log whose reader stalls, and then closes, delays nothing.
+func TestLogReaderStalls(t *testing.T) {
+	s := newDeployment(t)
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	const least = 4096 // bytes that a pipe holds at the least
-	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, w.Fd(), syscall.F_SETPIPE_SZ, least); errno != 0 {
+	const minPipeBytes = 4096 // the smallest size of a pipe
+	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, w.Fd(), syscall.F_SETPIPE_SZ,
+		minPipeBytes); errno != 0 {
 		t.Fatal(errno)
 	}
-	s.out = w
+	s.logFile = w
 	s.write(`{"name":"dasar"}`)
 	s.start()
 	w.Close()
-	c := s.load(2)
+	c := s.startClients(2)
 	generation := 1
 	reload := func(times int) {
 		for range times {
@@ -321,9 +331,9 @@
 			s.signal(syscall.SIGHUP)
 			testkit.Eventually(t, "the new generation", func() bool { return s.generation() == generation })
 		}
-		c.more(10)
+		c.awaitServed(10)
 	}
-	reload(40) // a line of over 150 bytes each
+	reload(40) // fills the pipe: each reload logs a line of over 150 bytes
 	r.Close()
 	reload(5)
 	c.stop()
@@ -333,21 +343,21 @@
 	}
 }
 
-// A new file and a planned stop are taken before an edge node is ready, too: nothing is
-// known and discovery says nothing.
+// Reloads and shutdowns work before an edge node is ready: it knows no server, and discovery
+// is silent.
 func TestSignalsBeforeReady(t *testing.T) {
-	s := newService(t)
+	s := newDeployment(t)
 	s.write(`{"name":"dasar"}`)
 	hold := make(chan struct{})
 	defer close(hold)
-	s.silent.Store(&hold)
-	s.begin()
-	testkit.Eventually(t, "the door", func() bool { return s.health() == 503 })
+	s.discoveryHold.Store(&hold)
+	s.launch()
+	testkit.Eventually(t, "the listener", func() bool { return s.health() == 503 })
 	s.write(`{"name":"dasar"},{"name":"madya"}`)
 	s.signal(syscall.SIGHUP)
 	testkit.Eventually(t, "the new generation", func() bool { return s.generation() == 2 })
 	if code := s.health(); code != 503 {
-		t.Errorf("%d after a new file, with no list", code)
+		t.Errorf("status %d after a reload without a list", code)
 	}
 	s.signal(syscall.SIGTERM)
 	if err := s.cmd.Wait(); err != nil {
