--- a/cmd/valvering/soak_rules_test.go
+++ b/cmd/valvering/soak_rules_test.go
@@ -24,7 +24,7 @@
 	ceilingBurst        = 20.0                   // units
 	ceilingSlack        = 6.0                    // units: the largest request
 	maxReliableLateness = 400 * time.Millisecond // beyond it time bounds can't be checked
-	latenessFactor      = 4                      // times the lateness measured in the test process
+	latenessFactor      = 4                      // other processes may be later by this factor
 	latenessInterval    = 5 * time.Millisecond
 )
 
--- a/cmd/valvering/soak_test.go
+++ b/cmd/valvering/soak_test.go
@@ -52,7 +52,7 @@
 )
 
 func (t fault) String() string {
-	return [...]string{"no trouble", "discovery refuses", "discovery silent", "a server hangs", "a server resets",
+	return [...]string{"no fault", "discovery refuses", "discovery silent", "a server hangs", "a server resets",
 		"a server drains", "a peer is killed"}[t]
 }
 
@@ -104,7 +104,7 @@
 	for stop := range stops {
 		n, series, during := f.nodes[stop%(soakNodes-1)],
 			signalSeries(f.schedule.intN(int(signalSeriesCount))), noFault
-		if !f.descriptorsShort { // one after another, so that four seeds cover all
+		if !f.descriptorsShort { // each fault after the other: four seeds cover all
 			during = fault((int(seed-seed/3)*stops + stop) % int(faultCount))
 		}
 		events = append(events, fmt.Sprintf("%s: %v, %v", n.name, series, during))
