--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,11 +26,11 @@
 const testFile = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peer_listen":"127.0.0.1:0","peers":["127.0.0.1:5"],
  "seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"new_field":{"of":"the platform"},"settings":` + testSettings + `}`
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
-func parse(text string) (*File, error) { return Source{none}.Parse([]byte(text)) }
+func parse(text string) (*File, error) { return Source{noEnv}.Parse([]byte(text)) }
 
-// Each fault names its field, and all of them are found at once.
+// Each fault names its field, and Parse reports all faults at once.
 func TestFaults(t *testing.T) {
 	if f, err := parse(testFile); err != nil || len(f.Warnings) > 0 || f.Sockets != 1024 || len(f.Settings.Plans) != 2 {
 		t.Fatal(f, err)
@@ -88,9 +88,10 @@
 			t.Errorf("%s: %v", c.field, err)
 		}
 	}
-	twice := strings.Replace(testFile, `["127.0.0.1:5"]`, `["127.0.0.1:5","127.0.0.1:5"]`, 1)
-	if _, err := parse(twice); err == nil || !strings.Contains(err.Error(), "peers[1]: 127.0.0.1:5 is there twice") {
-		t.Errorf("%v, want peers[1]", err)
+	duplicate := strings.Replace(testFile, `["127.0.0.1:5"]`, `["127.0.0.1:5","127.0.0.1:5"]`, 1)
+	if _, err := parse(duplicate); err == nil ||
+		!strings.Contains(err.Error(), "peers[1]: 127.0.0.1:5 is a duplicate") {
+		t.Errorf("%v, want a fault of peers[1]", err)
 	}
 	all := strings.NewReplacer(`"listen":"127.0.0.1:0"`, `"listen":"here"`, `"sockets":1024`, `"sockets":3`,
 		`"aim_ms":400.0`, `"aim_ms":-1`, `"rate":0.5`, `"rate":"x"`, `"repeatable"`, `"often"`).Replace(testFile)
@@ -105,16 +106,16 @@
 	}
 }
 
-// foreign are names that the platform may give to what it adds: this program's own as
-// they stood there once, others' that differ from read ones in case, and such as would pass
-// for a path.
+// foreign lists names that the platform may use for its own fields: former names of this
+// program's fields, names that differ from known ones in case, and names that look like a
+// path.
 var foreign = []string{"admin", "state_dir", "duties", "VALVERING", "Valvering", "Name", "LISTEN", "Discovery", "Settings", "Peers",
 	"Sockets", "MEMORY_MB", "Me", "Balancers", "UID", "Endpoint", "State", "BOOT_MS", "Rev", "All", "Targets", "", ".", "a.b", "me=7",
 	"me", "caps.max_attempts", "classes.0.aim_ms", "classes.count", "plans.0.rate", "0", "count", "x y", "\u00e9", "__proto__"}
 
-// anything is a value of any kind.
-func anything(rng *rand.Rand, deep int) any {
-	switch rng.IntN(9 - deep) {
+// randomValue returns a random JSON value.
+func randomValue(rng *rand.Rand, depth int) any {
+	switch rng.IntN(9 - depth) {
 	case 0:
 		return nil
 	case 1:
@@ -128,44 +129,45 @@
 	case 5:
 		return []any{"nightly", "a"}
 	case 6:
-		return []any{anything(rng, deep+1), anything(rng, deep+1)}
+		return []any{randomValue(rng, depth+1), randomValue(rng, depth+1)}
 	}
-	if deep == 2 {
+	if depth == 2 {
 		return 7
 	}
-	return map[string]any{foreign[rng.IntN(len(foreign))]: anything(rng, deep+1), "listen": anything(rng, deep+1)}
+	return map[string]any{foreign[rng.IntN(len(foreign))]: randomValue(rng, depth+1),
+		"listen": randomValue(rng, depth+1)}
 }
 
-// add puts something under names that nobody reads there into a value's objects. At
-// the top and elsewhere "me" and numbers are read by nobody; in the settings they are.
-func add(rng *rand.Rand, v any, at string) {
+// addUnknownFields adds random fields with unused names to all objects in a value. The name "me" is
+// unused everywhere but in the settings.
+func addUnknownFields(rng *rand.Rand, v any, at string) {
 	switch v := v.(type) {
 	case map[string]any:
-		for _, k := range slices.Sorted(maps.Keys(v)) { // a seed is to give the same file again
-			add(rng, v[k], at+"/"+k)
+		for _, k := range slices.Sorted(maps.Keys(v)) { // sorted, so that a seed always gives the same file
+			addUnknownFields(rng, v[k], at+"/"+k)
 		}
 		for range rng.IntN(3) {
 			name := foreign[rng.IntN(len(foreign))]
 			if _, read := v[name]; !read && (name != "me" || at != "/settings") {
-				v[name] = anything(rng, 0)
+				v[name] = randomValue(rng, 0)
 			}
 		}
 	case []any:
 		for _, e := range v {
-			add(rng, e, at)
+			addUnknownFields(rng, e, at)
 		}
 	}
 }
 
-// The file and the environment are the platform's: whatever it adds to them, under any
-// name and of any value, changes nothing that this program does. A file has refused starts
-// of whole fleets with a field "admin" of the platform's own.
+// Fields and variables that the platform adds, with any name and value, must not affect
+// this program. A field "admin" that the platform added once prevented starts of whole
+// fleets.
 func TestPlatformMayAddAnything(t *testing.T) {
 	text := strings.Replace(testFile, `"limits"`, `"known":{"rev":3,"all":true,"targets":[
 		{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","pod_group":2,"state":"SERVING","capacity_hint":1.5,"boot_ms":7},
 		{"uid":"s-2","state":"DELETED"}]},"valvering":{"admin":"127.0.0.1:7"},"limits"`, 1)
 	want, err := parse(text)
-	if err != nil || len(want.Warnings) > 0 || len(want.Known.Targets) != 2 || want.Admin.Port() != 7 {
+	if err != nil || len(want.Warnings) > 0 || len(want.KnownServers.Targets) != 2 || want.Admin.Port() != 7 {
 		t.Fatal(err, want)
 	}
 	for seed := range uint64(2000) {
@@ -175,8 +177,8 @@
 			t.Fatal(err)
 		}
 		own := v["valvering"]
-		delete(v, "valvering") // what stands in there is this program's
-		add(rng, v, "")
+		delete(v, "valvering") // the platform adds nothing to this program's object
+		addUnknownFields(rng, v, "")
 		v["valvering"] = own
 		raw, err := json.Marshal(v)
 		if err != nil {
@@ -186,7 +188,7 @@
 			if !strings.HasPrefix(key, "GW_") || slices.Contains([]string{"GW_NAME", "GW_LISTEN", "GW_DISCOVERY"}, key) {
 				return ""
 			}
-			return fmt.Sprint(anything(rng, 0)) // the platform has variables of any other name
+			return fmt.Sprint(randomValue(rng, 0)) // the platform may set any other variable
 		}}.Parse(raw)
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, raw)
@@ -200,8 +202,8 @@
 	}
 }
 
-// This program's fields stand in its own object and its own variables; where they stood
-// before, they are the platform's, and one warning tells where to put them.
+// This program's fields are read from its own object and variables only. In their former
+// places they are ignored, and a single warning names the new place.
 func TestOwnFields(t *testing.T) {
 	former := `"admin":"127.0.0.1:8","state_dir":"/var/former","duties":["former"],`
 	own := `"valvering":{"admin":"127.0.0.1:7","state_dir":"/var/s","duties":["nightly"],"later":1},`
@@ -223,12 +225,13 @@
 	}
 	var faults Faults
 	if _, err = with(map[string]string{StateDirEnv: "run"}, own); !errors.As(err, &faults) || len(faults) != 1 || faults[0].Field != StateDirEnv {
-		t.Errorf("environment that can't be used: %v", err)
+		t.Errorf("invalid environment: %v", err)
 	}
 }
 
-// A list that can't be used is no reason not to start: discovery brings another.
-func TestKnownListIsNoSetting(t *testing.T) {
+// An invalid list of known servers must not prevent a start, since discovery provides
+// the current list.
+func TestInvalidKnownListIsWarning(t *testing.T) {
 	for known, want := range map[string]int{`null`: 0, `{"rev":3,"targets":[]}`: 0, `7`: 1,
 		`{"targets":[{"uid":"s-1","state":"DELETED"},{"uid":"s-1","state":"DELETED"}]}`: 1,
 		`{"targets":[{"uid":"s-1","state":"ASLEEP"}]}`:                                  1, `{"targets":[{"uid":"s-1","state":"DELETED"},{}]}`: 1} {
@@ -239,35 +242,35 @@
 	}
 }
 
-// A file that nobody writes, as on a disk that hangs, is given up.
+// Reading a file that blocks, as on a disk that hangs, ends with a fault.
 func TestFileThatHangs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, err := readWithin(path, time.Millisecond)
+	_, err := readWithTimeout(path, time.Millisecond)
 	var faults Faults
 	if !errors.As(err, &faults) || faults[0].Field != "file" || errors.Is(err, ErrUnreadable) {
 		t.Errorf("%v", err)
 	}
-	w, err := os.OpenFile(path, os.O_RDWR, 0) // lets go of the one that still waits
+	w, err := os.OpenFile(path, os.O_RDWR, 0) // unblocks the goroutine that still reads
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Close()
 }
 
-// bench is a history with its file and its time.
-type bench struct {
+// testHistory is a History with its file and clock.
+type testHistory struct {
 	*History
 	t    *testing.T
 	path string
 	now  time.Time
 }
 
-func newBench(t *testing.T) *bench {
+func newTestHistory(t *testing.T) *testHistory {
 	t.Helper()
-	b := &bench{t: t, path: filepath.Join(t.TempDir(), "config.json"), now: time.Unix(1e9, 0)}
+	b := &testHistory{t: t, path: filepath.Join(t.TempDir(), "config.json"), now: time.Unix(1e9, 0)}
 	b.write(testFile)
 	h, err := Start(Source{func(key string) string { return map[string]string{"GW_CONFIG": b.path}[key] }}.Load(), b.now)
 	if err != nil {
@@ -277,28 +280,28 @@
 	return b
 }
 
-func (b *bench) write(text string) {
+func (b *testHistory) write(text string) {
 	b.t.Helper()
 	if err := os.WriteFile(b.path, []byte(text), 0o600); err != nil {
 		b.t.Fatal(err)
 	}
 }
 
-// offer writes a file and takes it if it may be taken.
-func (b *bench) offer(from, to string) error {
+// offer writes a changed file, offers it and accepts it if it is valid.
+func (b *testHistory) offer(from, to string) error {
 	b.t.Helper()
 	b.write(strings.Replace(testFile, from, to, 1))
 	b.now = b.now.Add(time.Second)
-	g, err := b.Offer(b.now, false)
+	g, err := b.Propose(b.now, false)
 	if err == nil {
 		b.Accept(g)
 	}
 	return err
 }
 
-// A refused file between two good ones changes nothing, and is kept to be seen.
-func TestRefusedBetweenGood(t *testing.T) {
-	b := newBench(t)
+// A rejected file between two valid ones changes nothing, and Refused returns it.
+func TestRejectedFileBetweenValidOnes(t *testing.T) {
+	b := newTestHistory(t)
 	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:2"`); err != nil {
 		t.Fatal(err)
 	}
@@ -307,14 +310,14 @@
 		t.Errorf("%v, %v, %+v", err, b.Refused(), b.Current())
 	}
 	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); err != nil || b.Current().Number != 3 ||
-		b.Current().File.Discovery != "127.0.0.1:3" || b.Before().Number != 2 || b.Refused() != nil {
-		t.Errorf("%v, %+v, %+v", err, b.Current(), b.Before())
+		b.Current().File.Discovery != "127.0.0.1:3" || b.Previous().Number != 2 || b.Refused() != nil {
+		t.Errorf("%v, %+v, %+v", err, b.Current(), b.Previous())
 	}
 }
 
-// A file that changes what is fixed is refused whole, and the field is named.
+// A file that changes a fixed field is rejected as a whole, and the fault names the field.
 func TestFixedFields(t *testing.T) {
-	b := newBench(t)
+	b := newTestHistory(t)
 	for _, c := range []struct{ field, from, to string }{
 		{"name", `"name":"n0"`, `"name":"n1"`},
 		{"listen", `"listen":"127.0.0.1:0"`, `"listen":"127.0.0.1:9"`},
@@ -336,7 +339,7 @@
 			t.Errorf("%s: %v", c.field, err)
 		}
 	}
-	// Facts of the start are passed over, and what the platform adds is borne.
+	// Fields that only matter at the start and unknown fields may change.
 	if err := b.offer(`"seed":"8c1f30d27a5be964"`, `"seed":"1","known":{"rev":9,"targets":[]},"more":1`); err != nil {
 		t.Error(err)
 	}
@@ -345,17 +348,17 @@
 	}
 }
 
-// One step leads back, a second one nowhere; the file that was left is not
-// taken again by a signal, but by hand or once it has changed.
+// A second rollback in a row is rejected. The file that was rolled back from is put in
+// force again by an operator's command or once it has changed, but not by a signal.
 func TestRollBack(t *testing.T) {
-	b := newBench(t)
-	if _, err := b.Back(b.now); !errors.Is(err, ErrNoneBefore) {
+	b := newTestHistory(t)
+	if _, err := b.RollBack(b.now); !errors.Is(err, ErrNoPrevious) {
 		t.Errorf("%v with one generation", err)
 	}
 	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:2"`); err != nil {
 		t.Fatal(err)
 	}
-	g, err := b.Back(b.now)
+	g, err := b.RollBack(b.now)
 	if err != nil || b.Current().Number != 2 {
 		t.Fatal(err, b.Current())
 	}
@@ -363,56 +366,57 @@
 	if b.Current().Number != 3 || b.Current().File.Discovery != "127.0.0.1:1" {
 		t.Errorf("%+v", b.Current())
 	}
-	if _, err := b.Back(b.now); !errors.Is(err, ErrNoneBefore) {
-		t.Errorf("%v at the second step back", err)
+	if _, err := b.RollBack(b.now); !errors.Is(err, ErrNoPrevious) {
+		t.Errorf("%v at the second rollback", err)
 	}
-	if _, err := b.Offer(b.now, false); !errors.Is(err, ErrPassedOver) {
-		t.Errorf("%v for the file that was left", err)
+	if _, err := b.Propose(b.now, false); !errors.Is(err, ErrUnchanged) {
+		t.Errorf("%v for the file that was rolled back from", err)
 	}
-	if g, err = b.Offer(b.now, true); err != nil || g.File.Discovery != "127.0.0.1:2" {
-		t.Errorf("%v by hand", err)
+	if g, err = b.Propose(b.now, true); err != nil || g.File.Discovery != "127.0.0.1:2" {
+		t.Errorf("%v for the same file by an operator's command", err)
 	}
-	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); err != nil || b.Left() != "" {
+	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); err != nil || b.RolledBackDigest() != "" {
 		t.Errorf("%v for another file", err)
 	}
-	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); !errors.Is(err, ErrPassedOver) {
+	if err := b.offer(`"127.0.0.1:1"`, `"127.0.0.1:3"`); !errors.Is(err, ErrUnchanged) {
 		t.Errorf("%v for the file in force", err)
 	}
 }
 
-// What applying fails at is not in force.
+// A proposed generation is not in force until it is accepted.
 func TestProposedIsNotInForce(t *testing.T) {
-	b := newBench(t)
+	b := newTestHistory(t)
 	b.write(strings.Replace(testFile, `"127.0.0.1:1"`, `"127.0.0.1:2"`, 1))
-	if _, err := b.Offer(b.now, false); err != nil || b.Current().Number != 1 || b.Before() != nil {
+	if _, err := b.Propose(b.now, false); err != nil || b.Current().Number != 1 || b.Previous() != nil {
 		t.Error(err, b.Current())
 	}
 }
 
-// A file is untrusted: whatever it holds gives a file, faults or a plain error,
-// and what passes once passes again.
+// A file is untrusted: any input gives a File, Faults or ErrUnreadable. A valid file has no
+// changed fields when compared with itself.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(testFile))
 	f.Add([]byte(`{"settings":{"classes":[{"name":1e999}],"plans":{"count":1e18}}}`))
 	f.Add([]byte(`{"limits":{"sockets":1e40},"peers":[null],"known":{"targets":[{}]}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, err := Source{none}.Parse(data)
+		c, err := Source{noEnv}.Parse(data)
 		var faults Faults
 		if err != nil && !errors.Is(err, ErrUnreadable) && (!errors.As(err, &faults) || len(faults) == 0) {
 			t.Fatalf("%T %v", err, err)
 		}
-		if err == nil && (c == nil || fixed(c, c) != nil || fmt.Sprint(c.Settings.Classes) == "[]") {
-			t.Fatalf("passed as %+v", c)
+		if err == nil && (c == nil || fixedFieldFaults(c, c) != nil ||
+			fmt.Sprint(c.Settings.Classes) == "[]") {
+			t.Fatalf("accepted as %+v", c)
 		}
 	})
 }
 
-// A process goes on from what was in force before it ended; what was kept is as
-// untrusted as the file.
+// A restarted process continues from the stored generations, which are as untrusted as
+// the file.
 func TestResume(t *testing.T) {
 	alter := func(port string) string { return strings.Replace(testFile, `"127.0.0.1:1"`, `"127.0.0.1:`+port+`"`, 1) }
-	kept := func(n uint64, text string) Kept {
-		return Kept{Number: n, Digest: DigestOf([]byte(text)), Time: time.Unix(int64(n), 0), Raw: []byte(text)}
+	kept := func(n uint64, text string) StoredGeneration {
+		return StoredGeneration{Number: n, Digest: DigestOf([]byte(text)), Time: time.Unix(int64(n), 0), Raw: []byte(text)}
 	}
 	broken := kept(5, alter("5"))
 	broken.Raw = broken.Raw[:40]
@@ -420,57 +424,58 @@
 	for _, c := range []struct {
 		name            string
 		file            string
-		current, before Kept
-		left            string
-		number          uint64 // 0: no start
-		port            string
-		back            uint64 // 0: none to return to
+		current, before StoredGeneration
+		rolledBack      string
+		number          uint64 // in force; 0: the start fails
+		port            string // of discovery
+		previous        uint64 // previous generation; 0: none
 		refused         bool
 		notes           int
 	}{
 		{"the same file", alter("5"), kept(5, alter("5")), kept(4, alter("4")), "", 5, "5", 4, false, 0},
 		{"a newer file", alter("6"), kept(5, alter("5")), kept(4, alter("4")), "", 6, "6", 5, false, 0},
 		{"a faulty file", faulty, kept(5, alter("5")), kept(4, alter("4")), "", 5, "5", 4, true, 1},
-		{"half a file", alter("6")[:50], kept(5, alter("5")), Kept{}, "", 5, "5", 0, true, 1},
-		{"rolled back from", alter("6"), kept(7, alter("5")), Kept{}, DigestOf([]byte(alter("6"))), 7, "5", 0, false, 1},
-		{"kept one broken", alter("6"), broken, kept(4, alter("4")), "", 6, "6", 0, false, 1},
-		{"kept one faulty", alter("6"), kept(5, faulty), Kept{}, "", 6, "6", 0, false, 1},
-		{"before broken", alter("5"), kept(5, alter("5")), broken, "", 5, "5", 0, false, 1},
-		{"nothing to go by", faulty, broken, Kept{}, "", 0, "", 0, false, 0},
-		{"nothing kept", faulty, Kept{}, Kept{}, "", 0, "", 0, false, 0},
+		{"half a file", alter("6")[:50], kept(5, alter("5")), StoredGeneration{}, "", 5, "5", 0, true, 1},
+		{"rolled back from", alter("6"), kept(7, alter("5")), StoredGeneration{}, DigestOf([]byte(alter("6"))), 7, "5", 0, false, 1},
+		{"stored one damaged", alter("6"), broken, kept(4, alter("4")), "", 6, "6", 0, false, 1},
+		{"stored one faulty", alter("6"), kept(5, faulty), StoredGeneration{}, "", 6, "6", 0, false, 1},
+		{"previous one damaged", alter("5"), kept(5, alter("5")), broken, "", 5, "5", 0, false, 1},
+		{"nothing valid", faulty, broken, StoredGeneration{}, "", 0, "", 0, false, 0},
+		{"nothing stored", faulty, StoredGeneration{}, StoredGeneration{}, "", 0, "", 0, false, 0},
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(c.file), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		src := Source{func(key string) string { return map[string]string{"GW_CONFIG": path}[key] }}
-		h, notes, err := Resume(src.Load(), c.current, c.before, c.left, time.Unix(99, 0))
+		h, notes, err := Resume(src.Load(), c.current, c.before, c.rolledBack, time.Unix(99, 0))
 		if (err != nil) != (c.number == 0) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if err != nil {
 			continue
 		}
-		back := uint64(0)
-		if h.Before() != nil {
-			back = h.Before().Number
+		previous := uint64(0)
+		if h.Previous() != nil {
+			previous = h.Previous().Number
 		}
-		if h.Current().Number != c.number || h.Current().File.Discovery != "127.0.0.1:"+c.port || back != c.back ||
-			(h.Refused() != nil) != c.refused || len(notes) != c.notes {
+		if h.Current().Number != c.number || h.Current().File.Discovery != "127.0.0.1:"+c.port ||
+			previous != c.previous || (h.Refused() != nil) != c.refused || len(notes) != c.notes {
 			t.Errorf("%s: generation %d, %s, back to %d, refused %v, %v", c.name, h.Current().Number, h.Current().File.Discovery,
-				back, h.Refused(), notes)
+				previous, h.Refused(), notes)
 		}
 	}
 }
 
-// A generation from before a restart may differ in what is fixed now: there is no
-// way back to it.
+// A rollback is rejected if the previous generation is from before a restart and differs
+// in a fixed field.
 func TestRollBackOverRestart(t *testing.T) {
-	b := newBench(t)
+	b := newTestHistory(t)
 	other := strings.Replace(testFile, `["127.0.0.1:5"]`, `["127.0.0.1:6"]`, 1)
-	h, _, err := Resume(Source{func(key string) string { return map[string]string{"GW_CONFIG": b.path}[key] }}.Load(), Kept{1, DigestOf([]byte(other)), b.now, []byte(other)}, Kept{}, "", b.now)
+	h, _, err := Resume(Source{func(key string) string { return map[string]string{"GW_CONFIG": b.path}[key] }}.Load(),
+		StoredGeneration{1, DigestOf([]byte(other)), b.now, []byte(other)}, StoredGeneration{}, "", b.now)
 	if err == nil {
-		_, err = h.Back(b.now)
+		_, err = h.RollBack(b.now)
 	}
 	if err == nil || !strings.Contains(err.Error(), "peers: can't change") {
 		t.Error(err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,3 +1,6 @@
+// Package node is an edge node with its sockets: it reads clients' HTTP requests, has package policy decide
+// about each, sends attempts to the servers that discovery lists, and exchanges datagrams with the other
+// edge nodes.
 package node
 
 import (
@@ -18,38 +21,38 @@
 )
 
 const (
-	sweepEvery = time.Second
-	knownWait  = time.Second // discovery is given so long before the known list has to do
+	sweepInterval       = time.Second
+	rememberedListDelay = time.Second // time for discovery to answer before the remembered list is used
 
-	// The addresses must be had so soon after the start. An edge node has 30 s to be ready.
-	addressWait  = 10 * time.Second
-	addressPause = 20 * time.Millisecond
+	// Opening the listen addresses at the start. An edge node must be ready 30 s after its start.
+	listenRetryTimeout = 10 * time.Second
+	listenRetryDelay   = 20 * time.Millisecond // between two tries
 )
 
-// Node is an edge node whose sockets are open.
+// Node is an edge node with open sockets.
 type Node struct {
-	cfg      *config.File // as it was at the start
-	changing sync.Mutex   // held while a generation is proposed and put in force
-	history  *config.History
-	kept     *Kept
-	keep     *keeper // nil: no snapshots are kept
-	duties   *duties // nil: the configuration names none
-	status   atomic.Pointer[Status]
-	ctx      context.Context // ends with Run
-	end      context.CancelFunc
-	loop     *loop
-	server   *server
-	up       *upstream
-	peers    *peers
-	disc     *discovery
-	listener *net.TCPListener
-	phase    atomic.Int32
-	stay     chan chan error // planned stops called off
+	cfg            *config.File // as read at the start
+	changeMu       sync.Mutex   // held while a new generation is checked and applied
+	history        *config.History
+	restoreFrom    *Snapshots
+	snapshots      *snapshotWriter // nil: no snapshots are written
+	duties         *duties         // nil: the configuration names none
+	status         atomic.Pointer[Status]
+	ctx            context.Context // cancelled when Run returns
+	cancel         context.CancelFunc
+	loop           *loop
+	server         *httpServer
+	upstream       *upstream
+	peers          *peers
+	discovery      *discovery
+	listener       *net.TCPListener
+	phase          atomic.Int32
+	cancelShutdown chan chan error // requests to cancel a shutdown, each with the channel for its result
 }
 
-// New opens the sockets of an edge node.
-// It goes on from what was kept; nil: no snapshots are kept.
-func New(h *config.History, kept *Kept) (*Node, error) {
+// New opens the sockets of an edge node. Run restores the state that kept holds and then writes snapshots
+// there; with a nil kept no snapshots are read or written.
+func New(h *config.History, kept *Snapshots) (*Node, error) {
 	cfg := h.Current().File
 	g, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -57,64 +60,66 @@
 	}
 	clk := clock{time.Now()}
 	up := newUpstream(clk, roster.NewDirectory(), cfg.Settings.ReportNames)
-	clients, servers := descriptors(cfg)
-	up.limit(cfg, servers)
-	n := &Node{cfg: cfg, history: h, kept: kept, stay: make(chan chan error), up: up, loop: newLoop(clk, g, up)}
-	n.ctx, n.end = context.WithCancel(context.Background())
-	n.server = newServer(clk, h.Current(), up, n.loop.events, clients)
+	clients, servers := connLimits(cfg)
+	up.applyConfig(cfg, servers)
+	n := &Node{cfg: cfg, history: h, restoreFrom: kept, cancelShutdown: make(chan chan error), upstream: up,
+		loop: newLoop(clk, g, up)}
+	n.ctx, n.cancel = context.WithCancel(context.Background())
+	n.server = newHTTPServer(clk, h.Current(), up, n.loop.events, clients)
 	n.publish()
-	n.loop.gen, n.loop.onApply, n.loop.reread = h.Current(), n.onApply, n.server.read
-	n.loop.mustAsk = cfg.Settings.MustAsk
-	held := false // a remembered list
-	n.loop.onList = func(kind policy.MembersKind) {
+	n.loop.generation, n.loop.onApply, n.loop.reparse = h.Current(), n.onApply, n.server.parseHeaders
+	n.loop.pollsDiscovery = cfg.Settings.MustWatch
+	hasRememberedList := false // whether there is a remembered list
+	n.loop.onServerList = func(kind policy.UpdateKind) {
 		switch kind {
-		case policy.Whole:
+		case policy.FullList:
 			n.server.ready.Store(true)
-		case policy.Remembered: // has to do while discovery is silent
-			held = true
-			time.AfterFunc(knownWait, func() { n.server.ready.Store(true) })
-		case policy.AskFailed: // and where it has refused, at once
-			if held {
+		case policy.StoredList: // used if discovery does not answer
+			hasRememberedList = true
+			time.AfterFunc(rememberedListDelay, func() { n.server.ready.Store(true) })
+		case policy.WatchFailed: // no need to wait for discovery any longer
+			if hasRememberedList {
 				n.server.ready.Store(true)
 			}
 		}
 	}
-	free := time.Now().Add(addressWait)
-	if cfg.Settings.CanTell {
-		hear := func(from int, data []byte) {
-			if n.duties != nil && n.duties.hear(from, data) {
+	listenDeadline := time.Now().Add(listenRetryTimeout)
+	if cfg.Settings.CanSendMessages {
+		onMessage := func(from int, data []byte) {
+			if n.duties != nil && n.duties.receive(from, data) {
 				return
 			}
 			select {
 			case n.loop.events <- policy.PeerMessage{From: from, Data: data}:
-			default: // lost, like one on the way
+			default: // dropped: datagrams may be lost anyway
 			}
 		}
-		err := patiently(free, func() (err error) {
-			n.peers, err = listenPeers(cfg.PeerListen, cfg.Peers, cfg.PeersAll, hear)
+		err := retryListen(listenDeadline, func() (err error) {
+			n.peers, err = listenPeers(cfg.PeerListen, cfg.Peers, cfg.PeersAll, onMessage)
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
-		n.loop.tell = n.peers.tell
+		n.loop.sendToPeer = n.peers.send
 		if len(cfg.Duties) > 0 {
-			n.duties = newDuties(cfg.Duties, cfg.Settings.Me, cfg.Settings.Gateways, cfg.Seed, clk, n.peers.tell)
+			n.duties = newDuties(cfg.Duties, cfg.Settings.Self, cfg.Settings.Gateways, cfg.Seed, clk,
+				n.peers.send)
 		}
 	}
-	if err := patiently(free, n.listen); err != nil {
+	if err := retryListen(listenDeadline, n.listen); err != nil {
 		n.closePeers()
 		return nil, err
 	}
-	n.disc = newDiscovery(cfg, n.loop.feed)
+	n.discovery = newDiscovery(cfg, n.loop.postList)
 	if kept != nil {
-		n.keep = newKeeper(kept.Store, up.list, n.status.Load)
-		n.loop.keep = n.keep
+		n.snapshots = newSnapshotWriter(kept.Store, up.directory, n.status.Load)
+		n.loop.snapshots = n.snapshots
 	}
 	return n, nil
 }
 
-// Addr is where clients connect.
+// Addr returns the address that clients connect to.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
 func (n *Node) closePeers() {
@@ -123,54 +128,54 @@
 	}
 }
 
-// Run serves until a signal on term and everything open is answered; a second one
-// hastens that. Signals on hup tell that the configuration file is new.
+// Run serves clients until a signal on term, then answers all open requests and returns. A second signal
+// shortens the shutdown. A signal on hup means that the configuration file has changed.
 func (n *Node) Run(term, hup <-chan os.Signal) error {
 	ctx := n.ctx
-	defer n.end()
+	defer n.cancel()
 	defer n.closePeers()
 	for _, w := range n.cfg.Warnings {
 		slog.Warn("configuration", "passed over", w)
 	}
-	fresh := n.restore(n.kept)
-	if n.server.ready.Store(fresh); n.keep != nil {
-		go every(ctx, keepLook, n.look)
+	listFresh := n.restore(n.restoreFrom)
+	if n.server.ready.Store(listFresh); n.snapshots != nil {
+		go runEvery(ctx, snapshotCheckInterval, n.requestSnapshot)
 	}
 	go n.loop.run(ctx.Done())
-	go n.disc.run(ctx)
+	go n.discovery.run(ctx)
 	go n.reload(ctx, hup)
-	go every(ctx, sweepEvery, n.up.sweep)
+	go runEvery(ctx, sweepInterval, n.upstream.sweep)
 	if n.peers != nil {
 		if n.duties != nil {
 			go n.duties.run(ctx)
 		}
-		go n.peers.send(ctx.Done())
-		go n.peers.receive()
+		go n.peers.sendLoop(ctx.Done())
+		go n.peers.receiveLoop()
 	}
 	if err := n.serve(term); err != nil {
 		return err
 	}
-	n.loop.post(shutdown{})
+	n.loop.post(endLoop{})
 	select {
-	case <-n.loop.over:
-	case <-time.After(stopHand):
-		slog.Warn("counts not handed on in time")
-		n.loop.post(shutdown{now: true})
-		<-n.loop.over
+	case <-n.loop.done:
+	case <-time.After(shutdownHandoverTimeout):
+		slog.Warn("counts were not handed to other edge nodes in time")
+		n.loop.post(endLoop{now: true})
+		<-n.loop.done
 	}
 	if n.duties != nil {
-		n.duties.leave()
+		n.duties.releaseAll()
 	}
 	if n.peers != nil {
 		n.peers.flush()
 	}
-	if n.keep != nil {
-		n.keepLast()
+	if n.snapshots != nil {
+		n.writeLastSnapshot()
 	}
 	return nil
 }
 
-// serve accepts clients until a planned stop has come to its end.
+// serve accepts clients until a shutdown is complete.
 func (n *Node) serve(term <-chan os.Signal) error {
 	served := make(chan error, 1)
 	accept := func() {
@@ -178,75 +183,77 @@
 		go func() { served <- n.server.serve(ln) }()
 	}
 	accept()
-	poll := time.NewTicker(stopPoll)
+	poll := time.NewTicker(shutdownPollInterval)
 	defer poll.Stop()
-	poll.Stop() // until there is a stop to look after
-	var d shutdownState
-	var s steps
-	for !s.end {
-		s = steps{}
+	poll.Stop() // runs only during a shutdown
+	var state shutdownState
+	var actions shutdownActions
+	for !actions.done {
+		actions = shutdownActions{}
 		select {
 		case err := <-served:
-			return fmt.Errorf("serve: %w", cmp.Or(err, net.ErrClosed)) // not by a stop
+			return fmt.Errorf("serve: %w", cmp.Or(err, net.ErrClosed)) // not caused by a shutdown
 		case <-term:
-			was := d.phase
-			if s = d.signal(n.loop.clock.now()); s.giveUp {
-				slog.Info("planned stop hastened")
+			previous := state.phase
+			if actions = state.signal(n.loop.clock.now()); actions.refuseWaiting {
+				slog.Info("shutdown shortened by a second signal")
 			}
-			if was == phaseServing { // once: signals that keep coming must not put it off
-				slog.Info("planned stop begins")
-				poll.Reset(stopPoll)
+			if previous == phaseServing { // only at the first signal: later ones must not delay the poll
+				slog.Info("shutdown begins")
+				poll.Reset(shutdownPollInterval)
 			}
-		case back := <-n.stay:
-			shut := d.phase == finishing
-			err := d.callOff()
-			if err == nil && shut {
-				if err = n.listen(); err != nil { // the address is another's by now
-					d.signal(n.loop.clock.now())
+		case reply := <-n.cancelShutdown:
+			listenerClosed := state.phase == phaseFinishing
+			err := state.cancel()
+			if err == nil && listenerClosed {
+				if err = n.listen(); err != nil { // another process has taken the address
+					state.signal(n.loop.clock.now())
 				} else {
 					accept()
 				}
 			}
 			if err == nil {
 				poll.Stop()
-				n.loop.post(giveUp(false))
-				slog.Info("planned stop called off")
+				n.loop.post(refuseWaiting(false))
+				slog.Info("shutdown cancelled")
 			}
-			n.enter(d.phase)
-			back <- err
+			n.setPhase(state.phase)
+			reply <- err
 			continue
 		case <-poll.C:
-			open, quiet := n.server.state()
-			s = d.step(n.loop.clock.now(), open, quiet)
+			open, quiet := n.server.activity()
+			actions = state.step(n.loop.clock.now(), open, quiet)
 		}
-		if s.shutListener && n.listener.SetDeadline(time.Unix(1, 0)) == nil { // else a stop that was called off too late closed it
+		// SetDeadline fails when the listener is closed already and could not be opened again.
+		if actions.closeListener && n.listener.SetDeadline(time.Unix(1, 0)) == nil {
 			if err := <-served; err != nil {
 				return fmt.Errorf("serve: %w", err)
 			}
 		}
-		n.enter(d.phase)
-		if s.giveUp {
-			n.loop.post(giveUp(true))
+		n.setPhase(state.phase)
+		if actions.refuseWaiting {
+			n.loop.post(refuseWaiting(true))
 		}
-		if s.shutIdle {
-			n.server.shutIdle(stopQuiet)
+		if actions.closeIdle {
+			n.server.closeIdle(shutdownQuietTime)
 		}
 	}
-	if open, _ := n.server.state(); open > 0 {
-		return fmt.Errorf("planned stop: %d %w", open, ErrUnanswered)
+	if open, _ := n.server.activity(); open > 0 {
+		return fmt.Errorf("shutdown: %d %w", open, ErrOpenConnections)
 	}
 	return nil
 }
 
-// enter shows the phase to clients, peers and operators.
-func (n *Node) enter(p phase) {
+// setPhase sets the phase of the shutdown that clients and operators see.
+func (n *Node) setPhase(p phase) {
 	n.phase.Store(int32(p))
 	n.server.draining.Store(p != phaseServing)
 }
 
 // listen opens the clients' listener.
 func (n *Node) listen() error {
-	lc := net.ListenConfig{KeepAlive: -1} // time-outs of our own are shorter: four system calls saved at each accept
+	// Without keep-alive probes each accept needs four system calls fewer. The server's timeouts are shorter.
+	lc := net.ListenConfig{KeepAlive: -1}
 	ln, err := lc.Listen(n.ctx, "tcp", n.cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -255,27 +262,27 @@
 	return nil
 }
 
-// patiently opens an address. One that is still taken is asked for again for a while:
-// the process before may be about to end.
-func patiently(until time.Time, open func() error) error {
+// retryListen calls open, and repeats it until the deadline while the address is in use or not yet assigned:
+// the previous process may be about to exit.
+func retryListen(deadline time.Time, open func() error) error {
 	for first := true; ; first = false {
 		err := open()
-		if !among(err, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL) || !time.Now().Before(until) {
+		if !isAny(err, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL) || !time.Now().Before(deadline) {
 			return err
 		}
 		if first {
-			slog.Warn("an address can't be had yet; asked for again", "err", err, "for", addressWait)
+			slog.Warn("an address can't be had yet; trying again", "err", err, "for", listenRetryTimeout)
 		}
-		time.Sleep(addressPause)
+		time.Sleep(listenRetryDelay)
 	}
 }
 
-// Stay calls a planned stop off, as long as it has not come to its end.
-func (n *Node) Stay(ctx context.Context) error {
-	back := make(chan error, 1)
+// CancelShutdown cancels a shutdown that is not complete yet, and returns to serving.
+func (n *Node) CancelShutdown(ctx context.Context) error {
+	reply := make(chan error, 1)
 	select {
-	case n.stay <- back:
-		return <-back
+	case n.cancelShutdown <- reply:
+		return <-reply
 	case <-n.ctx.Done():
 		return errEnded
 	case <-ctx.Done():
@@ -283,16 +290,16 @@
 	}
 }
 
-// every does something now and then until ctx ends.
-func every(ctx context.Context, d time.Duration, do func()) {
-	t := time.NewTicker(d)
+// runEvery calls f periodically until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, f func()) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			do()
+			f()
 		}
 	}
 }
--- a/internal/roster/binary_test.go
+++ b/internal/roster/binary_test.go
@@ -10,7 +10,7 @@
 )
 
 func sampleList() *List {
-	l := fleet(40)
+	l := listOf(40)
 	l.Rev = 1 << 40
 	l.Targets[1].State = "DRAINING"
 	l.Targets[2].Endpoint = "[2001:db8::1%eth0]:443"
@@ -19,7 +19,7 @@
 	return l
 }
 
-// Both ways to the binary form come to the same, and back to the list.
+// A List and a Directory encode to binary data that decodes to the same list.
 func TestBinaryRoundTrip(t *testing.T) {
 	want := sampleList()
 	b, err := want.AppendBinary(nil)
@@ -30,7 +30,7 @@
 	if d.Encode(&e); len(e.Bytes) != 0 {
 		t.Errorf("%d bytes before there is a list", len(e.Bytes))
 	}
-	d.Update(want, true, time.Second, ignore)
+	d.Update(want, true, time.Second, ignoreEnded)
 	d.Encode(&e)
 	for name, b := range map[string][]byte{"list": b, "directory": e.Bytes} {
 		if got, err := ParseBinary(b); err != nil || !reflect.DeepEqual(got, want) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// The form is made anew only after an update, and not of half a list.
+// Encode encodes again only after an update, and not while parts of a list are missing.
 func TestEncodeFollowsWholeUpdates(t *testing.T) {
 	d, e := NewDirectory(), Encoded{}
 	revision := func() int64 {
@@ -53,18 +53,18 @@
 		}
 		return l.Rev
 	}
-	d.Update(&List{Rev: 1}, true, 0, ignore)
+	d.Update(&List{Rev: 1}, true, 0, ignoreEnded)
 	if revision() != 1 {
 		t.Error("the first update is not in it")
 	}
-	e.Bytes[0] = 0x22 // a mark: revision 17
+	e.Bytes[0] = 0x22 // revision 17, to detect a new encoding
 	if revision() != 17 {
-		t.Error("made anew though nothing has changed")
+		t.Error("encoded again without an update")
 	}
 	d.SetPartial(true)
-	d.Update(&List{Rev: 2}, false, 0, ignore)
+	d.Update(&List{Rev: 2}, false, 0, ignoreEnded)
 	if revision() != 17 {
-		t.Error("half a list is in it")
+		t.Error("a partial list was encoded")
 	}
 	d.SetPartial(false)
 	if revision() != 2 {
@@ -72,9 +72,9 @@
 	}
 }
 
-// What is not a whole list of usable lines is refused.
-func TestBinaryRefuses(t *testing.T) {
-	one := &List{Rev: 3, Targets: fleet(1).Targets}
+// ParseBinary rejects truncated data and invalid lines. It replaces invalid numbers by 0.
+func TestParseBinaryRejects(t *testing.T) {
+	one := &List{Rev: 3, Targets: listOf(1).Targets}
 	b, _ := one.AppendBinary(nil)
 	for n := range b {
 		if l, err := ParseBinary(b[:n]); err == nil && len(l.Targets) > 0 {
@@ -87,23 +87,23 @@
 		"state":      func(e *Entry) { e.State = 2 },
 	} {
 		d, e := NewDirectory(), Encoded{}
-		d.Update(one, true, 0, ignore)
+		d.Update(one, true, 0, ignoreEnded)
 		change(&d.entries[0])
 		d.Encode(&e)
 		if _, err := ParseBinary(e.Bytes); err == nil {
-			t.Errorf("%s: passed", why)
+			t.Errorf("%s: accepted", why)
 		}
 	}
 	d, e := NewDirectory(), Encoded{}
-	d.Update(one, true, 0, ignore)
+	d.Update(one, true, 0, ignoreEnded)
 	d.entries[0].Weight = math.NaN()
 	d.Encode(&e)
 	if l, err := ParseBinary(e.Bytes); err != nil || l.Targets[0].Weight != 0 {
-		t.Errorf("%+v, %v: a figure that can't be meant is not told", l, err)
+		t.Errorf("%+v, %v: an invalid number was not replaced by 0", l, err)
 	}
 }
 
-// Whatever the bytes, they are a list that can be written again, or refused.
+// Any bytes are rejected or decode to a list that survives another round trip.
 func FuzzParseBinary(f *testing.F) {
 	b, _ := sampleList().AppendBinary(nil)
 	f.Add(b)
@@ -113,28 +113,29 @@
 		if err != nil {
 			return
 		}
-		again, err := l.AppendBinary(nil)
+		encoded, err := l.AppendBinary(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if twice, err := ParseBinary(again); err != nil || !reflect.DeepEqual(twice, l) {
-			t.Fatalf("%v\n got %+v\nwant %+v", err, twice, l)
+		if decoded, err := ParseBinary(encoded); err != nil || !reflect.DeepEqual(decoded, l) {
+			t.Fatalf("%v\n got %+v\nwant %+v", err, decoded, l)
 		}
 	})
 }
 
-// What is encoded beside changes is the list as it was at one of its updates.
-func TestEncodeBesideChanges(t *testing.T) {
-	const size = 3 * encodeStep
+// Encode yields the lock in between, so updates run concurrently. Its result must still be
+// the list after exactly one of the updates.
+func TestEncodeWithConcurrentUpdates(t *testing.T) {
+	const size = 3 * encodeYieldEvery
 	d, e := NewDirectory(), Encoded{}
-	d.Update(fleet(size), true, 0, ignore)
+	d.Update(listOf(size), true, 0, ignoreEnded)
 	var changes sync.WaitGroup
 	changes.Go(func() {
 		for round := range 200 {
-			first, last := fleet(1).Targets[0], fleet(1).Targets[0]
+			first, last := listOf(1).Targets[0], listOf(1).Targets[0]
 			last.UID = "s-00000c00" // the last
 			first.Weight, last.Weight = float64(round), float64(round)
-			d.Update(&List{Rev: int64(round), Targets: []Target{first, last}}, false, 0, ignore)
+			d.Update(&List{Rev: int64(round), Targets: []Target{first, last}}, false, 0, ignoreEnded)
 		}
 	})
 	for range 50 {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,23 +11,23 @@
 	"valvering.example/valvering/policy"
 )
 
-// facts holds the settings of a CONFIGURE line; unknown keys are ignored. Each
-// of errs names a key and what is wrong with it.
+// facts holds the settings of a CONFIGURE line. Unknown keys are ignored. Each of errs
+// begins with the key of a fault.
 type facts struct {
 	m    map[string]string
 	errs []error
 }
 
 const (
-	mostFigure = 1e12 // a figure beyond can't be meant, and may not fit where it is kept
-	mostTables = 200  // classes or plans: their places fit into a byte of a message
+	maxNumber  = 1e12 // largest number; larger ones may overflow the fields that hold them
+	maxEntries = 200  // classes or plans; messages store their indexes in one byte
 )
 
-func (f *facts) fault(key, format string, args ...any) {
+func (f *facts) addFault(key, format string, args ...any) {
 	f.errs = append(f.errs, fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...)))
 }
 
-func (f *facts) num(key string) float64 {
+func (f *facts) number(key string) float64 {
 	w, have := f.m[key]
 	if !have {
 		return 0
@@ -36,23 +36,23 @@
 	v := p.num()
 	switch {
 	case p.err != nil:
-		f.fault(key, "%v", p.err)
-	case math.Abs(v) > mostFigure:
-		f.fault(key, "%g is out of range", v)
+		f.addFault(key, "%v", p.err)
+	case math.Abs(v) > maxNumber:
+		f.addFault(key, "%g is out of range", v)
 		return 0
 	}
 	return v
 }
 
 func (f *facts) ms(key string) time.Duration {
-	v := f.num(key)
+	v := f.number(key)
 	if v < 0 {
-		f.fault(key, "negative")
+		f.addFault(key, "negative")
 	}
 	return duration(v)
 }
 
-func (f *facts) int(key string) int { return int(f.num(key)) }
+func (f *facts) int(key string) int { return int(f.number(key)) }
 
 func (f *facts) bool(key string) bool {
 	switch w := f.m[key]; w {
@@ -60,7 +60,7 @@
 		return true
 	case "", "-", "false", "0":
 	default:
-		f.fault(key, "%q is neither true nor false", clip(w))
+		f.addFault(key, "%q is not a boolean", clip(w))
 	}
 	return false
 }
@@ -71,7 +71,7 @@
 var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll,
 	"zone": policy.GroupZone, "cell": policy.GroupCell}
 
-func settings(pairs []string) (policy.Settings, error) {
+func parseSettings(pairs []string) (policy.Settings, error) {
 	f := facts{m: make(map[string]string, len(pairs))}
 	for _, p := range pairs {
 		if p == "" {
@@ -84,16 +84,16 @@
 		f.m[k] = v
 	}
 	s := policy.Settings{
-		Me: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
+		Self: f.int("me"), Gateways: f.int("balancers"), Zone: f.m["zone"],
 		Resolution: f.ms("tick_ms"), MaxAttempts: f.int("caps.max_attempts"),
-		CanCancel: f.bool("caps.cancel"), CanTell: f.bool("caps.peers"),
-		DatagramsPerSecond: f.num("family_info.mail_per_s"), LargestUnits: f.num("family_info.largest"),
-		MustAsk:       f.m["discovery"] == "ask",
+		CanCancel: f.bool("caps.cancel"), CanSendMessages: f.bool("caps.peers"),
+		DatagramsPerSecond: f.number("family_info.mail_per_s"), MaxUnits: f.number("family_info.largest"),
+		MustWatch:     f.m["discovery"] == "ask",
 		SizeKnown:     f.m["weight_kind"] == "nominal" || f.m["weight_kind"] == "rough",
-		CrossZoneCost: f.num("charges.cross_zone"),
-		AnswerSlack:   f.ms("rules.answer_slack_ms"), ColdShare: f.num("rules.cold_share"),
-		WarmWithin: f.ms("rules.warm_within_ms"), FallMultiple: f.num("rules.fall_multiple"),
-		FallTime: f.ms("rules.fall_ms"),
+		CrossZoneCost: f.number("charges.cross_zone"),
+		AnswerSlack:   f.ms("rules.answer_slack_ms"), MinWarmUpFraction: f.number("rules.cold_share"),
+		WarmUpTime: f.ms("rules.warm_within_ms"), OverloadMultiple: f.number("rules.fall_multiple"),
+		OverloadTime: f.ms("rules.fall_ms"),
 	}
 	if f.bool("caps.retry_after") {
 		s.MaxRetryAfter = f.ms("caps.max_retry_after_ms")
@@ -103,32 +103,32 @@
 	}
 	count := func(key string) int {
 		n := f.int(key)
-		if n < 0 || n > mostTables {
-			f.fault(key, "%d is not from 0 to %d", n, mostTables)
+		if n < 0 || n > maxEntries {
+			f.addFault(key, "%d is not from 0 to %d", n, maxEntries)
 			return 0
 		}
 		return n
 	}
 	for i := range count("classes.count") {
 		k := "classes." + strconv.Itoa(i) + "."
-		effect, known := effects[f.m[k+"semantics"]]
-		group, grouped := groups[f.m[k+"group"]]
-		if !known {
-			f.fault(k+"semantics", "%q is unknown", clip(f.m[k+"semantics"]))
+		effect, effectKnown := effects[f.m[k+"semantics"]]
+		group, groupKnown := groups[f.m[k+"group"]]
+		if !effectKnown {
+			f.addFault(k+"semantics", "unknown value %q", clip(f.m[k+"semantics"]))
 		}
-		if !grouped {
-			f.fault(k+"group", "%q is unknown", clip(f.m[k+"group"]))
+		if !groupKnown {
+			f.addFault(k+"group", "unknown value %q", clip(f.m[k+"group"]))
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], Aim: f.ms(k + "aim_ms"),
+		s.Classes = append(s.Classes, policy.Class{Name: f.m[k+"name"], LatencyTarget: f.ms(k + "aim_ms"),
 			Deadline: f.ms(k + "hard_limit_ms"), Effect: effect, Group: group,
 			Window: f.ms(k + "window_ms"), Stream: f.bool(k + "stream")})
 	}
 	for i := range count("plans.count") {
 		k := "plans." + strconv.Itoa(i) + "."
-		s.Plans = append(s.Plans, policy.Plan{Name: f.m[k+"name"], Rate: f.num(k + "rate"),
-			Burst: f.num(k + "store_size"), Open: f.int(k + "parallel"),
-			BeyondEarns: f.num(k + "beyond_earns"), BeyondCosts: f.num(k + "beyond_costs"),
-			HardRate: f.num(k + "hard_rate"), HardBurst: f.num(k + "hard_burst")})
+		s.Plans = append(s.Plans, policy.Plan{Name: f.m[k+"name"], Rate: f.number(k + "rate"),
+			Burst: f.number(k + "store_size"), MaxInFlight: f.int(k + "parallel"),
+			EarnedBeyondQuota: f.number(k + "beyond_earns"), ChargedBeyondQuota: f.number(k + "beyond_costs"),
+			HardRate: f.number(k + "hard_rate"), HardBurst: f.number(k + "hard_burst")})
 	}
 	return s, errors.Join(f.errs...)
 }
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -5,115 +5,117 @@
 	"time"
 )
 
-// What a gateway that starts anew may be told of the time before.
+// State that a gateway may get from the process before it.
 
-// Memory is what is worth keeping of a gateway's state.
-type Memory struct {
-	Servers []ServerMemory
-	Tokens  map[uint64]float64 // units, by customer, of those that are not full
+// SavedState is the part of a gateway's state that its next process can use.
+type SavedState struct {
+	Servers []SavedServer
+	Tokens  map[uint64]float64 // units by customer key, of the token buckets that are not full
 }
 
-// ServerMemory is what is known of a process of a server.
-type ServerMemory struct {
-	ID         ServerID
-	HasStart   bool
-	Start      time.Duration
-	Slow, Pace float64
-	Faults     []FaultMemory
+// SavedServer is what is known of one process of a server.
+type SavedServer struct {
+	ID                                ServerID
+	HasStart                          bool
+	Start                             time.Duration
+	RelativeLatency, MonitoredLatency float64 // as used here, and as its monitor measures it
+	Health                            []SavedHealth
 }
 
-// FaultMemory is what is known of it for a class.
-type FaultMemory struct {
-	Class string
-	Errs  float64
-	Bad   time.Duration // it stays out of use for so long
+// SavedHealth is what is known of that process for one class.
+type SavedHealth struct {
+	Class          string
+	FailureAverage float64       // moving average of failures, 0 to 1
+	OutOfUseFor    time.Duration // remaining time out of use
 }
 
-// Restore tells a gateway that has just started what one before it knew.
+// Restore tells a gateway that has just started what the process before it knew.
 type Restore struct {
-	Memory
-	Elapsed time.Duration // at least so long ago
-	Clean   bool          // that one let in nothing after Memory was taken
+	SavedState
+	Elapsed time.Duration // since SaveState was called, at least
+	Clean   bool          // the process before admitted nothing after SaveState was called
 }
 
-// Memory is a copy that shares nothing with the gateway. The token buckets are only
-// worth keeping once nothing more is let in: what comes after is not in them.
-func (g *Gateway) Memory(now time.Duration, stores bool) Memory {
-	var m Memory
-	for _, s := range g.fleet {
+// SaveState returns a copy that shares nothing with the gateway. The token buckets are of use only
+// once nothing more is admitted, since they don't include later requests.
+func (g *Gateway) SaveState(now time.Duration, withTokens bool) SavedState {
+	var m SavedState
+	for _, s := range g.tracked {
 		if s.State == Removed {
 			continue
 		}
-		k := ServerMemory{ID: s.ID, HasStart: s.HasStart, Start: s.Start, Slow: s.slow, Pace: s.pace}
+		saved := SavedServer{ID: s.ID, HasStart: s.HasStart, Start: s.Start,
+			RelativeLatency: s.relativeLatency, MonitoredLatency: s.monitoredLatency}
 		for name, cl := range g.classes {
-			if v := s.by[cl.no]; v.errs > 0 || v.bad && v.until > now {
-				f := FaultMemory{Class: name, Errs: v.errs}
-				if v.bad {
-					f.Bad = max(0, v.until-now)
+			if h := s.health[cl.index]; h.failureAverage > 0 || h.outOfUse && h.outOfUseUntil > now {
+				f := SavedHealth{Class: name, FailureAverage: h.failureAverage}
+				if h.outOfUse {
+					f.OutOfUseFor = max(0, h.outOfUseUntil-now)
 				}
-				k.Faults = append(k.Faults, f)
+				saved.Health = append(saved.Health, f)
 			}
 		}
-		m.Servers = append(m.Servers, k)
+		m.Servers = append(m.Servers, saved)
 	}
-	if !stores {
+	if !withTokens {
 		return m
 	}
 	g.now = max(g.now, now)
 	m.Tokens = map[uint64]float64{}
 	for key, c := range g.customers {
-		if g.advance(c); c.plan.Rate > 0 && c.tokens < c.plan.Burst && (len(c.ask) == 0 || c.sums) {
+		if g.advance(c); c.plan.Rate > 0 && c.tokens < c.plan.Burst &&
+			(len(c.rootAndDeputy) == 0 || c.actsAsRoot) {
 			m.Tokens[key] = c.tokens
 		}
 	}
 	return m
 }
 
-// restore takes in what the gateway before knew. What it knew of a server is
-// worn by the time since, and void for another process of that server.
+// restore applies what the process before knew. What it knew of a server decays over the time
+// since, and is ignored if another process of that server runs now.
 func (g *Gateway) restore(ev Restore) {
-	g.restored, g.clean, g.keptFor = true, ev.Clean, max(0, ev.Elapsed)
+	g.restored, g.restoredClean, g.restoredAge = true, ev.Clean, max(0, ev.Elapsed)
 	if ev.Clean {
-		g.kept = ev.Tokens
+		g.restoredTokens = ev.Tokens
 	}
-	part := 1 - math.Exp(-g.keptFor.Seconds()/slowSpan.Seconds())
-	for _, k := range ev.Servers {
-		s := g.meet(k.ID)
-		if s == nil || s.HasStart != k.HasStart || s.Start != k.Start {
+	part := 1 - math.Exp(-g.restoredAge.Seconds()/serverStateDecayTime.Seconds())
+	for _, saved := range ev.Servers {
+		s := g.track(saved.ID)
+		if s == nil || s.HasStart != saved.HasStart || s.Start != saved.Start {
 			continue
 		}
-		s.slow, s.pace = within(k.Slow), within(k.Pace)
-		for _, f := range k.Faults {
+		s.relativeLatency, s.monitoredLatency =
+			clampLatency(saved.RelativeLatency), clampLatency(saved.MonitoredLatency)
+		for _, f := range saved.Health {
 			cl := g.classes[f.Class]
 			if cl == nil {
 				continue
 			}
-			v := &s.by[cl.no]
-			v.errs = min(max(f.Errs, 0), 1)
-			if left := min(f.Bad, verdictLife) - g.keptFor; left > 0 {
-				v.bad, v.until = true, g.now+left
+			h := &s.health[cl.index]
+			h.failureAverage = min(max(f.FailureAverage, 0), 1)
+			if left := min(f.OutOfUseFor, verdictLifetime) - g.restoredAge; left > 0 {
+				h.outOfUse, h.outOfUseUntil = true, g.now+left
 			}
 		}
-		s.pace += (1 - s.pace) * part
-		s.wear(part)
+		s.monitoredLatency += (1 - s.monitoredLatency) * part
+		s.decay(part)
 	}
 }
 
-// within holds a remembered figure to what it can have been.
-func within(pace float64) float64 {
-	if !(pace > 0) { // NaN is not
+// clampLatency limits a restored relative latency to the range that it can have.
+func clampLatency(latency float64) float64 {
+	if !(latency > 0) { // true for NaN too
 		return 1
 	}
-	return min(max(pace, 1/maxPace), maxPace)
+	return min(max(latency, 1/maxRelativeLatency), maxRelativeLatency)
 }
 
-// letGo drops what was kept of the token buckets once a fresh start would come to the
-// same.
-func (g *Gateway) letGo() {
+// dropRestoredTokens drops the restored token buckets once a fresh start gives the same state.
+func (g *Gateway) dropRestoredTokens() {
 	for _, q := range g.plans {
-		if q.Rate > 0 && (g.now-g.start).Seconds() < q.Burst/q.Rate {
+		if q.Rate > 0 && (g.now-g.startedAt).Seconds() < q.Burst/q.Rate {
 			return
 		}
 	}
-	g.kept = nil
+	g.restoredTokens = nil
 }
