--- a/cmd/valverlab/commands.go
+++ b/cmd/valverlab/commands.go
@@ -58,7 +58,8 @@
 			dir += ".out"
 		}
 	}
-	m := store.Manifest{Name: f.Name, Command: os.Args, File: string(f.Text()), Engine: engine, Runs: len(runs)}
+	m := store.Manifest{Name: f.Name, Command: os.Args, File: string(f.Text()), Engine: engine,
+		Runs: len(runs)}
 	for _, v := range f.Variants {
 		m.Arms = append(m.Arms, v.Name)
 	}
@@ -77,33 +78,34 @@
 		}
 	}
 	bar := newProgress(a.warn, len(todo), "runs", !c.JSON)
-	n := 0
-	done := func(d run.Done) error {
-		n++
-		bar.set(n)
-		return keep(folder, d)
+	recorded := 0
+	record := func(d run.Done) error {
+		recorded++
+		bar.set(recorded)
+		return storeRun(folder, d)
 	}
 	if engine == "live" {
 		for _, r := range todo {
-			if err = done(playLive(a, r, f.Stories, nil)); err != nil || a.ctx.Err() != nil {
+			if err = record(playLive(a, r, f.Stories, nil)); err != nil || a.ctx.Err() != nil {
 				err = errors.Join(err, a.ctx.Err())
 				break
 			}
 		}
 	} else {
-		err = run.All(a.ctx, todo, c.Workers, f.Stories, done)
+		err = run.All(a.ctx, todo, c.Workers, f.Stories, record)
 	}
 	bar.end()
 	// The report covers the finished runs even after an error.
 	if err := errors.Join(writeReport(folder), folder.Close()); err != nil {
 		return err
 	}
-	rows, failed := report.Rows(folder)
-	if failed != nil {
-		return failed
+	rows, rowsErr := report.Rows(folder)
+	if rowsErr != nil {
+		return rowsErr
 	}
 	if c.JSON {
-		data, err := json.Marshal(map[string]any{"dir": dir, "runs": len(runs), "played": len(folder.Lines), "rows": rows})
+		data, err := json.Marshal(map[string]any{"dir": dir, "runs": len(runs), "played": len(folder.Lines),
+			"rows": rows})
 		if err != nil {
 			return err
 		}
@@ -117,12 +119,12 @@
 	if err != nil {
 		return err
 	}
-	return judgeAll(folder.Lines, runs)
+	return worstExitError(folder.Lines, runs)
 }
 
-// judgeAll returns the error that decides the exit code of an experiment: the worst of
+// worstExitError returns the error that decides the exit code of an experiment: the worst of
 // its runs.
-func judgeAll(lines []store.Line, runs []experiment.Run) error {
+func worstExitError(lines []store.Line, runs []experiment.Run) error {
 	variants := map[string]experiment.Variant{}
 	for _, r := range runs {
 		variants[r.Variant.Name] = r.Variant
@@ -132,7 +134,8 @@
 		if l.Error != "" {
 			return fmt.Errorf("%s: %s", l.Key, l.Error)
 		}
-		if err := judge(l.Result, variants[l.Result.Variant]); err != nil && !errors.Is(worst, errBroken) {
+		if err := exitError(l.Result, variants[l.Result.Variant]); err != nil &&
+			!errors.Is(worst, errRuleBroken) {
 			worst = err
 		}
 	}
@@ -168,24 +171,24 @@
 		}
 	}
 	var arms []string
-	x, y := map[string][]float64{}, map[string][]float64{}
+	valuesA, valuesB := map[string][]float64{}, map[string][]float64{}
 	for _, l := range two.Lines {
 		r := l.Result
 		if r == nil || byKey[l.Key] == nil {
 			continue
 		}
 		arm := fmt.Sprintf("%dx%d %s %s", r.Nodes, r.Servers, r.Fault, r.Variant)
-		if x[arm] == nil {
+		if valuesA[arm] == nil {
 			arms = append(arms, arm)
 		}
-		x[arm], y[arm] = append(x[arm], byKey[l.Key].Worth), append(y[arm], r.Worth)
+		valuesA[arm], valuesB[arm] = append(valuesA[arm], byKey[l.Key].Worth), append(valuesB[arm], r.Worth)
 	}
 	if len(arms) == 0 {
 		return fmt.Errorf("%s and %s have no run in common", c.A, c.B)
 	}
 	list := []comparison{}
 	for _, arm := range arms {
-		d := stats.Paired(x[arm], y[arm])
+		d := stats.Paired(valuesA[arm], valuesB[arm])
 		list = append(list, comparison{arm, d, d.Seen()})
 	}
 	if c.JSON {
@@ -197,17 +200,18 @@
 		return nil
 	}
 	for _, k := range list {
-		word := "no difference seen"
+		verdict := "no difference seen"
 		switch {
 		case k.Diff.Pairs < 3:
-			word = "too few pairs to tell"
+			verdict = "too few pairs to tell"
 		case k.Seen && k.Diff.Diff > 0:
-			word = "better"
+			verdict = "better"
 		case k.Seen:
-			word = "worse"
+			verdict = "worse"
 		}
-		fmt.Fprintf(a.out, "%-34s %3d pairs  %.4f -> %.4f  %+.4f (%+.4f to %+.4f)  %s\n", k.Arm, k.Diff.Pairs, k.Diff.A, k.Diff.B, k.Diff.Diff,
-			k.Diff.Low, k.Diff.High, word)
+		fmt.Fprintf(a.out, "%-34s %3d pairs  %.4f -> %.4f  %+.4f (%+.4f to %+.4f)  %s\n", k.Arm, k.Diff.Pairs,
+			k.Diff.A, k.Diff.B, k.Diff.Diff,
+			k.Diff.Low, k.Diff.High, verdict)
 	}
 	return nil
 }
@@ -265,11 +269,11 @@
 	}
 	found := false
 	err = folder.EachStory(func(run string, s *trace.Story) bool {
-		named := s.ID == c.ID
-		for i := 0; i < len(s.Notes) && !named; i++ { // the id of a try identifies its request too
-			named = s.Notes[i].What == trace.Came && strings.Contains(s.Notes[i].Detail, c.ID)
+		matches := s.ID == c.ID
+		for i := 0; i < len(s.Notes) && !matches; i++ { // the id of a try identifies its request too
+			matches = s.Notes[i].What == trace.Came && strings.Contains(s.Notes[i].Detail, c.ID)
 		}
-		if !named {
+		if !matches {
 			return true
 		}
 		found = true
@@ -346,22 +350,23 @@
 
 // progress shows progress: as a bar on a terminal, as periodic lines elsewhere.
 type progress struct {
-	bar  *progressbar.ProgressBar
-	w    io.Writer
-	what string
-	all  int
-	last time.Time
+	bar   *progressbar.ProgressBar
+	w     io.Writer
+	unit  string
+	total int
+	last  time.Time
 }
 
-const plainEvery = 10 * time.Second // interval of lines without a terminal
+const plainInterval = 10 * time.Second // interval of lines without a terminal
 
-func newProgress(w io.Writer, all int, what string, shown bool) *progress {
-	p := &progress{w: w, what: what, all: all, last: time.Now()}
+func newProgress(w io.Writer, total int, unit string, shown bool) *progress {
+	p := &progress{w: w, unit: unit, total: total, last: time.Now()}
 	f, isFile := w.(*os.File)
 	if !shown {
 		p.w = io.Discard
 	} else if info, err := os.Stdout.Stat(); isFile && err == nil && info.Mode()&os.ModeCharDevice != 0 {
-		p.bar = progressbar.NewOptions(all, progressbar.OptionSetWriter(f), progressbar.OptionSetDescription(what), progressbar.OptionShowCount(),
+		p.bar = progressbar.NewOptions(total, progressbar.OptionSetWriter(f),
+			progressbar.OptionSetDescription(unit), progressbar.OptionShowCount(),
 			progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
 	}
 	return p
@@ -372,9 +377,9 @@
 		_ = p.bar.Set(n) // fails only if the terminal was closed
 		return
 	}
-	if now := time.Now(); now.Sub(p.last) > plainEvery {
+	if now := time.Now(); now.Sub(p.last) > plainInterval {
 		p.last = now
-		fmt.Fprintf(p.w, "%d of %d %s\n", n, p.all, p.what)
+		fmt.Fprintf(p.w, "%d of %d %s\n", n, p.total, p.unit)
 	}
 }
 
--- a/cmd/valverlab/demo.go
+++ b/cmd/valverlab/demo.go
@@ -24,7 +24,8 @@
 	if err != nil {
 		return err
 	}
-	r := experiment.Run{Fault: c.Fault, Seed: c.Seed, Variant: experiment.Variant{Name: "module", Program: c.Node}, World: w}
+	r := experiment.Run{Fault: c.Fault, Seed: c.Seed,
+		Variant: experiment.Variant{Name: "module", Program: c.Node}, World: w}
 	folder, err := c.folder("live", r.Key())
 	if err != nil {
 		return err
@@ -34,12 +35,12 @@
 	if d.Err != nil {
 		return d.Err
 	}
-	return finish(a, folder, d, c.JSON)
+	return finishRun(a, folder, d, c.JSON)
 }
 
 // playLive runs a world in real time.
 func playLive(a *app, r experiment.Run, stories bool, step func(live.Status)) run.Done {
-	begun := time.Now()
+	start := time.Now()
 	d := run.Done{Run: r}
 	program, err := edgeNode(r.Variant.Program)
 	if err != nil {
@@ -47,14 +48,16 @@
 		return d
 	}
 	if r.Variant.Adapter != "" || r.Variant.Baseline != "" {
-		d.Err = fmt.Errorf("variant %s: the live engine plays programs of the edge node, no adapters and no baselines", r.Variant.Name)
+		d.Err = fmt.Errorf("variant %s: the live engine plays programs of the edge node, no adapters and no baselines",
+			r.Variant.Name)
 		return d
 	}
-	d.Result, d.Log, d.Err = live.Play(a.ctx, live.Config{World: r.World, Seed: r.Seed, Program: program, Stories: stories, Step: step})
+	d.Result, d.Log, d.Err = live.Play(a.ctx, live.Config{World: r.World, Seed: r.Seed, Program: program,
+		Stories: stories, Step: step})
 	if d.Result != nil {
 		d.Result.Variant, d.Result.Fault = r.Variant.Name, r.Fault
 	}
-	d.Took = time.Since(begun)
+	d.Took = time.Since(start)
 	return d
 }
 
@@ -72,51 +75,55 @@
 		path = filepath.Join(filepath.Dir(self), programName)
 	}
 	if st, err := os.Stat(path); err != nil || st.IsDir() {
-		return "", fmt.Errorf("there is no edge node's program %s: build both with `go build -o bin/ ./cmd/...`", path)
+		return "", fmt.Errorf("there is no edge node's program %s: build both with `go build -o bin/ ./cmd/...`",
+			path)
 	}
 	return path, nil
 }
 
 // table shows the progress of a run: updated in place on a terminal, line by line elsewhere.
 type table struct {
-	w     io.Writer
-	live  bool
-	all   int
-	lines int
-	sums  live.Status
+	w            io.Writer
+	inPlace      bool
+	totalSeconds int
+	printedLines int
+	totals       live.Status
 }
 
-func newTable(w io.Writer, shown bool, all int) *table {
-	t := &table{w: w, all: all}
+func newTable(w io.Writer, shown bool, totalSeconds int) *table {
+	t := &table{w: w, totalSeconds: totalSeconds}
 	if !shown {
 		t.w = io.Discard
 	}
 	if f, ok := w.(*os.File); ok && shown {
 		info, err := f.Stat()
-		t.live = err == nil && info.Mode()&os.ModeCharDevice != 0
+		t.inPlace = err == nil && info.Mode()&os.ModeCharDevice != 0
 	}
 	return t
 }
 
-const tableHead = "  second  requests    served   refused  failed  lost   median ms    99th ms  edge nodes  servers  fault"
+const tableHeader = "  second  requests    served   refused  failed  lost   median ms    99th ms  edge nodes  servers  fault"
 
 func (t *table) show(s live.Status) {
-	line := fmt.Sprintf("%4d/%-3d %9d %9d %9d %7d %5d %11.1f %10.1f %11d %8d  %s", s.Second, t.all, s.Requests, s.Served, s.Refused, s.Failed, s.Lost,
+	line := fmt.Sprintf("%4d/%-3d %9d %9d %9d %7d %5d %11.1f %10.1f %11d %8d  %s", s.Second, t.totalSeconds,
+		s.Requests, s.Served, s.Refused, s.Failed, s.Lost,
 		s.P50, s.P99, s.Up, s.Serving, cmp.Or(strings.Join(s.Faults, ", "), "-"))
-	t.sums.Requests, t.sums.Served, t.sums.Refused = t.sums.Requests+s.Requests, t.sums.Served+s.Served, t.sums.Refused+s.Refused
-	t.sums.Failed, t.sums.Lost = t.sums.Failed+s.Failed, t.sums.Lost+s.Lost
-	if !t.live {
-		if t.lines == 0 {
-			fmt.Fprintln(t.w, tableHead)
+	t.totals.Requests, t.totals.Served, t.totals.Refused = t.totals.Requests+s.Requests,
+		t.totals.Served+s.Served, t.totals.Refused+s.Refused
+	t.totals.Failed, t.totals.Lost = t.totals.Failed+s.Failed, t.totals.Lost+s.Lost
+	if !t.inPlace {
+		if t.printedLines == 0 {
+			fmt.Fprintln(t.w, tableHeader)
 		}
-		t.lines++
+		t.printedLines++
 		fmt.Fprintln(t.w, line)
 		return
 	}
-	if t.lines > 0 {
+	if t.printedLines > 0 {
 		fmt.Fprint(t.w, "\x1b[3A") // move the cursor to the top of the table
 	}
-	t.lines = 3
-	all := &t.sums
-	fmt.Fprintf(t.w, "\x1b[2K%s\n\x1b[2K%s\n\x1b[2K%9s %9d %9d %9d %7d %5d\n", tableHead, line, "all", all.Requests, all.Served, all.Refused, all.Failed, all.Lost)
+	t.printedLines = 3
+	totals := &t.totals
+	fmt.Fprintf(t.w, "\x1b[2K%s\n\x1b[2K%s\n\x1b[2K%9s %9d %9d %9d %7d %5d\n", tableHeader, line, "all",
+		totals.Requests, totals.Served, totals.Refused, totals.Failed, totals.Lost)
 }
--- a/cmd/valverlab/main.go
+++ b/cmd/valverlab/main.go
@@ -18,17 +18,17 @@
 
 // Exit codes.
 const (
-	exitSound   = 0 // the run finished and broke no rule
-	exitBroken  = 1 // the run broke a rule
-	exitUnusual = 2 // invalid input, or any other error
-	exitUnsound = 3 // the run finished, but did not sustain its load
+	exitOK               = 0 // the run finished and broke no rule
+	exitRuleBroken       = 1 // the run broke a rule
+	exitFailure          = 2 // invalid input, or any other error
+	exitLoadNotSustained = 3 // the run finished, but did not sustain its load
 )
 
-// errBroken and errUnsound select an exit code. They are not printed, since the result
-// that explains them has been printed before.
+// errRuleBroken and errLoadNotSustained select an exit code. They are not printed, since the
+// result that explains them has been printed before.
 var (
-	errBroken  = errors.New("a rule was broken")
-	errUnsound = errors.New("the load was not kept: the run proves nothing")
+	errRuleBroken       = errors.New("a rule was broken")
+	errLoadNotSustained = errors.New("the load was not kept: the run proves nothing")
 )
 
 // app holds what all commands use.
@@ -52,37 +52,38 @@
 	Sweep   sweepCmd   `cmd:"" help:"Measure what the parts of an edge node cost as one quantity grows, and fit slopes."`
 }
 
-func main() { os.Exit(command(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(runCommand(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// command runs one command and returns its exit code.
-func command(args []string, out, warn io.Writer) int {
+// runCommand runs one command and returns its exit code.
+func runCommand(args []string, out, warn io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var c cli
-	ended := -1
-	parser, err := kong.New(&c, kong.Name("valverlab"), kong.Writers(out, warn), kong.Exit(func(code int) { ended = code }),
+	exitCode := -1
+	parser, err := kong.New(&c, kong.Name("valverlab"), kong.Writers(out, warn),
+		kong.Exit(func(code int) { exitCode = code }),
 		kong.Description("Plays fleets of edge nodes against an emulated platform."), kong.UsageOnError(),
 		kong.Vars{"cpus": fmt.Sprint(runtime.NumCPU())})
 	if err != nil {
 		panic(err) // invalid tags in cli
 	}
-	run, err := parser.Parse(args)
-	if ended >= 0 {
-		return ended // help was printed
+	parsed, err := parser.Parse(args)
+	if exitCode >= 0 {
+		return exitCode // help was printed
 	}
 	if err != nil {
 		fmt.Fprintln(warn, "valverlab:", err)
-		return exitUnusual
+		return exitFailure
 	}
-	err = run.Run(&app{ctx, out, warn})
+	err = parsed.Run(&app{ctx, out, warn})
 	switch {
 	case err == nil:
-		return exitSound
-	case errors.Is(err, errBroken):
-		return exitBroken
-	case errors.Is(err, errUnsound):
-		return exitUnsound
+		return exitOK
+	case errors.Is(err, errRuleBroken):
+		return exitRuleBroken
+	case errors.Is(err, errLoadNotSustained):
+		return exitLoadNotSustained
 	}
 	fmt.Fprintln(warn, "valverlab:", err)
-	return exitUnusual
+	return exitFailure
 }
--- a/cmd/valverlab/main_test.go
+++ b/cmd/valverlab/main_test.go
@@ -13,10 +13,10 @@
 	"valvering.example/valvering/internal/lab/tally"
 )
 
-// ran runs a command within the test process.
-func ran(args ...string) (code int, out, warn string) {
+// runCLI runs a command within the test process.
+func runCLI(args ...string) (code int, out, warn string) {
 	var o, w bytes.Buffer
-	code = command(args, &o, &w)
+	code = runCommand(args, &o, &w)
 	return code, o.String(), w.String()
 }
 
@@ -24,49 +24,55 @@
 // stories and a report. A machine that is too slow for the load changes only the exit code.
 func TestDemo(t *testing.T) {
 	program := filepath.Join(t.TempDir(), programName)
-	if out, err := exec.Command("go", "build", "-o", program, "../"+programName).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program,
+		"../"+programName).CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	dir := filepath.Join(t.TempDir(), "out")
-	code, out, warn := ran("demo", "--for", "3s", "--node", program, "--out", dir, "--json", "--fault", "crash-wave")
-	if code != exitSound && code != exitUnsound {
+	code, out, warn := runCLI("demo", "--for", "3s", "--node", program, "--out", dir, "--json", "--fault",
+		"crash-wave")
+	if code != exitOK && code != exitLoadNotSustained {
 		t.Fatalf("exit %d\n%s%s", code, out, warn)
 	}
 	var r tally.Result
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	if r.Requests == 0 || r.Served == 0 || r.Engine != "live" || r.Requests != r.Served+r.Refused+r.Failed+r.Lost {
+	if r.Requests == 0 || r.Served == 0 || r.Engine != "live" ||
+		r.Requests != r.Served+r.Refused+r.Failed+r.Lost {
 		t.Errorf("%+v", r)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil || bytes.Count(page, []byte("<svg")) < 5 || bytes.Contains(page, []byte("src=")) {
 		t.Errorf("report: %v, %d bytes", err, len(page))
 	}
-	if code, out, warn := ran("explain", dir, "w0000001"); code != 0 || !strings.Contains(out, "comes in") {
+	if code, out, warn := runCLI("explain", dir, "w0000001"); code != 0 ||
+		!strings.Contains(out, "comes in") {
 		t.Errorf("exit %d: %s%s", code, out, warn)
 	}
 }
 
 // An edge node process that exits unexpectedly breaks a rule; the breach names the edge node
 // and the signal.
-func TestDemoSeesACrash(t *testing.T) {
+func TestDemoReportsCrash(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, programName)
-	if out, err := exec.Command("go", "build", "-o", program, "../"+programName).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program,
+		"../"+programName).CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	fragile := filepath.Join(dir, "fragile") // a background child kills the process of the second edge node
-	text := "#!/bin/sh\ncase $GW_CONFIG in */n1.json) (sleep 1; kill -9 $$) >/dev/null 2>&1 & ;; esac\nexec " + program + "\n"
+	text := "#!/bin/sh\ncase $GW_CONFIG in */n1.json) (sleep 1; kill -9 $$) >/dev/null 2>&1 & ;; esac\nexec " +
+		program + "\n"
 	if err := os.WriteFile(fragile, []byte(text), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	code, out, warn := ran("demo", "--for", "3s", "--node", fragile, "--json")
+	code, out, warn := runCLI("demo", "--for", "3s", "--node", fragile, "--json")
 	var r tally.Result
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		t.Fatalf("exit %d, %v: %s%s", code, err, out, warn)
 	}
-	if code != exitBroken || r.Rules[tally.Crash] != 1 {
+	if code != exitRuleBroken || r.Rules[tally.Crash] != 1 {
 		t.Errorf("exit %d, %v", code, r.Rules)
 	}
 	for _, b := range r.Breaches {
@@ -79,24 +85,26 @@
 // A simulated run is repeatable, and explain and ledger account for all of its loss.
 func TestSimAndExplain(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
-	args := []string{"sim", "--nodes", "45", "--servers", "20", "--for", "4s", "--seed", "3", "--fault", "zone-cut"}
-	code, one, warn := ran(append(args, "--json", "--out", dir)...)
-	if code != exitSound {
+	args := []string{"sim", "--nodes", "45", "--servers", "20", "--for", "4s", "--seed", "3", "--fault",
+		"zone-cut"}
+	code, one, warn := runCLI(append(args, "--json", "--out", dir)...)
+	if code != exitOK {
 		t.Fatalf("exit %d: %s%s", code, one, warn)
 	}
 	var keys map[string]any
 	if err := json.Unmarshal([]byte(one), &keys); err != nil {
 		t.Fatal(err)
 	}
-	for _, k := range []string{"requests", "served", "refused", "failed", "lost", "rules", "worth", "seed", "digest"} {
+	for _, k := range []string{"requests", "served", "refused", "failed", "lost", "rules", "worth", "seed",
+		"digest"} {
 		if _, ok := keys[k]; !ok {
 			t.Errorf("the result has no key %q", k)
 		}
 	}
-	if _, two, _ := ran(append(args, "--json")...); two != one {
+	if _, two, _ := runCLI(append(args, "--json")...); two != one {
 		t.Error("the same run without --out printed another result")
 	}
-	code, out, warn := ran("explain", dir, "--worst", "2", "--json")
+	code, out, warn := runCLI("explain", dir, "--worst", "2", "--json")
 	var worst struct {
 		Lost   float64
 		Causes []struct {
@@ -115,7 +123,7 @@
 		t.Errorf("causes sum to %v of %v", sum, worst.Lost)
 	}
 	for _, by := range []string{"", "class", "plan", "second"} {
-		code, out, warn := ran("ledger", dir, "--by", by, "--json")
+		code, out, warn := runCLI("ledger", dir, "--by", by, "--json")
 		var ledger struct{ Accounts []explain.Account }
 		if err := json.Unmarshal([]byte(out), &ledger); err != nil || code != 0 || len(ledger.Accounts) == 0 {
 			t.Fatalf("by %q: exit %d, %v: %s%s", by, code, err, out, warn)
@@ -127,20 +135,24 @@
 				rest, lost = rest-v, lost+v
 			}
 			if rest > 1e-6*a.Asked || -rest > 1e-6*a.Asked {
-				t.Errorf("by %q: earned and lost value of %s differ by %v from %v asked for", by, a.Name, rest, a.Asked)
+				t.Errorf("by %q: earned and lost value of %s differ by %v from %v asked for", by, a.Name,
+					rest, a.Asked)
 			}
 		}
 		if d := lost - worst.Lost; d > 1e-6*lost || -d > 1e-6*lost {
 			t.Errorf("by %q: the ledger lost %v, explain lost %v", by, lost, worst.Lost)
 		}
 	}
-	if code, out, _ := ran("ledger", dir, "--by", "class"); code != 0 || !strings.Contains(out, "katalog") {
+	if code, out, _ := runCLI("ledger", dir, "--by", "class"); code != 0 ||
+		!strings.Contains(out, "katalog") {
 		t.Errorf("exit %d: %s", code, out)
 	}
-	if code, out, _ := ran("explain", dir, worst.Causes[0].Dearest[0].ID); code != 0 || !strings.Contains(out, "client asks") {
+	if code, out, _ := runCLI("explain", dir, worst.Causes[0].Dearest[0].ID); code != 0 ||
+		!strings.Contains(out, "client asks") {
 		t.Errorf("exit %d: %s", code, out)
 	}
-	if code, _, warn := ran("sim", "--out", dir); code != exitUnusual || !strings.Contains(warn, "holds results already") {
+	if code, _, warn := runCLI("sim", "--out", dir); code != exitFailure ||
+		!strings.Contains(warn, "holds results already") {
 		t.Errorf("exit %d: %s", code, warn)
 	}
 }
@@ -149,7 +161,8 @@
 // file, and compared with another. An adapter that crashes is reported with its stderr.
 func TestExperiment(t *testing.T) {
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "adapter"), "../adapter").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "adapter"),
+		"../adapter").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	write := func(name, text string) string {
@@ -177,12 +190,12 @@
 baseline = "all"
 `
 	file := write("arms.toml", text)
-	if code, out, warn := ran("check", file); code != 0 || !strings.Contains(out, "9 runs") {
+	if code, out, warn := runCLI("check", file); code != 0 || !strings.Contains(out, "9 runs") {
 		t.Errorf("exit %d: %s%s", code, out, warn)
 	}
 	out := filepath.Join(dir, "a")
-	code, table, warn := ran("run", file, "--out", out, "--workers", "3")
-	if code != exitSound {
+	code, table, warn := runCLI("run", file, "--out", out, "--workers", "3")
+	if code != exitOK {
 		t.Fatalf("exit %d: %s%s", code, table, warn)
 	}
 	// The adapter hosts the same module, so the two arms differ only by the rounding of
@@ -191,22 +204,23 @@
 		t.Errorf("%s", table)
 	}
 	data, _ := os.ReadFile(filepath.Join(out, "runs.jsonl"))
-	if err := os.WriteFile(filepath.Join(out, "runs.jsonl"), data[:len(data)/2], 0o644); err != nil { // as after a kill in the middle of a write
+	// as after a kill in the middle of a write
+	if err := os.WriteFile(filepath.Join(out, "runs.jsonl"), data[:len(data)/2], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, warn := ran("run", file, "--out", out); code != exitUnusual {
+	if code, _, warn := runCLI("run", file, "--out", out); code != exitFailure {
 		t.Errorf("exit %d: %s", code, warn)
 	}
-	if code, again, warn := ran("run", file, "--out", out, "--resume"); code != 0 || again != table {
+	if code, again, warn := runCLI("run", file, "--out", out, "--resume"); code != 0 || again != table {
 		t.Errorf("exit %d: %s\n%s\nwas\n%s", code, warn, again, table)
 	}
 	other := filepath.Join(dir, "b")
-	if code, _, warn := ran("run", write("arms2.toml", strings.Replace(text, `warm = "300ms"`, `warm = "300ms"
+	if code, _, warn := runCLI("run", write("arms2.toml", strings.Replace(text, `warm = "300ms"`, `warm = "300ms"
 [world.net]
 loss = 0.4`, 1)), "--out", other); code != 0 {
 		t.Fatalf("exit %d: %s", code, warn)
 	}
-	if code, out, warn := ran("compare", out, other); code != 0 || strings.Count(out, "3 pairs") != 3 {
+	if code, out, warn := runCLI("compare", out, other); code != 0 || strings.Count(out, "3 pairs") != 3 {
 		t.Errorf("exit %d: %s%s", code, out, warn)
 	}
 	// The error of an adapter that exits early includes its stderr.
@@ -214,8 +228,9 @@
 	if err := os.Chmod(dead, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	code, _, warn = ran("run", write("dead.toml", strings.Replace(text, `"adapter"`, `"dead.sh"`, 1)), "--out", filepath.Join(dir, "c"))
-	if code != exitUnusual || !strings.Contains(warn, "it hurts") {
+	code, _, warn = runCLI("run", write("dead.toml", strings.Replace(text, `"adapter"`, `"dead.sh"`, 1)),
+		"--out", filepath.Join(dir, "c"))
+	if code != exitFailure || !strings.Contains(warn, "it hurts") {
 		t.Errorf("exit %d: %s", code, warn)
 	}
 }
@@ -234,25 +249,28 @@
 		t.Fatal(err)
 	}
 	out := filepath.Join(dir, "out")
-	cmd := exec.Command("/bin/sh", "-c", `ulimit -f 24; exec "$0" "$@"`, program, "run", file, "--out", out) // in blocks of 512 or 1,024 bytes, depending on the shell
+	// in blocks of 512 or 1,024 bytes, depending on the shell
+	cmd := exec.Command("/bin/sh", "-c", `ulimit -f 24; exec "$0" "$@"`, program, "run", file, "--out", out)
 	text, err := cmd.CombinedOutput()
-	if err == nil || cmd.ProcessState.ExitCode() != exitUnusual || !strings.Contains(string(text), "file too large") {
+	if err == nil || cmd.ProcessState.ExitCode() != exitFailure ||
+		!strings.Contains(string(text), "file too large") {
 		t.Fatalf("%v: %s", err, text)
 	}
 	lines, err := os.ReadFile(filepath.Join(out, "runs.jsonl"))
 	if n := bytes.Count(lines, []byte("\n")); err != nil || n == 0 || n >= 6 || lines[len(lines)-1] != '\n' {
 		t.Fatalf("%v: %d lines of 6, %d bytes", err, n, len(lines))
 	}
-	if code, table, warn := ran("run", file, "--out", out, "--resume"); code != exitSound || !strings.Contains(table, "module") {
+	if code, table, warn := runCLI("run", file, "--out", out, "--resume"); code != exitOK ||
+		!strings.Contains(table, "module") {
 		t.Errorf("exit %d: %s%s", code, table, warn)
 	}
-	if code, _, warn := ran("report", out); code != exitSound {
+	if code, _, warn := runCLI("report", out); code != exitOK {
 		t.Errorf("exit %d: %s", code, warn)
 	}
 }
 
 // Invalid input is rejected with an error that names the flag or the file at fault.
-func TestUnusable(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		want string
@@ -268,15 +286,15 @@
 		{[]string{"compare", t.TempDir(), t.TempDir()}, "manifest.json"},
 		{[]string{"sing"}, "unexpected argument sing"},
 	} {
-		code, _, warn := ran(c.args...)
-		if code != exitUnusual || !strings.Contains(warn, c.want) {
+		code, _, warn := runCLI(c.args...)
+		if code != exitFailure || !strings.Contains(warn, c.want) {
 			t.Errorf("%v: exit %d: %s", c.args, code, warn)
 		}
 	}
-	if code, out, _ := ran("list"); code != 0 || !strings.Contains(out, "zone-cut") {
+	if code, out, _ := runCLI("list"); code != 0 || !strings.Contains(out, "zone-cut") {
 		t.Errorf("list: exit %d: %s", code, out)
 	}
-	if code, _, _ := ran("-h"); code != 0 {
+	if code, _, _ := runCLI("-h"); code != 0 {
 		t.Errorf("-h: exit %d", code)
 	}
 }
--- a/cmd/valverlab/scale.go
+++ b/cmd/valverlab/scale.go
@@ -33,7 +33,8 @@
 
 // Run implements the command for kong.
 func (c *scaleCmd) Run(a *app) error {
-	config := scale.Config{Nodes: c.Nodes, Servers: c.Servers, Tenants: c.Tenants, Rate: c.Rate, Real: c.Real, Hollow: c.Hollow, For: c.For, Seed: c.Seed}
+	config := scale.Config{Nodes: c.Nodes, Servers: c.Servers, Tenants: c.Tenants, Rate: c.Rate, Real: c.Real,
+		Hollow: c.Hollow, For: c.For, Seed: c.Seed}
 	if err := config.Check(); err != nil {
 		return flagError(err)
 	}
@@ -55,7 +56,7 @@
 		return flagError(err)
 	}
 	if folder != nil {
-		if err := keepScale(folder, result); err != nil {
+		if err := storeScale(folder, result); err != nil {
 			return err
 		}
 	}
@@ -63,7 +64,7 @@
 		return err
 	}
 	if result.Unsound != "" {
-		return errUnsound
+		return errLoadNotSustained
 	}
 	return nil
 }
@@ -82,11 +83,12 @@
 	if c.Out == "" {
 		return nil, nil
 	}
-	return store.Create(c.Out, store.Manifest{Name: "scale", Command: os.Args, Engine: "scale", Runs: 1}, false)
+	return store.Create(c.Out, store.Manifest{Name: "scale", Command: os.Args, Engine: "scale", Runs: 1},
+		false)
 }
 
-// keepScale writes a result and its page to a folder.
-func keepScale(folder *store.Folder, r *scale.Result) error {
+// storeScale writes a result and its page to a folder.
+func storeScale(folder *store.Folder, r *scale.Result) error {
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
 		return err
@@ -123,7 +125,8 @@
 		}
 	}
 	line("told: %d edge nodes, %d lending servers, %d tenants; here: %d real, %d hollow, %d tenants; %g requests a second each for %g s; load average %s",
-		r.Nodes, r.Servers, r.Tenants, r.Real.Count, r.Hollow.Count, r.TenantsHere, r.Rate, r.ForS, r.LoadAverage)
+		r.Nodes, r.Servers, r.Tenants, r.Real.Count, r.Hollow.Count, r.TenantsHere, r.Rate, r.ForS,
+		r.LoadAverage)
 	for _, g := range []struct {
 		name string
 		*scale.Group
@@ -131,28 +134,40 @@
 		if g.Count == 0 {
 			continue
 		}
-		line("%-6s  ready %d of %d, median %.2f s, most %.2f s", g.name, g.Ready.Count, g.Count, g.Ready.P50S, g.Ready.MostS)
-		line("        processor: at rest %.2f%%, load %.1f%%, request %.1f us, datagram %.1f us, line %.2f ms, zone left %.1f ms, back %.1f ms", g.CPU.RestPercent,
-			g.CPU.LoadPercent, g.CPU.RequestUS, g.CPU.DatagramUS, g.CPU.LineChangeMS, g.CPU.ZoneLostMS, g.CPU.ZoneBackMS)
-		line("        memory: resident %.1f MB, most %.1f MB, heap %.2f MB", g.Memory.ResidentMB, g.Memory.ResidentMostMB, g.Memory.HeapMB)
+		line("%-6s  ready %d of %d, median %.2f s, most %.2f s", g.name, g.Ready.Count, g.Count, g.Ready.P50S,
+			g.Ready.MostS)
+		line("        processor: at rest %.2f%%, load %.1f%%, request %.1f us, datagram %.1f us, line %.2f ms, zone left %.1f ms, back %.1f ms",
+			g.CPU.RestPercent,
+			g.CPU.LoadPercent, g.CPU.RequestUS, g.CPU.DatagramUS, g.CPU.LineChangeMS, g.CPU.ZoneLostMS,
+			g.CPU.ZoneBackMS)
+		line("        memory: resident %.1f MB, most %.1f MB, heap %.2f MB", g.Memory.ResidentMB,
+			g.Memory.ResidentMostMB, g.Memory.HeapMB)
 		line("        requests: %+v", g.Requests)
-		line("        added ms: 50 %.2f  99 %.2f  99.9 %.2f  most %.1f; while a zone changes: 50 %.2f  99 %.2f  99.9 %.2f  most %.1f", g.Added.P50MS, g.Added.P99MS,
-			g.Added.P999MS, g.Added.MostMS, g.ZoneAdded.P50MS, g.ZoneAdded.P99MS, g.ZoneAdded.P999MS, g.ZoneAdded.MostMS)
-		line("        datagrams a second: in %.1f (%.0f bytes, peak %d), out %.1f (%.0f bytes), in scaled %.1f (%.0f bytes): %.2f and %.2f of the bounds", g.Datagrams.In.Datagrams,
-			g.Datagrams.In.Bytes, g.Datagrams.InPeak, g.Datagrams.Out.Datagrams, g.Datagrams.Out.Bytes, g.Datagrams.InScaled.Datagrams, g.Datagrams.InScaled.Bytes,
+		line("        added ms: 50 %.2f  99 %.2f  99.9 %.2f  most %.1f; while a zone changes: 50 %.2f  99 %.2f  99.9 %.2f  most %.1f",
+			g.Added.P50MS, g.Added.P99MS,
+			g.Added.P999MS, g.Added.MostMS, g.ZoneAdded.P50MS, g.ZoneAdded.P99MS, g.ZoneAdded.P999MS,
+			g.ZoneAdded.MostMS)
+		line("        datagrams a second: in %.1f (%.0f bytes, peak %d), out %.1f (%.0f bytes), in scaled %.1f (%.0f bytes): %.2f and %.2f of the bounds",
+			g.Datagrams.In.Datagrams,
+			g.Datagrams.In.Bytes, g.Datagrams.InPeak, g.Datagrams.Out.Datagrams, g.Datagrams.Out.Bytes,
+			g.Datagrams.InScaled.Datagrams, g.Datagrams.InScaled.Bytes,
 			g.Datagrams.BoundPart, g.Datagrams.BytesPart)
 		for _, k := range g.Datagrams.Kinds {
-			line("          %-16s in %8.2f (%6.0f bytes)  out %8.2f (%6.0f bytes)", k.Kind, k.In.Datagrams, k.In.Bytes, k.Out.Datagrams, k.Out.Bytes)
+			line("          %-16s in %8.2f (%6.0f bytes)  out %8.2f (%6.0f bytes)", k.Kind, k.In.Datagrams,
+				k.In.Bytes, k.Out.Datagrams, k.Out.Bytes)
 		}
 		for _, k := range g.CPU.Causes {
 			line("          module, %-18s %8d times, %9.2f us", k.Cause, k.Count, k.MeanUS)
 		}
 	}
 	for _, k := range r.Changes {
-		line("change: %s (%d lines, %d times): real %d of %d, median %.1f ms, most %.1f ms; hollow %d of %d, median %.1f ms, most %.1f ms", k.What, k.Lines, k.Count,
-			k.Real.Taken, k.Real.Of, k.Real.P50MS, k.Real.MostMS, k.Hollow.Taken, k.Hollow.Of, k.Hollow.P50MS, k.Hollow.MostMS)
+		line("change: %s (%d lines, %d times): real %d of %d, median %.1f ms, most %.1f ms; hollow %d of %d, median %.1f ms, most %.1f ms",
+			k.What, k.Lines, k.Count,
+			k.Real.Taken, k.Real.Of, k.Real.P50MS, k.Real.MostMS, k.Hollow.Taken, k.Hollow.Of, k.Hollow.P50MS,
+			k.Hollow.MostMS)
 	}
-	line("list: %d bytes decoded in %.0f ms; the lab took %.0f%% of a core at rest, %.0f%% under load; reckoned need %.0f of %.0f MB", r.Decode.Bytes, r.Decode.MS,
+	line("list: %d bytes decoded in %.0f ms; the lab took %.0f%% of a core at rest, %.0f%% under load; reckoned need %.0f of %.0f MB",
+		r.Decode.Bytes, r.Decode.MS,
 		r.LabRest, r.LabLoad, r.NeedMB, r.MachineMB)
 	for _, s := range r.Scaled {
 		line("scaled: %s", s)
--- a/cmd/valverlab/scale_test.go
+++ b/cmd/valverlab/scale_test.go
@@ -16,23 +16,26 @@
 // A machine that is too slow to sustain the load changes only the exit code.
 func TestScale(t *testing.T) {
 	program := filepath.Join(t.TempDir(), programName)
-	if out, err := exec.Command("go", "build", "-o", program, "../"+programName).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program,
+		"../"+programName).CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	dir := filepath.Join(t.TempDir(), "out")
-	code, out, warn := ran("scale", "--nodes", "600", "--servers", "560", "--tenants", "30000", "--rate", "40", "--real", "2", "--hollow", "4", "--for", "1s",
+	code, out, warn := runCLI("scale", "--nodes", "600", "--servers", "560", "--tenants", "30000", "--rate",
+		"40", "--real", "2", "--hollow", "4", "--for", "1s",
 		"--node", program, "--out", dir, "--json")
-	if code != exitSound && code != exitUnsound {
+	if code != exitOK && code != exitLoadNotSustained {
 		t.Fatalf("exit %d\n%s%s", code, out, warn)
 	}
 	var r scale.Result
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	if (code == exitUnsound) != (r.Unsound != "") {
+	if (code == exitLoadNotSustained) != (r.Unsound != "") {
 		t.Errorf("exit %d, unsound %q", code, r.Unsound)
 	}
-	if len(r.Phases) != 6 || r.Real.Count != 2 || r.Hollow.Count != 4 || r.Real.Requests.Asked == 0 || r.Hollow.Requests.Asked == 0 || r.LongDatagrams != 0 {
+	if len(r.Phases) != 6 || r.Real.Count != 2 || r.Hollow.Count != 4 || r.Real.Requests.Asked == 0 ||
+		r.Hollow.Requests.Asked == 0 || r.LongDatagrams != 0 {
 		t.Errorf("%+v", r)
 	}
 	q := r.Real.Requests
@@ -55,11 +58,13 @@
 // An invalid flag value is rejected with one line that names the flag.
 func TestScaleFlags(t *testing.T) {
 	for _, args := range [][]string{
-		{"--nodes", "0"}, {"--servers", "-3"}, {"--tenants", "0"}, {"--rate", "0"}, {"--rate", "NaN"}, {"--for", "1ms"}, {"--for", "soon"}, {"--real", "50"},
+		{"--nodes", "0"}, {"--servers", "-3"}, {"--tenants", "0"}, {"--rate", "0"}, {"--rate", "NaN"},
+		{"--for", "1ms"}, {"--for", "soon"}, {"--real", "50"},
 		{"--real", "x"}, {"--hollow", "7000"},
 	} {
-		code, out, warn := ran(append([]string{"scale", "--node", os.Args[0]}, args...)...)
-		if code != exitUnusual || out != "" || strings.Count(warn, "\n") != 1 || !strings.Contains(warn, args[0]+": ") {
+		code, out, warn := runCLI(append([]string{"scale", "--node", os.Args[0]}, args...)...)
+		if code != exitFailure || out != "" || strings.Count(warn, "\n") != 1 ||
+			!strings.Contains(warn, args[0]+": ") {
 			t.Errorf("%v: exit %d: %s%s", args, code, out, warn)
 		}
 	}
--- a/cmd/valverlab/sim.go
+++ b/cmd/valverlab/sim.go
@@ -86,7 +86,7 @@
 	if d.Err != nil {
 		return d.Err
 	}
-	return finish(a, folder, d, c.JSON)
+	return finishRun(a, folder, d, c.JSON)
 }
 
 // folder creates the folder of results, or returns nil without --out.
@@ -97,11 +97,11 @@
 	return store.Create(f.Out, store.Manifest{Name: name, Command: os.Args, Engine: engine, Runs: 1}, false)
 }
 
-// finish stores and prints the result of a run, and returns the error that decides the
+// finishRun stores and prints the result of a run, and returns the error that decides the
 // exit code.
-func finish(a *app, folder *store.Folder, d run.Done, asJSON bool) error {
+func finishRun(a *app, folder *store.Folder, d run.Done, asJSON bool) error {
 	if folder != nil {
-		if err := keep(folder, d); err != nil {
+		if err := storeRun(folder, d); err != nil {
 			return err
 		}
 		if err := writeReport(folder); err != nil {
@@ -123,11 +123,11 @@
 			fmt.Fprintf(a.out, "report: %s\n", filepath.Join(folder.Dir, store.ReportFile))
 		}
 	}
-	return judge(d.Result, d.Run.Variant)
+	return exitError(d.Result, d.Run.Variant)
 }
 
-// keep writes the stories of a run and its line to a folder.
-func keep(folder *store.Folder, d run.Done) error {
+// storeRun writes the stories of a run and its line to a folder.
+func storeRun(folder *store.Folder, d run.Done) error {
 	l := store.Line{Key: d.Run.Key(), World: d.Run.World, Took: d.Took.Seconds(), Result: d.Result}
 	if d.Err != nil {
 		l.Error = d.Err.Error()
@@ -152,30 +152,35 @@
 	return out.Close()
 }
 
-// judge returns the error that decides the exit code of a result. Rules broken by a baseline
-// are printed but don't fail the run, since baselines serve only for comparison.
-func judge(r *tally.Result, v experiment.Variant) error {
+// exitError returns the error that decides the exit code of a result. Rules broken by a
+// baseline are printed but don't fail the run, since baselines serve only for comparison.
+func exitError(r *tally.Result, v experiment.Variant) error {
 	switch {
 	case len(r.Rules) > 0 && v.Baseline == "":
-		return errBroken
+		return errRuleBroken
 	case r.Unsound != "":
-		return errUnsound
+		return errLoadNotSustained
 	}
 	return nil
 }
 
 // print prints a result as text.
 func print(w io.Writer, r *tally.Result, took time.Duration) {
-	fmt.Fprintf(w, "%d edge nodes, %d lending servers, seed %d, %s, %s: played in %.1f s\n", r.Nodes, r.Servers, r.Seed, r.Variant, r.Engine, took.Seconds())
-	n := float64(max(1, r.Requests)) / 100
-	fmt.Fprintf(w, "requests %d   served %d (%.1f%%)   refused %d (%.1f%%)   failed %d   lost %d\n", r.Requests, r.Served, float64(r.Served)/n,
-		r.Refused, float64(r.Refused)/n, r.Failed, r.Lost)
-	fmt.Fprintf(w, "worth %.4f   whole %.3f   worst 10 s %.3f   worst plan %.3f   worst class %.3f\n", r.Worth, r.Goals["whole"], r.Goals["worst_window"],
+	fmt.Fprintf(w, "%d edge nodes, %d lending servers, seed %d, %s, %s: played in %.1f s\n", r.Nodes,
+		r.Servers, r.Seed, r.Variant, r.Engine, took.Seconds())
+	percent := float64(max(1, r.Requests)) / 100
+	fmt.Fprintf(w, "requests %d   served %d (%.1f%%)   refused %d (%.1f%%)   failed %d   lost %d\n",
+		r.Requests, r.Served, float64(r.Served)/percent,
+		r.Refused, float64(r.Refused)/percent, r.Failed, r.Lost)
+	fmt.Fprintf(w, "worth %.4f   whole %.3f   worst 10 s %.3f   worst plan %.3f   worst class %.3f\n",
+		r.Worth, r.Goals["whole"], r.Goals["worst_window"],
 		r.Goals["worst_plan"], r.Goals["worst_class"])
-	fmt.Fprintf(w, "attempts a request %.2f   beyond quota or cap %.2f%%   datagrams a second and edge node %.1f, most %d, lost %.1f%%\n", r.Sends, 100*r.Beyond, r.Mail,
+	fmt.Fprintf(w, "attempts a request %.2f   beyond quota or cap %.2f%%   datagrams a second and edge node %.1f, most %d, lost %.1f%%\n",
+		r.Sends, 100*r.Beyond, r.Mail,
 		r.MailPeak, 100*r.MailLost)
 	for _, p := range r.Classes {
-		fmt.Fprintf(w, "class %-12s served %.3f of its worth   median %7.1f ms   99th %7.1f ms   99.9th %7.1f ms\n", p.Name, p.Share, p.P50, p.P99, p.P999)
+		fmt.Fprintf(w, "class %-12s served %.3f of its worth   median %7.1f ms   99th %7.1f ms   99.9th %7.1f ms\n",
+			p.Name, p.Share, p.P50, p.P99, p.P999)
 	}
 	for _, p := range r.Plans {
 		fmt.Fprintf(w, "plan  %-12s served %.3f of its worth\n", p.Name, p.Share)
--- a/cmd/valverlab/sweep.go
+++ b/cmd/valverlab/sweep.go
@@ -7,8 +7,8 @@
 	"valvering.example/valvering/internal/lab/sweep"
 )
 
-// mostRepetitions limits the duration of a sweep to minutes.
-const mostRepetitions = 100
+// maxRepetitions limits the duration of a sweep to minutes.
+const maxRepetitions = 100
 
 type sweepCmd struct {
 	What        string `help:"What grows: servers, nodes, tenants, rate, the length of a cut, or all." enum:"servers,nodes,tenants,rate,cut,all" default:"all"`
@@ -21,7 +21,8 @@
 // smallSweep returns options that are just enough to check that each measure yields a value.
 func smallSweep() sweep.Options {
 	o := sweep.Defaults()
-	o.Servers, o.Nodes, o.Tenants, o.Rate, o.Cut, o.Seconds = []int{50, 100, 200}, []int{300, 400, 600}, []int{100, 200, 300}, []int{4, 8, 16}, []int{2, 4, 6}, 1
+	o.Servers, o.Nodes, o.Tenants, o.Rate, o.Cut, o.Seconds = []int{50, 100, 200}, []int{300, 400, 600},
+		[]int{100, 200, 300}, []int{4, 8, 16}, []int{2, 4, 6}, 1
 	return o
 }
 
@@ -30,8 +31,8 @@
 	if c.Small {
 		o = smallSweep()
 	}
-	if c.Repetitions < 1 || c.Repetitions > mostRepetitions {
-		return fmt.Errorf("--repetitions: %d is not from 1 to %d", c.Repetitions, mostRepetitions)
+	if c.Repetitions < 1 || c.Repetitions > maxRepetitions {
+		return fmt.Errorf("--repetitions: %d is not from 1 to %d", c.Repetitions, maxRepetitions)
 	}
 	o.Repetitions = c.Repetitions
 	if c.What != "all" {
@@ -50,7 +51,7 @@
 		return err
 	}
 	if r.Partial {
-		return errUnsound
+		return errLoadNotSustained
 	}
 	return nil
 }
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -26,13 +26,14 @@
 	if !slices.Contains(Names, name) {
 		return nil
 	}
-	return func(me int, w *world.World, seed uint64, truth *sim.Truth) (sim.Decider, error) {
-		s, err := w.Settings(me)
+	return func(index int, w *world.World, seed uint64, truth *sim.Truth) (sim.Decider, error) {
+		s, err := w.Settings(index)
 		if err != nil {
 			return nil, err
 		}
-		p := &simple{kind: name, set: s, rng: rand.New(rand.NewPCG(seed, 0xba5e)), open: map[policy.RequestID]*request{},
-			plans: map[string]*policy.Plan{}, classes: map[string]*policy.Class{}, stores: map[string]*store{}, truth: truth}
+		p := &decider{kind: name, settings: s, rng: rand.New(rand.NewPCG(seed, 0xba5e)),
+			openRequests: map[policy.RequestID]*request{}, plans: map[string]*policy.Plan{},
+			classes: map[string]*policy.Class{}, quotaShares: map[string]*quotaShare{}, truth: truth}
 		for i := range s.Plans {
 			p.plans[s.Plans[i].Name] = &s.Plans[i]
 		}
@@ -43,63 +44,63 @@
 	}
 }
 
-// simple implements all baseline policies; kind is one of Names.
-type simple struct {
-	kind    string
-	set     policy.Settings
-	rng     *rand.Rand
-	now     time.Duration
-	out     []policy.Action
-	servers []*server
-	open    map[policy.RequestID]*request
-	plans   map[string]*policy.Plan
-	classes map[string]*policy.Class
-	stores  map[string]*store
-	truth   *sim.Truth
+// decider implements all baseline policies; kind is one of Names.
+type decider struct {
+	kind         string
+	settings     policy.Settings
+	rng          *rand.Rand
+	now          time.Duration
+	actions      []policy.Action
+	servers      []*server
+	openRequests map[policy.RequestID]*request
+	plans        map[string]*policy.Plan
+	classes      map[string]*policy.Class
+	quotaShares  map[string]*quotaShare
+	truth        *sim.Truth
 }
 
 type server struct {
 	policy.Server
-	out int
+	inFlight int
 }
 
 type request struct {
 	policy.Request
-	deadline time.Duration
-	attempts int
-	srv      *server
-	ran      bool
+	deadline   time.Duration
+	attempts   int
+	server     *server
+	mayHaveRun bool
 }
 
-// store is an edge node's equal part of a customer's quota and cap.
-type store struct {
-	left float64
-	at   time.Duration
-	out  int
+// quotaShare is an edge node's equal part of a customer's quota and cap.
+type quotaShare struct {
+	tokens     float64
+	refilledAt time.Duration
+	inFlight   int
 }
 
-func (p *simple) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
-	p.now, p.out = now, out
+func (p *decider) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
+	p.now, p.actions = now, out
 	switch ev := ev.(type) {
 	case policy.Request:
 		r := &request{Request: ev, deadline: now + ev.Remaining}
-		p.open[ev.ID] = r
+		p.openRequests[ev.ID] = r
 		if !p.admit(r) || !p.send(r) {
 			p.refuse(r)
 		}
 	case policy.Outcome:
 		p.outcome(ev)
 	case policy.ClientDisconnected:
-		delete(p.open, ev.ID)
+		delete(p.openRequests, ev.ID)
 	case policy.ServerListUpdate:
 		p.members(ev)
 	case policy.Shutdown:
-		p.out = append(p.out, policy.ShutdownDone{})
+		p.actions = append(p.actions, policy.ShutdownDone{})
 	}
-	return p.out
+	return p.actions
 }
 
-func (p *simple) members(ev policy.ServerListUpdate) {
+func (p *decider) members(ev policy.ServerListUpdate) {
 	if ev.Kind == policy.WatchFailed {
 		return
 	}
@@ -119,7 +120,7 @@
 }
 
 // admit decides whether to admit a request, and takes its units from the quota.
-func (p *simple) admit(r *request) bool {
+func (p *decider) admit(r *request) bool {
 	plan := p.plans[r.Plan]
 	if plan == nil {
 		return false
@@ -128,105 +129,109 @@
 	case "oracle":
 		return p.truth.Room(r.Customer, r.Units)
 	case "even":
-		parts := float64(max(1, r.Spread))
-		st := p.stores[r.Customer]
+		nodes := float64(max(1, r.Spread))
+		st := p.quotaShares[r.Customer]
 		if st == nil {
-			st = &store{left: plan.Burst / parts, at: p.now}
-			p.stores[r.Customer] = st
+			st = &quotaShare{tokens: plan.Burst / nodes, refilledAt: p.now}
+			p.quotaShares[r.Customer] = st
 		}
-		st.left = min(max(plan.Burst/parts, r.Units), st.left+plan.Rate/parts*(p.now-st.at).Seconds())
-		st.at = p.now
-		if plan.MaxInFlight > 0 && float64(st.out) >= max(1, float64(plan.MaxInFlight)/parts) {
+		st.tokens = min(max(plan.Burst/nodes, r.Units),
+			st.tokens+plan.Rate/nodes*(p.now-st.refilledAt).Seconds())
+		st.refilledAt = p.now
+		if plan.MaxInFlight > 0 && float64(st.inFlight) >= max(1, float64(plan.MaxInFlight)/nodes) {
 			return false
 		}
 		if plan.Rate == 0 {
 			return true
 		}
-		if st.left < r.Units {
+		if st.tokens < r.Units {
 			return false
 		}
-		st.left -= r.Units
+		st.tokens -= r.Units
 	}
 	return true
 }
 
 // send sends an attempt to a server. It returns false if no server is available.
-func (p *simple) send(r *request) bool {
-	var ok []*server
+func (p *decider) send(r *request) bool {
+	var available []*server
 	for _, s := range p.servers {
-		if s.State == policy.Running && s != r.srv {
-			ok = append(ok, s)
+		if s.State == policy.Running && s != r.server {
+			available = append(available, s)
 		}
 	}
-	if len(ok) == 0 {
+	if len(available) == 0 {
 		return false
 	}
-	best := ok[p.rng.IntN(len(ok))]
+	best := available[p.rng.IntN(len(available))]
 	switch p.kind {
 	case "two":
-		if other := ok[p.rng.IntN(len(ok))]; other.out < best.out {
+		if other := available[p.rng.IntN(len(available))]; other.inFlight < best.inFlight {
 			best = other
 		}
 	case "oracle":
-		low, found := 0.0, false
+		lowest, found := 0.0, false
 		for range 8 {
-			s := ok[p.rng.IntN(len(ok))]
-			if load, serves := p.truth.Server(s.ID); serves && (!found || load < low) {
-				best, low, found = s, load, true
+			s := available[p.rng.IntN(len(available))]
+			if load, serves := p.truth.Server(s.ID); serves && (!found || load < lowest) {
+				best, lowest, found = s, load, true
 			}
 		}
 	}
-	r.srv = best
+	r.server = best
 	r.attempts++
-	best.out++
-	if st := p.stores[r.Customer]; st != nil {
-		st.out++
+	best.inFlight++
+	if st := p.quotaShares[r.Customer]; st != nil {
+		st.inFlight++
 	}
-	p.out = append(p.out, policy.Send{ID: r.ID, Server: best.ID, Timeout: p.timeout(r)})
+	p.actions = append(p.actions, policy.Send{ID: r.ID, Server: best.ID, Timeout: p.timeout(r)})
 	return true
 }
 
 // timeout returns half the remaining time for a safe request, to leave time for another
 // attempt, and 0 (no timeout) for others.
-func (p *simple) timeout(r *request) time.Duration {
+func (p *decider) timeout(r *request) time.Duration {
 	if cl := p.classes[r.Class]; cl != nil && cl.Effect == policy.Safe {
 		return (r.deadline - p.now) / 2
 	}
 	return 0
 }
 
-func (p *simple) outcome(ev policy.Outcome) {
-	r := p.open[ev.ID]
+func (p *decider) outcome(ev policy.Outcome) {
+	r := p.openRequests[ev.ID]
 	if r == nil {
 		return
 	}
-	if r.srv != nil {
-		r.srv.out--
+	if r.server != nil {
+		r.server.inFlight--
 	}
-	if st := p.stores[r.Customer]; st != nil {
-		st.out--
+	if st := p.quotaShares[r.Customer]; st != nil {
+		st.inFlight--
 	}
 	if ev.Answered || ev.Code == policy.OK {
-		delete(p.open, ev.ID)
+		delete(p.openRequests, ev.ID)
 		return
 	}
 	if !ev.Code.NeverRan() {
-		r.ran = true
+		r.mayHaveRun = true
 	}
 	cl := p.classes[r.Class]
-	again := cl != nil && r.attempts < 3 && p.now < r.deadline-5*time.Millisecond && (!r.ran || cl.Effect == policy.Safe)
-	if !again || !p.send(r) {
+	retry := cl != nil && r.attempts < 3 && p.now < r.deadline-5*time.Millisecond &&
+		(!r.mayHaveRun || cl.Effect == policy.Safe)
+	if !retry || !p.send(r) {
 		p.refuse(r)
 	}
 }
 
 // refuse ends a request: it fails if a second copy would be unsafe after an attempt that
 // may have run, and is refused otherwise.
-func (p *simple) refuse(r *request) {
-	delete(p.open, r.ID)
-	if cl := p.classes[r.Class]; r.ran && (cl == nil || cl.Effect != policy.Safe && !(cl.Effect == policy.Keyed && cl.Group == policy.GroupAll)) {
-		p.out = append(p.out, policy.Fail{ID: r.ID})
+func (p *decider) refuse(r *request) {
+	delete(p.openRequests, r.ID)
+	if cl := p.classes[r.Class]; r.mayHaveRun && (cl == nil || cl.Effect != policy.Safe &&
+		!(cl.Effect == policy.Keyed && cl.Group == policy.GroupAll)) {
+		p.actions = append(p.actions, policy.Fail{ID: r.ID})
 		return
 	}
-	p.out = append(p.out, policy.Refuse{ID: r.ID, RetryAfter: min(p.set.MaxRetryAfter, 500*time.Millisecond)})
+	p.actions = append(p.actions,
+		policy.Refuse{ID: r.ID, RetryAfter: min(p.settings.MaxRetryAfter, 500*time.Millisecond)})
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -23,11 +23,13 @@
 // Variant is what distinguishes one arm of an experiment: settings, another build, or a
 // baseline instead of the module.
 type Variant struct {
-	Name     string         `toml:"name" json:"name"`
-	Adapter  string         `toml:"adapter" json:"adapter,omitempty"` // program of a simulator adapter of another build
-	Baseline string         `toml:"baseline" json:"baseline,omitempty"`
-	Program  string         `toml:"program" json:"program,omitempty"` // edge node program of another build, for the live engine
-	Set      map[string]any `toml:"set" json:"set,omitempty"`         // settings of the world
+	Name string `toml:"name" json:"name"`
+	// program of a simulator adapter of another build
+	Adapter  string `toml:"adapter" json:"adapter,omitempty"`
+	Baseline string `toml:"baseline" json:"baseline,omitempty"`
+	// edge node program of another build, for the live engine
+	Program string         `toml:"program" json:"program,omitempty"`
+	Set     map[string]any `toml:"set" json:"set,omitempty"` // settings of the world
 }
 
 // Matrix lists the values whose combinations, with the variants, are the runs.
@@ -65,8 +67,8 @@
 
 // Limits of an experiment: its number of runs, and the size of its file in bytes.
 const (
-	mostRuns = 20_000
-	mostFile = 1 << 20
+	maxRuns      = 20_000
+	maxFileBytes = 1 << 20
 )
 
 // Read reads an experiment from a file.
@@ -82,26 +84,27 @@
 	return f, nil
 }
 
-// Faults are all errors of a file.
-type Faults []error
+// Errors holds all errors of an experiment file.
+type Errors []error
 
-func (f Faults) Error() string { return errors.Join(f...).Error() }
+func (e Errors) Error() string { return errors.Join(e...).Error() }
 
 // Parse reads and checks an experiment. Relative paths in it start at dir.
 func Parse(data []byte, dir string) (*File, error) {
-	if len(data) > mostFile {
-		return nil, fmt.Errorf("over %d bytes", mostFile)
+	if len(data) > maxFileBytes {
+		return nil, fmt.Errorf("over %d bytes", maxFileBytes)
 	}
 	f := &File{text: data, dir: dir, Engine: "sim"}
 	if err := decode(data, f); err != nil {
 		return nil, err
 	}
-	var faults Faults
-	fault := func(field, format string, args ...any) {
-		faults = append(faults, fmt.Errorf("line %d: %s: %s", lineOf(data, field), field, fmt.Sprintf(format, args...)))
+	var errs Errors
+	addError := func(field, format string, args ...any) {
+		errs = append(errs, fmt.Errorf("line %d: %s: %s", lineOf(data, field), field,
+			fmt.Sprintf(format, args...)))
 	}
 	if f.Engine != "sim" && f.Engine != "live" {
-		fault("engine", "%q is neither sim nor live", f.Engine)
+		addError("engine", "%q is neither sim nor live", f.Engine)
 	}
 	if len(f.Matrix.Sizes) == 0 {
 		f.Matrix.Sizes = [][]int{{60, 40}}
@@ -117,57 +120,61 @@
 	}
 	for _, s := range f.Matrix.Sizes {
 		if len(s) != 2 || s[0] < 1 || s[1] < 1 || s[0] > world.MostNodes || s[1] > world.MostServers {
-			fault("matrix.sizes", "%v is not [edge nodes, lending servers], up to [%d, %d]", s, world.MostNodes, world.MostServers)
+			addError("matrix.sizes", "%v is not [edge nodes, lending servers], up to [%d, %d]", s,
+				world.MostNodes, world.MostServers)
 		}
 	}
 	for _, name := range f.Matrix.Faults {
 		if name != "none" && name != "world" && world.Named(name, 1) == nil {
-			fault("matrix.faults", "%q is not one of none, world (those of the world), %s", name, strings.Join(world.Names(), ", "))
+			addError("matrix.faults", "%q is not one of none, world (those of the world), %s", name,
+				strings.Join(world.Names(), ", "))
 		}
 	}
 	for i, v := range f.Variants {
-		at := fmt.Sprintf("variant[%d].", i)
-		if v.Name == "" || slices.ContainsFunc(f.Variants[:i], func(o Variant) bool { return o.Name == v.Name }) {
-			fault(at+"name", "%q is empty or there twice", v.Name)
+		prefix := fmt.Sprintf("variant[%d].", i)
+		if v.Name == "" || slices.ContainsFunc(f.Variants[:i],
+			func(o Variant) bool { return o.Name == v.Name }) {
+			addError(prefix+"name", "%q is empty or there twice", v.Name)
 		}
 		if v.Adapter != "" && v.Baseline != "" {
-			fault(at+"adapter", "an adapter and a baseline can't both decide")
+			addError(prefix+"adapter", "an adapter and a baseline can't both decide")
 		}
 		if v.Baseline != "" && baseline.Maker(v.Baseline) == nil {
-			fault(at+"baseline", "%q is not one of %s", v.Baseline, strings.Join(baseline.Names, ", "))
+			addError(prefix+"baseline", "%q is not one of %s", v.Baseline, strings.Join(baseline.Names, ", "))
 		}
-		for field, path := range map[string]*string{"adapter": &f.Variants[i].Adapter, "program": &f.Variants[i].Program} {
+		for field, path := range map[string]*string{"adapter": &f.Variants[i].Adapter,
+			"program": &f.Variants[i].Program} {
 			if *path == "" {
 				continue
 			}
 			if !filepath.IsAbs(*path) {
 				*path = filepath.Join(dir, *path)
 			}
-			if st, err := os.Stat(*path); err != nil || st.IsDir() {
-				fault(at+field, "there is no program %s", *path)
+			if info, err := os.Stat(*path); err != nil || info.IsDir() {
+				addError(prefix+field, "there is no program %s", *path)
 			}
 		}
 	}
-	if n := f.Count(); n > mostRuns {
-		fault("matrix", "%d runs, over %d", n, mostRuns)
+	if n := f.Count(); n > maxRuns {
+		addError("matrix", "%d runs, over %d", n, maxRuns)
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	// Each combination of size, fault and variant has one world; the seed doesn't change it.
-	seen := map[string]bool{}
+	reported := map[string]bool{}
 	for _, size := range f.Matrix.Sizes {
 		for _, name := range f.Matrix.Faults {
 			for _, v := range f.Variants {
-				if _, err := f.world(size, name, v); err != nil && !seen[err.Error()] {
-					seen[err.Error()] = true
-					faults = append(faults, err)
+				if _, err := f.buildWorld(size, name, v); err != nil && !reported[err.Error()] {
+					reported[err.Error()] = true
+					errs = append(errs, err)
 				}
 			}
 		}
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return f, nil
 }
@@ -188,7 +195,7 @@
 		for _, name := range f.Matrix.Faults {
 			for _, seed := range f.Matrix.Seeds {
 				for _, v := range f.Variants {
-					w, err := f.world(size, name, v)
+					w, err := f.buildWorld(size, name, v)
 					if err != nil {
 						return nil, err
 					}
@@ -200,9 +207,9 @@
 	return list, nil
 }
 
-// world returns the world of a run: the default of its size, overlaid with the settings of
-// the file, the fault and the settings of the variant, in this order.
-func (f *File) world(size []int, fault string, v Variant) (*world.World, error) {
+// buildWorld returns the world of a run: the default of its size, overlaid with the settings
+// of the file, the fault and the settings of the variant, in this order.
+func (f *File) buildWorld(size []int, fault string, v Variant) (*world.World, error) {
 	w := world.Default(size[0], size[1])
 	if table, ok := f.World.(map[string]any); ok {
 		if err := overlay(w, table); err != nil {
@@ -223,12 +230,13 @@
 	if w.Load.Trace != "" && !filepath.IsAbs(w.Load.Trace) {
 		w.Load.Trace = filepath.Join(f.dir, w.Load.Trace)
 	}
-	var faults Faults
+	var errs Errors
 	for _, p := range w.Check() {
-		faults = append(faults, fmt.Errorf("line %d: world.%s: %s", lineOf(f.text, "world."+p.Field), p.Field, p.What))
+		errs = append(errs, fmt.Errorf("line %d: world.%s: %s", lineOf(f.text, "world."+p.Field), p.Field,
+			p.What))
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return w, nil
 }
@@ -239,9 +247,10 @@
 	if len(table) == 0 {
 		return nil
 	}
-	for name, list := range map[string]func(){"class": func() { w.Classes = nil }, "plan": func() { w.Plans = nil }, "fault": func() { w.Faults = nil }} {
+	for name, clearList := range map[string]func(){"class": func() { w.Classes = nil },
+		"plan": func() { w.Plans = nil }, "fault": func() { w.Faults = nil }} {
 		if _, named := table[name]; named {
-			list()
+			clearList()
 		}
 	}
 	data, err := toml.Marshal(table)
@@ -262,36 +271,38 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &strict):
-		var faults Faults
+		var errs Errors
 		for i := range strict.Errors {
 			e := &strict.Errors[i]
 			line, _ := e.Position()
-			faults = append(faults, fmt.Errorf("line %d: %s: there is no such field", line, strings.Join(e.Key(), ".")))
+			errs = append(errs, fmt.Errorf("line %d: %s: there is no such field", line,
+				strings.Join(e.Key(), ".")))
 		}
-		return faults
+		return errs
 	case errors.As(err, &bad):
 		line, _ := bad.Position()
-		return fmt.Errorf("line %d: %s: %s", line, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: "))
+		return fmt.Errorf("line %d: %s: %s", line, strings.Join(bad.Key(), "."),
+			strings.TrimPrefix(bad.Error(), "toml: "))
 	}
 	return err
 }
 
-var header = regexp.MustCompile(`^\s*\[+\s*([A-Za-z0-9_.]+)\s*\]+`)
+var tableHeader = regexp.MustCompile(`^\s*\[+\s*([A-Za-z0-9_.]+)\s*\]+`)
 
 // lineOf returns the line of a field, or the line of the table that it belongs to, or 1 if
 // neither is in the file. A field of a list element is named with the element's index.
 func lineOf(text []byte, field string) int {
-	table, best := "", 1
+	table, tableLine := "", 1
 	counts := map[string]int{}
-	for no, line := range strings.Split(string(text), "\n") {
-		if m := header.FindStringSubmatch(line); m != nil {
+	for index, line := range strings.Split(string(text), "\n") {
+		if m := tableHeader.FindStringSubmatch(line); m != nil {
 			table = m[1]
 			if strings.HasPrefix(strings.TrimSpace(line), "[[") {
 				counts[table]++
 				table = fmt.Sprintf("%s[%d]", table, counts[table]-1)
 			}
 			if field == table || strings.HasPrefix(field, table+".") {
-				best = no + 1
+				tableLine = index + 1
 			}
 			continue
 		}
@@ -301,10 +312,10 @@
 		}
 		full := strings.TrimPrefix(table+"."+strings.TrimSpace(key), ".")
 		if full == field || strings.HasPrefix(field, full+".") {
-			return no + 1
+			return index + 1
 		}
 	}
-	return best
+	return tableLine
 }
 
 // Text returns the contents of the file.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `name = "cuts"
+const validFile = `name = "cuts"
 [matrix]
 sizes = [[30, 20], [60, 40]]
 faults = ["calm", "split"]
@@ -26,7 +26,7 @@
 `
 
 func TestMatrix(t *testing.T) {
-	f, err := Parse([]byte(good), ".")
+	f, err := Parse([]byte(validFile), ".")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,8 @@
 		if r.Variant.Name == "lossy" {
 			want = 0.3
 		}
-		if r.World.Net.Loss != want || r.World.For.D().Seconds() != 4 || len(r.World.Plans) == 0 || (r.Fault == "split") != (len(r.World.Faults) == 5) {
+		if r.World.Net.Loss != want || r.World.For.D().Seconds() != 4 || len(r.World.Plans) == 0 ||
+			(r.Fault == "split") != (len(r.World.Faults) == 5) {
 			t.Errorf("%s: %+v", r.Key(), r.World)
 		}
 	}
@@ -59,14 +60,18 @@
 		{`name = "cuts"`, `nam = "cuts"`, "line 1: nam: there is no such field"},
 		{`baseline = "all"`, `baseline = "best"`, "line 14: variant[1].baseline: \"best\" is not one of"},
 		{`name = "random"`, `name = "module"`, "line 13: variant[1].name"},
-		{`faults = ["calm", "split"]`, `faults = ["calm", "flood"]`, "line 4: matrix.faults: \"flood\" is not one of"},
+		{`faults = ["calm", "split"]`, `faults = ["calm", "flood"]`,
+			"line 4: matrix.faults: \"flood\" is not one of"},
 		{`sizes = [[30, 20], [60, 40]]`, `sizes = [[30], [4000, 2]]`, "line 3: matrix.sizes: [30] is not"},
-		{`seeds = [1, 2, 3]`, "seeds = [" + strings.Repeat("1,", 9000) + "]", "line 2: matrix: 108000 runs, over 20000"},
+		{`seeds = [1, 2, 3]`, "seeds = [" + strings.Repeat("1,", 9000) + "]",
+			"line 2: matrix: 108000 runs, over 20000"},
 		{`[matrix]`, `[matrix`, "line 2"},
-		{"[[variant]]\nname = \"random\"\nbaseline = \"all\"", "[[variant]]\nname = \"old\"\nadapter = \"no/such\"", "line 14: variant[1].adapter: there is no program"},
+		{"[[variant]]\nname = \"random\"\nbaseline = \"all\"",
+			"[[variant]]\nname = \"old\"\nadapter = \"no/such\"",
+			"line 14: variant[1].adapter: there is no program"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
-		if text == good {
+		text := strings.Replace(validFile, c.from, c.to, 1)
+		if text == validFile {
 			t.Fatalf("the valid file does not contain %q", c.from)
 		}
 		if _, err := Parse([]byte(text), "."); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -76,7 +81,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validFile))
 	f.Add([]byte("[[variant]]\nset = 3"))
 	f.Add([]byte("world = 1\n[matrix]\nsizes = [[0, -1]]"))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/lab/explain/explain.go
+++ b/internal/lab/explain/explain.go
@@ -29,11 +29,13 @@
 	has := func(w trace.What) bool {
 		return slices.ContainsFunc(notes, func(n trace.Note) bool { return n.What == w })
 	}
-	outcome := func(word string) bool {
-		return slices.ContainsFunc(notes, func(n trace.Note) bool { return n.What == trace.Outcome && strings.Contains(n.Detail, word) })
+	outcome := func(text string) bool {
+		return slices.ContainsFunc(notes, func(n trace.Note) bool {
+			return n.What == trace.Outcome && strings.Contains(n.Detail, text)
+		})
 	}
-	asked := has(trace.Askroot)
-	heard := has(trace.Granted) || has(trace.Denied) || has(trace.Waits)
+	askedRoot := has(trace.Askroot)
+	answered := has(trace.Granted) || has(trace.Denied) || has(trace.Waits)
 	switch {
 	case has(trace.Crashed):
 		return "its edge node died"
@@ -61,7 +63,7 @@
 		return "granted, but no server had room"
 	case has(trace.Waits):
 		return "held by its root until too late"
-	case asked && !heard:
+	case askedRoot && !answered:
 		return "neither root nor deputy was heard"
 	}
 	return "refused where it came in"
@@ -104,7 +106,8 @@
 
 // Print prints all events of a request.
 func Print(w io.Writer, run string, s *trace.Story) error {
-	_, err := fmt.Fprintf(w, "request %s of run %s\n%s, plan %s, customer %s: %s, worth %.3g, lost %.3g\n", s.ID, run, s.Class, s.Plan, s.Key,
+	_, err := fmt.Fprintf(w, "request %s of run %s\n%s, plan %s, customer %s: %s, worth %.3g, lost %.3g\n",
+		s.ID, run, s.Class, s.Plan, s.Key,
 		s.How, s.Worth, s.Lost)
 	for _, n := range s.Notes {
 		node := "client      "
@@ -174,11 +177,11 @@
 	}
 }
 
-func (g *Group) trim(most int) {
+func (g *Group) trim(maxExamples int) {
 	slices.SortStableFunc(g.Dearest, func(a, b Example) int {
 		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Run, b.Run), cmp.Compare(a.ID, b.ID))
 	})
-	g.Dearest = g.Dearest[:min(most, len(g.Dearest))]
+	g.Dearest = g.Dearest[:min(maxExamples, len(g.Dearest))]
 }
 
 // Groups returns the groups in descending order of loss.
@@ -200,7 +203,8 @@
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(out, "%5.1f%%  %6d requests  %s (%.1f to %.1f s)", 100*g.Share, g.Requests, g.Cause, g.First.Seconds(), g.Last.Seconds())
+		_, err = fmt.Fprintf(out, "%5.1f%%  %6d requests  %s (%.1f to %.1f s)", 100*g.Share, g.Requests,
+			g.Cause, g.First.Seconds(), g.Last.Seconds())
 		for _, name := range slices.Sorted(maps.Keys(g.Classes)) {
 			fmt.Fprintf(out, "  %s %d", name, g.Classes[name])
 		}
--- a/internal/lab/explain/ledger.go
+++ b/internal/lab/explain/ledger.go
@@ -27,8 +27,8 @@
 // Ledger accounts for the value of all requests that fit their quota: each value is earned,
 // or lost by one cause. In each column earned and lost value sum to the value asked for.
 type Ledger struct {
-	by      func(*trace.Story) string
-	columns map[string]*Account
+	columnOf func(*trace.Story) string
+	columns  map[string]*Account
 }
 
 // Account is a column of a Ledger.
@@ -41,7 +41,7 @@
 
 // NewLedger returns an empty Ledger with the columns of one of Keys.
 func NewLedger(by string) *Ledger {
-	return &Ledger{by: Keys[by], columns: map[string]*Account{}}
+	return &Ledger{columnOf: Keys[by], columns: map[string]*Account{}}
 }
 
 // Add counts a story. A request beyond its quota has nothing to earn and is not counted.
@@ -49,7 +49,7 @@
 	if !s.Inside {
 		return
 	}
-	name := l.by(s)
+	name := l.columnOf(s)
 	a := l.columns[name]
 	if a == nil {
 		a = &Account{Name: name, Lost: map[string]float64{}}
@@ -64,7 +64,8 @@
 
 // Accounts returns the columns in the order of their names.
 func (l *Ledger) Accounts() []*Account {
-	return slices.SortedFunc(maps.Values(l.columns), func(a, b *Account) int { return cmp.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(l.columns),
+		func(a, b *Account) int { return cmp.Compare(a.Name, b.Name) })
 }
 
 // Print prints a row for each cause, in descending order of loss, as a percentage of the
@@ -77,7 +78,8 @@
 			total[cause] += lost
 		}
 	}
-	causes := slices.SortedFunc(maps.Keys(total), func(a, b string) int { return cmp.Or(cmp.Compare(total[b], total[a]), cmp.Compare(a, b)) })
+	causes := slices.SortedFunc(maps.Keys(total),
+		func(a, b string) int { return cmp.Or(cmp.Compare(total[b], total[a]), cmp.Compare(a, b)) })
 	var b strings.Builder
 	row := func(name string, cell func(*Account) string) {
 		fmt.Fprintf(&b, "%-52s", name)
--- a/internal/lab/host/host.go
+++ b/internal/lab/host/host.go
@@ -23,18 +23,18 @@
 
 // Host is a running adapter.
 type Host struct {
-	cmd  *exec.Cmd
-	in   *bufio.Writer
-	pipe io.Closer
-	out  *bufio.Reader
-	err  error // first error; no event is sent after it
-	tail *tail // end of its standard error
+	cmd       *exec.Cmd
+	stdin     *bufio.Writer
+	stdinPipe io.Closer
+	stdout    *bufio.Reader
+	err       error // first error; no event is sent after it
+	stderr    *tail // end of its standard error
 }
 
 // Start starts the adapter at a path.
 func Start(path string) (*Host, error) {
-	h := &Host{cmd: exec.Command(path), tail: &tail{}}
-	h.cmd.Stderr = h.tail
+	h := &Host{cmd: exec.Command(path), stderr: &tail{}}
+	h.cmd.Stderr = h.stderr
 	in, err := h.cmd.StdinPipe()
 	if err != nil {
 		return nil, fmt.Errorf("adapter %s: %w", path, err)
@@ -46,7 +46,7 @@
 	if err := h.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("adapter %s: %w", path, err)
 	}
-	h.in, h.pipe, h.out = bufio.NewWriterSize(in, 1<<16), in, bufio.NewReaderSize(out, 1<<16)
+	h.stdin, h.stdinPipe, h.stdout = bufio.NewWriterSize(in, 1<<16), in, bufio.NewReaderSize(out, 1<<16)
 	return h, nil
 }
 
@@ -55,81 +55,84 @@
 
 // Close ends the adapter and returns its first error.
 func (h *Host) Close() error {
-	h.pipe.Close()
+	h.stdinPipe.Close()
 	if err := h.cmd.Wait(); err != nil && h.err == nil {
 		h.err = err
 	}
 	if h.err != nil {
-		return fmt.Errorf("adapter %s: %w %s", h.cmd.Path, h.err, h.tail.text())
+		return fmt.Errorf("adapter %s: %w %s", h.cmd.Path, h.err, h.stderr.text())
 	}
 	return nil
 }
 
 // Maker returns a maker whose deciders are hosted by the adapter.
 func (h *Host) Maker() sim.Maker {
-	return func(me int, w *world.World, seed uint64, _ *sim.Truth) (sim.Decider, error) {
-		pairs, err := w.Pairs(me)
+	return func(index int, w *world.World, seed uint64, _ *sim.Truth) (sim.Decider, error) {
+		pairs, err := w.Pairs(index)
 		if err != nil {
 			return nil, err
 		}
-		n := &instance{h: h, name: "node/" + strconv.Itoa(me)}
-		n.first = fmt.Sprintf("CONFIGURE %s %d %s\n", n.name, seed, strings.Join(pairs, " "))
+		n := &instance{host: h, name: "node/" + strconv.Itoa(index)}
+		n.configLine = fmt.Sprintf("CONFIGURE %s %d %s\n", n.name, seed, strings.Join(pairs, " "))
 		return n, h.err
 	}
 }
 
 // instance is one process of an edge node.
 type instance struct {
-	h     *Host
-	name  string
-	first string // configuration line, sent before the first event
+	host       *Host
+	name       string
+	configLine string // configuration line, sent before the first event
 }
 
 // Handle sends an event to the adapter and returns its actions. After an error it sends
 // nothing and returns no action.
 func (n *instance) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
-	if _, leaves := ev.(policy.Shutdown); leaves { // the wire protocol has no shutdown event
+	if _, isShutdown := ev.(policy.Shutdown); isShutdown { // the wire protocol has no shutdown event
 		return append(out, policy.ShutdownDone{})
 	}
-	if n.h.err != nil {
+	if n.host.err != nil {
 		return out
 	}
-	w := n.h.in
-	fmt.Fprintf(w, "FRAME %s\n", ms(now))
-	if n.first != "" {
-		fmt.Fprintf(w, "CRASH_NOW %s\n%s", n.name, n.first)
-		n.first = ""
+	w := n.host.stdin
+	fmt.Fprintf(w, "FRAME %s\n", formatMillis(now))
+	if n.configLine != "" {
+		fmt.Fprintf(w, "CRASH_NOW %s\n%s", n.name, n.configLine)
+		n.configLine = ""
 	}
-	n.event(w, ev)
+	n.writeEvent(w, ev)
 	w.WriteString("EOF_BATCH\n")
 	if err := w.Flush(); err != nil {
-		n.h.err = fmt.Errorf("it does not take events: %w", err)
+		n.host.err = fmt.Errorf("it does not take events: %w", err)
 		return out
 	}
-	acts, err := n.reply(out)
+	actions, err := n.readActions(out)
 	if err != nil {
-		n.h.err = err
+		n.host.err = err
 	}
-	return acts
+	return actions
 }
 
-func ms(d time.Duration) string {
+func formatMillis(d time.Duration) string {
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64)
 }
 
-var stateWords = map[policy.State]string{policy.Running: "Running", policy.Draining: "Stopping", policy.Removed: "Deleted"}
-var kindWords = map[policy.UpdateKind]string{policy.Changes: "changes", policy.FullList: "all", policy.StoredList: "remembered", policy.WatchFailed: "refused"}
-var codeWords = [...]string{"OK", "INTERNAL", "RESOURCE_EXHAUSTED", "DEADLINE_EXCEEDED", "UNAVAILABLE", "ABORTED", "CANCELLED", "TOO_LATE"}
+var stateNames = map[policy.State]string{policy.Running: "Running", policy.Draining: "Stopping",
+	policy.Removed: "Deleted"}
+var kindNames = map[policy.UpdateKind]string{policy.Changes: "changes", policy.FullList: "all",
+	policy.StoredList: "remembered", policy.WatchFailed: "refused"}
+var codeNames = [...]string{"OK", "INTERNAL", "RESOURCE_EXHAUSTED", "DEADLINE_EXCEEDED", "UNAVAILABLE",
+	"ABORTED", "CANCELLED", "TOO_LATE"}
 
-func bit(b bool) int {
+func boolDigit(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// event writes an event as a line. An event with servers is preceded by the server table.
-func (n *instance) event(w io.Writer, ev policy.Event) {
+// writeEvent writes an event as a line. An event with servers is preceded by the server table.
+func (n *instance) writeEvent(w io.Writer, ev policy.Event) {
 	switch ev := ev.(type) {
 	case policy.ServerListUpdate:
 		if ev.Kind != policy.WatchFailed {
@@ -137,18 +140,21 @@
 			for _, s := range ev.Servers {
 				start := "-"
 				if s.HasStart {
-					start = ms(s.Start)
+					start = formatMillis(s.Start)
 				}
-				fmt.Fprintf(w, "M %s %g %s %d %s - %d\n", start, s.Weight, s.Zone, s.Cell, stateWords[s.State], s.ID)
+				fmt.Fprintf(w, "M %s %g %s %d %s - %d\n", start, s.Weight, s.Zone, s.Cell,
+					stateNames[s.State], s.ID)
 			}
 		}
-		fmt.Fprintf(w, "MEMBERSHIP %s %s 1 0\n", n.name, kindWords[ev.Kind])
+		fmt.Fprintf(w, "MEMBERSHIP %s %s 1 0\n", n.name, kindNames[ev.Kind])
 	case policy.Request:
-		fmt.Fprintf(w, "INGRESS %s %016x %d %s %d %s %g %d %s %s\n", n.name, uint64(ev.ID), ev.Spread, ev.Class, ev.First, ms(ev.Remaining),
-			ev.Units, 2*bit(ev.Retry), ev.Customer, ev.Plan)
+		fmt.Fprintf(w, "INGRESS %s %016x %d %s %d %s %g %d %s %s\n", n.name, uint64(ev.ID), ev.Spread,
+			ev.Class, ev.First, formatMillis(ev.Remaining),
+			ev.Units, 2*boolDigit(ev.Retry), ev.Customer, ev.Plan)
 	case policy.Outcome:
-		fmt.Fprintf(w, "VERDICT %s %016x %d 0 %s %d %d %g %s -\n", n.name, uint64(ev.ID), ev.Attempt, ms(ev.Latency), ev.Server, bit(ev.Answered), ev.ActualUnits,
-			codeWords[ev.Code])
+		fmt.Fprintf(w, "VERDICT %s %016x %d 0 %s %d %d %g %s -\n", n.name, uint64(ev.ID), ev.Attempt,
+			formatMillis(ev.Latency), ev.Server, boolDigit(ev.Answered), ev.ActualUnits,
+			codeNames[ev.Code])
 	case policy.ClientDisconnected:
 		fmt.Fprintf(w, "LAPSED %s %016x\n", n.name, uint64(ev.ID))
 	case policy.Timer:
@@ -162,10 +168,10 @@
 	}
 }
 
-// reply reads the actions up to the end of the reply.
-func (n *instance) reply(out []policy.Action) ([]policy.Action, error) {
+// readActions reads actions up to the end of a reply.
+func (n *instance) readActions(out []policy.Action) ([]policy.Action, error) {
 	for {
-		line, err := n.h.out.ReadString('\n')
+		line, err := n.host.stdout.ReadString('\n')
 		if errors.Is(err, io.EOF) {
 			return out, errors.New("it ended within a reply")
 		}
@@ -176,7 +182,7 @@
 		if line == "FINISHED" {
 			return out, nil
 		}
-		a, err := n.action(strings.Split(line, " "))
+		a, err := n.parseAction(strings.Split(line, " "))
 		if err != nil {
 			return out, fmt.Errorf("reply %.60q: %w", line, err)
 		}
@@ -188,69 +194,69 @@
 
 var errFields = errors.New("too few fields")
 
-// action parses one action. It returns nil for actions that the lab ignores.
-func (n *instance) action(f []string) (policy.Action, error) {
-	if len(f) < 2 {
+// parseAction parses one action. It returns nil for actions that the lab ignores.
+func (n *instance) parseAction(fields []string) (policy.Action, error) {
+	if len(fields) < 2 {
 		return nil, errFields
 	}
-	if f[1] != n.name {
-		return nil, fmt.Errorf("acts for %q, asked was %q", f[1], n.name)
+	if fields[1] != n.name {
+		return nil, fmt.Errorf("acts for %q, asked was %q", fields[1], n.name)
 	}
 	field := func(i int) string {
-		if i < len(f) {
-			return f[i]
+		if i < len(fields) {
+			return fields[i]
 		}
 		return "-"
 	}
 	var err error
-	note := func(e error) {
+	keepFirst := func(e error) {
 		if err == nil && e != nil {
 			err = e
 		}
 	}
 	id := func() policy.RequestID {
 		v, e := strconv.ParseUint(field(2), 16, 64)
-		note(e)
+		keepFirst(e)
 		return policy.RequestID(v)
 	}
-	length := func(i int) time.Duration {
+	duration := func(i int) time.Duration {
 		if field(i) == "-" {
 			return 0
 		}
 		v, e := strconv.ParseFloat(field(i), 64)
-		if note(e); math.IsNaN(v) || math.Abs(v) > 1e10 {
-			note(errors.New("a time is out of range"))
+		if keepFirst(e); math.IsNaN(v) || math.Abs(v) > 1e10 {
+			keepFirst(errors.New("a time is out of range"))
 			return 0
 		}
 		return time.Duration(v * float64(time.Millisecond))
 	}
-	whole := func(i int) int {
+	integer := func(i int) int {
 		v, e := strconv.Atoi(field(i))
-		note(e)
+		keepFirst(e)
 		return v
 	}
 	var a policy.Action
-	switch f[0] {
+	switch fields[0] {
 	case "SEND":
 		server, e := strconv.ParseUint(field(3), 10, 32)
-		note(e)
-		a = policy.Send{ID: id(), Server: policy.ServerID(server), Timeout: length(4)}
+		keepFirst(e)
+		a = policy.Send{ID: id(), Server: policy.ServerID(server), Timeout: duration(4)}
 	case "UNDO_SEND":
-		a = policy.Cancel{ID: id(), Attempt: whole(3)}
+		a = policy.Cancel{ID: id(), Attempt: integer(3)}
 	case "PUSH_BACK":
-		a = policy.Refuse{ID: id(), RetryAfter: length(3)}
+		a = policy.Refuse{ID: id(), RetryAfter: duration(3)}
 	case "REPORT_FAILURE":
 		a = policy.Fail{ID: id()}
 	case "SET_ALARM":
-		a = policy.SetTimer{Token: field(2), After: max(0, length(3))}
+		a = policy.SetTimer{Token: field(2), After: max(0, duration(3))}
 	case "POST":
 		data := []byte{}
 		if field(3) != "-" {
 			var e error
 			data, e = base64.StdEncoding.DecodeString(field(3))
-			note(e)
+			keepFirst(e)
 		}
-		a = policy.SendMessage{To: whole(2), Data: data}
+		a = policy.SendMessage{To: integer(2), Data: data}
 	case "LISTEN":
 		a = policy.Watch{}
 	case "SAY_LOG", "TOUCH", "SHUT_IDLE", "PULL", "ADD_AND_GET":
@@ -266,12 +272,12 @@
 // tail retains the last bytes written to it.
 type tail struct{ b []byte }
 
-const mostTail = 2000
+const maxTailBytes = 2000
 
 func (t *tail) Write(p []byte) (int, error) {
 	t.b = append(t.b, p...)
-	if len(t.b) > mostTail {
-		t.b = t.b[len(t.b)-mostTail:]
+	if len(t.b) > maxTailBytes {
+		t.b = t.b[len(t.b)-maxTailBytes:]
 	}
 	return len(p), nil
 }
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -15,25 +15,25 @@
 // agent stands in for the discovery agent on an edge node's machine. It serves the
 // server list that it has received and supports long polling.
 type agent struct {
-	f    *fleet
-	n    *node
-	ln   net.Listener
-	srv  *http.Server
-	mu   sync.Mutex
-	rev  int64
-	list map[string]entry
-	news chan struct{} // closed and replaced at each change
-	next time.Time     // earliest delivery of the next update, which keeps updates in order
-	sent int64         // number of updates sent, delivered or not
+	fleet            *fleet
+	node             *node
+	ln               net.Listener
+	srv              *http.Server
+	mu               sync.Mutex
+	revision         int64
+	entries          map[string]entry
+	changed          chan struct{} // closed and replaced at each change
+	earliestDelivery time.Time     // earliest delivery of the next update, which keeps updates in order
+	lastSequence     int64         // number of updates sent, delivered or not
 }
 
 // entry is the state of a server in an agent's list.
 type entry struct {
 	roster.Target
-	rev    int64
-	no     int64 // sequence number of the update
-	lender *lender
-	start  time.Duration
+	revision int64
+	sequence int64 // sequence number of the update
+	server   *server
+	start    time.Duration
 }
 
 func newAgent(f *fleet, n *node) (*agent, error) {
@@ -41,7 +41,8 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &agent{f: f, n: n, ln: ln, list: map[string]entry{}, news: make(chan struct{}), rev: 1}
+	a := &agent{fleet: f, node: n, ln: ln, entries: map[string]entry{}, changed: make(chan struct{}),
+		revision: 1}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/servers", a.serve)
 	a.srv = &http.Server{Handler: mux}
@@ -53,88 +54,90 @@
 
 func (a *agent) close() { a.srv.Close() }
 
-// send delivers the current state of a server to the agent, in order and after the
+// sendUpdate delivers the current state of a server to the agent, in order and after the
 // delay of discovery; the first state arrives at once. The fleet's lock is held.
-func (a *agent) send(l *lender, first bool) {
-	a.sent++
-	e := entry{Target: l.target(a.n.no), lender: l, start: l.desk.Start, no: a.sent}
-	if first {
-		a.take(e)
+func (a *agent) sendUpdate(l *server, immediate bool) {
+	a.lastSequence++
+	e := entry{Target: l.target(a.node.index), server: l, start: l.processor.Start, sequence: a.lastSequence}
+	if immediate {
+		a.apply(e)
 		return
 	}
 	now := time.Now()
 	at := now
-	if a.f.listDown.After(at) {
-		at = a.f.listDown
+	if a.fleet.discoveryDownUntil.After(at) {
+		at = a.fleet.discoveryDownUntil
 	}
-	at = at.Add(time.Duration(a.f.faulty.ExpFloat64() * float64(a.f.w.Disc.Late.D()+a.f.listLate)))
-	if at.Before(a.next) {
-		at = a.next
+	at = at.Add(time.Duration(a.fleet.faultRand.ExpFloat64() *
+		float64(a.fleet.world.Disc.Late.D()+a.fleet.discoveryDelay)))
+	if at.Before(a.earliestDelivery) {
+		at = a.earliestDelivery
 	}
-	a.next = at
-	time.AfterFunc(at.Sub(now), func() { a.take(e) })
+	a.earliestDelivery = at
+	time.AfterFunc(at.Sub(now), func() { a.apply(e) })
 }
 
-func (a *agent) take(e entry) {
+func (a *agent) apply(e entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.list[e.UID].no > e.no {
+	if a.entries[e.UID].sequence > e.sequence {
 		return // timers that are due at the same time fire in any order
 	}
-	a.rev++
-	e.rev = a.rev
-	a.list[e.UID] = e
-	close(a.news)
-	a.news = make(chan struct{})
+	a.revision++
+	e.revision = a.revision
+	a.entries[e.UID] = e
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// roster returns the whole list, or the changes since a revision, and the entries
+// updatesSince returns the whole list, or the changes since a revision, and the entries
 // that an edge node has received once this list is delivered.
-func (a *agent) roster(since int64) (l roster.List, told []entry) {
+func (a *agent) updatesSince(since int64) (l roster.List, delivered []entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l = roster.List{Rev: a.rev, All: since <= 0, Targets: []roster.Target{}}
-	for _, e := range a.list {
-		if since <= 0 && e.State != roster.Removed || since > 0 && e.rev > since {
+	l = roster.List{Rev: a.revision, All: since <= 0, Targets: []roster.Target{}}
+	for _, e := range a.entries {
+		if since <= 0 && e.State != roster.Removed || since > 0 && e.revision > since {
 			l.Targets = append(l.Targets, e.Target)
-			told = append(told, e)
+			delivered = append(delivered, e)
 		}
 	}
-	return l, told
+	return l, delivered
 }
 
-// known returns the list that an edge node has in its configuration at its start.
-func (a *agent) known() roster.List {
-	l, told := a.roster(0)
-	a.tell(told, "by the list it started with")
+// initialList returns the list that an edge node has in its configuration at its start.
+func (a *agent) initialList() roster.List {
+	l, delivered := a.updatesSince(0)
+	a.recordDelivery(delivered, "by the list it started with")
 	return l
 }
 
-// tell records what the edge node has received. The drain rule counts from the first
-// notice that a server drains or is removed.
-func (a *agent) tell(list []entry, how string) {
-	a.n.mu.Lock()
-	defer a.n.mu.Unlock()
-	now := a.f.now()
+// recordDelivery records what the edge node has received. The drain rule counts from the
+// first notice that a server drains or is removed.
+func (a *agent) recordDelivery(list []entry, how string) {
+	a.node.mu.Lock()
+	defer a.node.mu.Unlock()
+	now := a.fleet.now()
 	for _, e := range list {
-		a.n.starts[e.lender.no] = e.start
+		a.node.knownStarts[e.server.index] = e.start
 		if e.State == "SERVING" {
-			delete(a.n.told, e.lender.no)
-		} else if _, already := a.n.told[e.lender.no]; !already {
-			a.n.told[e.lender.no] = telling{now, fmt.Sprintf("%s, process %d", how, a.n.inc)}
+			delete(a.node.drainNotices, e.server.index)
+		} else if _, already := a.node.drainNotices[e.server.index]; !already {
+			a.node.drainNotices[e.server.index] = drainNotice{now,
+				fmt.Sprintf("%s, process %d", how, a.node.incarnation)}
 		}
 	}
 }
 
-const mostWait = time.Minute // longest long poll
+const maxWatchWait = time.Minute // longest long poll
 
 func (a *agent) serve(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-	deadline := time.After(min(time.Duration(ms)*time.Millisecond, mostWait))
-	a.f.mu.Lock()
-	down := time.Until(a.f.listDown)
-	a.f.mu.Unlock()
+	deadline := time.After(min(time.Duration(ms)*time.Millisecond, maxWatchWait))
+	a.fleet.mu.Lock()
+	down := time.Until(a.fleet.discoveryDownUntil)
+	a.fleet.mu.Unlock()
 	if down > 0 { // discovery doesn't answer during an outage
 		select {
 		case <-time.After(down):
@@ -144,13 +147,13 @@
 	}
 	for {
 		a.mu.Lock()
-		news, fresh := a.news, a.rev > since
+		changed, updated := a.changed, a.revision > since
 		a.mu.Unlock()
-		if since <= 0 || fresh {
+		if since <= 0 || updated {
 			break
 		}
 		select {
-		case <-news:
+		case <-changed:
 			continue
 		case <-deadline:
 		case <-r.Context().Done():
@@ -158,7 +161,7 @@
 		}
 		break
 	}
-	l, told := a.roster(since)
+	l, delivered := a.updatesSince(since)
 	data, err := json.Marshal(l)
 	if err != nil {
 		panic(err) // the list holds only strings and numbers
@@ -166,6 +169,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", fmt.Sprint(len(data)))
 	if _, err := w.Write(data); err == nil {
-		a.tell(told, "by discovery")
+		a.recordDelivery(delivered, "by discovery")
 	}
 }
--- a/internal/lab/live/fault.go
+++ b/internal/lab/live/fault.go
@@ -9,15 +9,15 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// schedule sets timers for the start and the end of a fault, with the same effects as
-// in the simulated engine. The fleet's lock is held.
-func (f *fleet) schedule(ctx context.Context, x *world.Fault) {
-	zone := x.Zone
+// scheduleFault sets timers for the start and the end of a fault, with the same effects
+// as in the simulated engine. The fleet's lock is held.
+func (f *fleet) scheduleFault(ctx context.Context, fault *world.Fault) {
+	zone := fault.Zone
 	if zone < 0 {
-		zone = f.faulty.IntN(f.w.Zones)
+		zone = f.faultRand.IntN(f.world.Zones)
 	}
 	at := func(d time.Duration, do func()) {
-		time.AfterFunc(d-f.since(), func() {
+		time.AfterFunc(d-f.elapsed(), func() {
 			if ctx.Err() == nil {
 				do()
 			}
@@ -30,201 +30,205 @@
 			do()
 		}
 	}
-	during := func(on, off func()) {
-		at(x.Start.D(), locked(on))
-		at(x.End(), locked(off))
+	during := func(start, stop func()) {
+		at(fault.Start.D(), locked(start))
+		at(fault.End(), locked(stop))
 	}
-	pick := func(n int) []int { return f.faulty.Perm(n)[:max(1, int(x.Part*float64(n)+0.5))] }
-	all := slices.Clone(f.lend) // a release appends servers to f.lend
-	lend := pick(len(all))
-	each := func(do func(l *lender)) func() {
+	drawIndexes := func(n int) []int { return f.faultRand.Perm(n)[:max(1, int(fault.Part*float64(n)+0.5))] }
+	servers := slices.Clone(f.servers) // a release appends to f.servers
+	picked := drawIndexes(len(servers))
+	forPicked := func(do func(l *server)) func() {
 		return func() {
-			for _, i := range lend {
-				do(all[i])
+			for _, i := range picked {
+				do(servers[i])
 			}
 		}
 	}
-	switch x.Kind {
+	switch fault.Kind {
 	case "crash-wave":
-		for _, no := range pick(len(f.nodes)) {
-			down := time.Duration((0.2 + 0.8*f.faulty.Float64()) * x.Size * float64(time.Second))
-			at(x.Start.D(), func() { f.nodes[no].crash(down) })
+		for _, index := range drawIndexes(len(f.nodes)) {
+			down := time.Duration((0.2 + 0.8*f.faultRand.Float64()) * fault.Size * float64(time.Second))
+			at(fault.Start.D(), func() { f.nodes[index].crash(down) })
 		}
 	case "roll":
-		steps := max(1, int(1/x.Part+0.5))
-		for no, n := range f.nodes {
-			at(x.Turn(no, len(f.nodes), steps), n.restart)
+		steps := max(1, int(1/fault.Part+0.5))
+		for index, n := range f.nodes {
+			at(fault.Turn(index, len(f.nodes), steps), n.restart)
 		}
 	case "release":
-		steps := max(1, int(x.Size))
-		for i, no := range lend {
-			l := all[no]
-			begin := x.Turn(i, len(lend), steps)
+		steps := max(1, int(fault.Size))
+		for i, index := range picked {
+			l := servers[index]
+			begin := fault.Turn(i, len(picked), steps)
 			at(begin, func() {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				fresh, err := f.addLender(l.zone, l.weight)
+				replacement, err := f.addServer(l.zone, l.weight)
 				if err != nil {
 					return // no sockets are left: the old server keeps running
 				}
-				fresh.booted = time.Now()
-				fresh.desk.Start = f.now()
-				fresh.changed()
+				replacement.bootTime = time.Now()
+				replacement.processor.Start = f.now()
+				replacement.publishChange()
 			})
 			at(begin+world.DrainAfter, locked(func() {
 				l.state = "DRAINING"
-				l.changed()
+				l.publishChange()
 			}))
 			at(begin+world.EndAfter, func() {
-				l.die()
+				l.crash()
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				l.state = "DELETED"
-				l.changed()
+				l.publishChange()
 			})
 		}
 	case "zone-loss":
-		at(x.Start.D(), func() {
-			for _, l := range all {
+		at(fault.Start.D(), func() {
+			for _, l := range servers {
 				if l.zone == zone {
-					l.silence(true)
+					l.setUnresponsive(true)
 				}
 			}
 		})
-		at(x.End(), func() {
-			for _, l := range all {
+		at(fault.End(), func() {
+			for _, l := range servers {
 				if l.zone == zone {
-					l.silence(false)
-					l.boot()
+					l.setUnresponsive(false)
+					l.restart()
 				}
 			}
 		})
 	case "zone-cut", "zone-cut-out":
-		set := f.cutBoth
-		if x.Kind == "zone-cut-out" {
-			set = f.cutOut
+		cutZones := f.cutBoth
+		if fault.Kind == "zone-cut-out" {
+			cutZones = f.cutOut
 		}
-		at(x.Start.D(), func() { locked(func() { set[zone] = true })(); f.bars() })
-		at(x.End(), func() { locked(func() { delete(set, zone) })(); f.bars() })
+		at(fault.Start.D(), func() { locked(func() { cutZones[zone] = true })(); f.updateBlocked() })
+		at(fault.End(), func() { locked(func() { delete(cutZones, zone) })(); f.updateBlocked() })
 	case "server-silent":
-		at(x.Start.D(), each(func(l *lender) { l.silence(true) }))
-		at(x.End(), each(func(l *lender) { l.silence(false) }))
+		at(fault.Start.D(), forPicked(func(l *server) { l.setUnresponsive(true) }))
+		at(fault.End(), forPicked(func(l *server) { l.setUnresponsive(false) }))
 	case "server-slow":
-		at(x.Start.D(), each(func(l *lender) { l.retime(x.Size * f.shared) }))
-		at(x.End(), each(func(l *lender) { l.retime(f.shared) }))
+		at(fault.Start.D(), forPicked(func(l *server) { l.setSlowdown(fault.Size * f.sharedSlowdown) }))
+		at(fault.End(), forPicked(func(l *server) { l.setSlowdown(f.sharedSlowdown) }))
 	case "shared-slow":
-		at(x.Start.D(), func() {
-			for _, l := range all {
-				l.retime(x.Size)
+		at(fault.Start.D(), func() {
+			for _, l := range servers {
+				l.setSlowdown(fault.Size)
 			}
 		})
-		at(x.End(), func() {
-			for _, l := range all {
-				l.retime(1)
+		at(fault.End(), func() {
+			for _, l := range servers {
+				l.setSlowdown(1)
 			}
 		})
 	case "server-wrong":
-		during(each(func(l *lender) { l.wrong = x.Size }), each(func(l *lender) { l.wrong = 0 }))
+		during(forPicked(func(l *server) { l.errorRate = fault.Size }),
+			forPicked(func(l *server) { l.errorRate = 0 }))
 	case "server-spoilt":
-		during(each(func(l *lender) { l.spoilt = x.Size }), each(func(l *lender) { l.spoilt = 0 }))
+		during(forPicked(func(l *server) { l.corruptRate = fault.Size }),
+			forPicked(func(l *server) { l.corruptRate = 0 }))
 	case "server-dead":
-		at(x.Start.D(), each((*lender).die))
-		at(x.End(), each((*lender).boot))
+		at(fault.Start.D(), forPicked((*server).crash))
+		at(fault.End(), forPicked((*server).restart))
 	case "server-replace":
-		for i, no := range lend {
-			at(x.Turn(i, len(lend), len(lend)), all[no].boot)
+		for i, index := range picked {
+			at(fault.Turn(i, len(picked), len(picked)), servers[index].restart)
 		}
 	case "cold-bulk":
-		at(x.Start.D(), each((*lender).boot))
+		at(fault.Start.D(), forPicked((*server).restart))
 	case "hot-customer", "burst":
-		people := []*customer(nil)
-		rate := f.w.Load.Rate * (x.Size - 1)
-		if x.Kind == "hot-customer" {
-			hot := pick(len(f.people))
+		customers := []*customer(nil)
+		rate := f.world.Load.Rate * (fault.Size - 1)
+		if fault.Kind == "hot-customer" {
+			hot := drawIndexes(len(f.customers))
 			for _, i := range hot {
-				people = append(people, f.people[i])
+				customers = append(customers, f.customers[i])
 			}
-			rate *= f.drawn.Share(hot)
+			rate *= f.population.Share(hot)
 		}
 		rng := world.Stream(f.Seed, world.StreamNodes+len(f.nodes))
-		at(x.Start.D(), func() {
-			f.atRate(ctx, x, rate, rng, func(t time.Duration) {
-				c := f.anyone()
-				if len(people) > 0 {
-					c = people[rng.IntN(len(people))]
+		at(fault.Start.D(), func() {
+			f.runAtRate(ctx, fault, rate, rng, func(t time.Duration) {
+				c := f.drawCustomer()
+				if len(customers) > 0 {
+					c = customers[rng.IntN(len(customers))]
 				}
-				f.ask(c, t)
+				f.startRequest(c, t)
 			})
 		})
 	case "peers-deaf":
-		nodes := pick(len(f.nodes))
+		nodes := drawIndexes(len(f.nodes))
 		during(func() {
-			for _, no := range nodes {
-				f.deaf[no] = true
+			for _, index := range nodes {
+				f.receivesNone[index] = true
 			}
 		}, func() {
-			for _, no := range nodes {
-				delete(f.deaf, no)
+			for _, index := range nodes {
+				delete(f.receivesNone, index)
 			}
 		})
 	case "peers-lossy":
-		during(func() { f.loss += x.Size }, func() { f.loss -= x.Size })
+		during(func() { f.datagramLoss += fault.Size }, func() { f.datagramLoss -= fault.Size })
 	case "answers-lost":
-		during(func() { f.lost += x.Size }, func() { f.lost -= x.Size })
+		during(func() { f.answerLoss += fault.Size }, func() { f.answerLoss -= fault.Size })
 	case "resets":
-		during(func() { f.reset += x.Size }, func() { f.reset -= x.Size })
+		during(func() { f.resetRate += fault.Size }, func() { f.resetRate -= fault.Size })
 	case "discovery-down":
-		at(x.Start.D(), locked(func() { f.listDown = f.begun.Add(x.End()) }))
+		at(fault.Start.D(), locked(func() { f.discoveryDownUntil = f.startTime.Add(fault.End()) }))
 	case "discovery-late":
-		late := time.Duration(x.Size * float64(time.Second))
-		during(func() { f.listLate += late }, func() { f.listLate -= late })
+		delay := time.Duration(fault.Size * float64(time.Second))
+		during(func() { f.discoveryDelay += delay }, func() { f.discoveryDelay -= delay })
 	case "rude-clients":
-		at(x.Start.D(), func() { f.rude(ctx, x) })
+		at(fault.Start.D(), func() { f.runRudeClients(ctx, fault) })
 	case "eager-clients":
-		during(func() { f.eager *= x.Size }, func() { f.eager /= x.Size })
+		during(func() { f.eagerness *= fault.Size }, func() { f.eagerness /= fault.Size })
 	}
 }
 
-// atRate calls do at the times of a Poisson process with the given rate per second,
+// runAtRate calls do at the times of a Poisson process with the given rate per second,
 // for the duration of a fault.
-func (f *fleet) atRate(ctx context.Context, x *world.Fault, rate float64, rng *rand.Rand, do func(at time.Duration)) {
-	for t := x.Start.D(); t < x.End() && ctx.Err() == nil && rate > 0; {
+func (f *fleet) runAtRate(ctx context.Context, fault *world.Fault, rate float64, rng *rand.Rand,
+	do func(at time.Duration)) {
+	for t := fault.Start.D(); t < fault.End() && ctx.Err() == nil && rate > 0; {
 		t += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		time.Sleep(t - f.since())
+		time.Sleep(t - f.elapsed())
 		do(t)
 	}
 }
 
-// silence makes a server unreachable, or reachable again. Connections that were open
-// are reset when the server comes back.
-func (l *lender) silence(on bool) {
-	f := l.f
+// setUnresponsive makes a server unreachable, or reachable again. Connections that were
+// open are reset when the server comes back.
+func (l *server) setUnresponsive(on bool) {
+	f := l.fleet
 	f.mu.Lock()
-	if l.silent = on; !on {
+	if l.unresponsive = on; !on {
 		for k := range l.conns {
 			reset(k.Conn)
 		}
 	}
 	f.mu.Unlock()
-	f.bars()
+	f.updateBlocked()
 }
 
-// bars blocks each listener whose edge node and server can't reach one another, and
-// unblocks the others.
-func (f *fleet) bars() {
+// updateBlocked blocks each endpoint whose edge node and server can't reach one another,
+// and unblocks the others.
+func (f *fleet) updateBlocked() {
 	type change struct {
-		d    *door
-		shut bool
+		endpoint *endpoint
+		blocked  bool
 	}
-	var list []change
+	var changes []change
 	f.mu.Lock()
-	for _, l := range f.lend {
-		for _, d := range l.doors {
-			list = append(list, change{d, l.silent || !f.passes(d.n.zone, l.zone) || !f.passes(l.zone, d.n.zone)})
+	for _, l := range f.servers {
+		for _, d := range l.endpoints {
+			changes = append(changes, change{d, l.unresponsive || !f.reachable(d.node.zone, l.zone) ||
+				!f.reachable(l.zone, d.node.zone)})
 		}
 	}
 	f.mu.Unlock()
-	for _, c := range list {
-		c.d.bar(c.shut)
+	for _, c := range changes {
+		c.endpoint.setBlocked(c.blocked)
 	}
 }
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -24,9 +24,9 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// MostNodes is the maximum number of edge nodes that one machine can run beside the
+// MaxNodes is the maximum number of edge nodes that one machine can run beside the
 // emulated platform.
-const MostNodes = 30
+const MaxNodes = 30
 
 // Config describes a run.
 type Config struct {
@@ -54,60 +54,67 @@
 // fleet is the state of a run.
 type fleet struct {
 	Config
-	w     *world.World
-	begun time.Time
-	dir   string
-
-	mu     sync.Mutex // guards all fields below and the contents of book
-	book   *tally.Book
-	log    *trace.Log
-	rng    *rand.Rand // of the clients
-	nodes  []*node
-	lend   []*lender
-	people []*customer
-	drawn  *world.Drawn
-	tries  map[string]*try
-	sent   map[string]bool // ids of all requests that clients have sent
-	nextID uint64
-	nextNo int
-	last   []tally.End // requests that ended in the current second
-	late   int         // requests that the lab itself sent late
-	asked  int
-	eager  float64
-
-	cutBoth, cutOut map[int]bool
-	deaf            map[int]bool
-	loss, lost      float64
-	reset, shared   float64
-	listLate        time.Duration
-	listDown        time.Time
-	mail            *rand.Rand
-	faulty          *rand.Rand
-	relay           *relay
-	open            sync.WaitGroup // client requests in progress
+	world     *world.World
+	startTime time.Time
+	dir       string
+
+	mu           sync.Mutex // guards all fields below and the contents of book
+	book         *tally.Book
+	log          *trace.Log
+	clientRand   *rand.Rand // of the clients
+	nodes        []*node
+	servers      []*server
+	customers    []*customer
+	population   *world.Drawn
+	tries        map[string]*try
+	sentIDs      map[string]bool // ids of all requests that clients have sent
+	lastID       uint64
+	storyCount   int
+	recentEnds   []tally.End // requests that ended in the current second
+	lateRequests int         // requests that the lab itself sent late
+	requestCount int
+	eagerness    float64
+
+	cutBoth, cutOut           map[int]bool
+	receivesNone              map[int]bool
+	datagramLoss, answerLoss  float64
+	resetRate, sharedSlowdown float64
+	discoveryDelay            time.Duration
+	discoveryDownUntil        time.Time
+	datagramRand              *rand.Rand
+	faultRand                 *rand.Rand
+	relay                     *relay
+	openRequests              sync.WaitGroup // client requests in progress
 }
 
-// epoch is the offset of now, so that no start time is zero, which means unknown.
-const epoch = time.Hour
+// startOffset is the value of now at the start of a run, so that no start time is zero, which
+// means unknown.
+const startOffset = time.Hour
 
-func (f *fleet) now() time.Duration { return epoch + time.Since(f.begun) }
+func (f *fleet) now() time.Duration { return startOffset + time.Since(f.startTime) }
 
-// since returns the time since the run began.
-func (f *fleet) since() time.Duration { return time.Since(f.begun) }
+// elapsed returns the time since the run began.
+func (f *fleet) elapsed() time.Duration { return time.Since(f.startTime) }
 
 // Play runs a world to its end. If ctx ends earlier, the result covers the time until then.
 func Play(ctx context.Context, c Config) (*tally.Result, *trace.Log, error) {
-	if c.World.Nodes > MostNodes {
-		return nil, nil, fmt.Errorf("%d edge nodes: the live engine plays %d at most", c.World.Nodes, MostNodes)
+	if c.World.Nodes > MaxNodes {
+		return nil, nil, fmt.Errorf("%d edge nodes: the live engine plays %d at most", c.World.Nodes,
+			MaxNodes)
 	}
 	dir, err := os.MkdirTemp("", "valverlab-")
 	if err != nil {
 		return nil, nil, err
 	}
 	defer os.RemoveAll(dir)
-	f := &fleet{Config: c, w: c.World, begun: time.Now(), dir: dir, book: tally.NewBook(c.World), rng: world.Stream(c.Seed, world.StreamClients), tries: map[string]*try{}, sent: map[string]bool{},
-		eager: 1, shared: 1, loss: c.World.Net.Loss, cutBoth: map[int]bool{}, cutOut: map[int]bool{}, deaf: map[int]bool{},
-		mail: world.Stream(c.Seed, world.StreamMail), faulty: world.Stream(c.Seed, world.StreamFaults), drawn: c.World.Draw(c.Seed)}
+	f := &fleet{Config: c, world: c.World, startTime: time.Now(), dir: dir, book: tally.NewBook(c.World),
+		clientRand: world.Stream(c.Seed, world.StreamClients),
+		tries:      map[string]*try{}, sentIDs: map[string]bool{},
+		eagerness: 1, sharedSlowdown: 1, datagramLoss: c.World.Net.Loss,
+		cutBoth: map[int]bool{}, cutOut: map[int]bool{}, receivesNone: map[int]bool{},
+		datagramRand: world.Stream(c.Seed, world.StreamMail),
+		faultRand:    world.Stream(c.Seed, world.StreamFaults),
+		population:   c.World.Draw(c.Seed)}
 	if c.Stories {
 		f.log = &trace.Log{Most: 1_000_000}
 	}
@@ -118,25 +125,27 @@
 	if err := f.start(ctx); err != nil {
 		return nil, nil, err
 	}
-	source, err := load.New(&f.w.Load, c.Seed, func(name string) (io.ReadCloser, error) { return os.Open(name) })
+	source, err := load.New(&f.world.Load, c.Seed,
+		func(name string) (io.ReadCloser, error) { return os.Open(name) })
 	if err != nil {
 		return nil, nil, err
 	}
-	f.begun = time.Now() // clients start once all edge nodes are ready
+	f.startTime = time.Now() // clients start once all edge nodes are ready
 	f.mu.Lock()
-	for i := range f.w.Faults {
-		f.schedule(ctx, &f.w.Faults[i])
+	for i := range f.world.Faults {
+		f.scheduleFault(ctx, &f.world.Faults[i])
 	}
 	f.mu.Unlock()
-	played := f.clients(ctx, source)
+	played := f.runClients(ctx, source)
 	f.drain()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if played < f.w.For.D() && ctx.Err() != nil {
+	if played < f.world.For.D() && ctx.Err() != nil {
 		f.book.Shorten(played)
 	}
-	if share := float64(f.late) / math.Max(1, float64(f.asked)); share > mostLate {
-		f.book.Unsound = fmt.Sprintf("%.1f%% of the requests were made over %v late: the machine is too busy for this load", 100*share, lateBy)
+	if lateShare := float64(f.lateRequests) / math.Max(1, float64(f.requestCount)); lateShare > maxLateShare {
+		f.book.Unsound = fmt.Sprintf("%.1f%% of the requests were made over %v late: the machine is too busy for this load",
+			100*lateShare, lateThreshold)
 	}
 	r := f.book.Result(c.Seed)
 	r.Engine = "live"
@@ -146,8 +155,8 @@
 // A run in which too many requests are sent late is unsound: it did not apply the
 // intended load.
 const (
-	lateBy   = 50 * time.Millisecond
-	mostLate = 0.01
+	lateThreshold = 50 * time.Millisecond
+	maxLateShare  = 0.01
 )
 
 // listen opens a TCP listener on a free loopback port.
@@ -155,19 +164,19 @@
 
 // build creates the emulated platform and opens its sockets.
 func (f *fleet) build() error {
-	for i := range f.w.Nodes {
+	for i := range f.world.Nodes {
 		n, err := newNode(f, i)
 		if err != nil {
 			return err
 		}
 		f.nodes = append(f.nodes, n)
 	}
-	for i, size := range f.drawn.Sizes {
-		if _, err := f.addLender(i, size); err != nil {
+	for i, size := range f.population.Sizes {
+		if _, err := f.addServer(i, size); err != nil {
 			return err
 		}
 	}
-	f.populate()
+	f.createCustomers()
 	var err error
 	f.relay, err = newRelay(f)
 	return err
@@ -180,16 +189,16 @@
 			return err
 		}
 	}
-	ctx, stop := context.WithTimeout(ctx, readyWithin)
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	for _, n := range f.nodes {
 		for !n.ready() {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("edge node %d is not ready after %v: %s", n.no, readyWithin, n.tail())
+				return fmt.Errorf("edge node %d is not ready after %v: %s", n.index, readyTimeout, n.tail())
 			case <-n.exited():
-				return fmt.Errorf("edge node %d ended at its start: %s", n.no, n.tail())
-			case <-time.After(pollReady):
+				return fmt.Errorf("edge node %d ended at its start: %s", n.index, n.tail())
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
@@ -197,29 +206,29 @@
 }
 
 const (
-	readyWithin = 20 * time.Second
-	pollReady   = 10 * time.Millisecond
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 10 * time.Millisecond
 )
 
 // drain waits for the client requests in progress, then shuts the edge nodes down in
 // the planned way.
 func (f *fleet) drain() {
-	f.open.Wait()
+	f.openRequests.Wait()
 	var wg sync.WaitGroup
 	for _, n := range f.nodes {
-		wg.Go(func() { n.stop(stopWithin) })
+		wg.Go(func() { n.stop(stopTimeout) })
 	}
 	wg.Wait()
 }
 
-const stopWithin = 8 * time.Second
+const stopTimeout = 8 * time.Second
 
 // close stops the remaining processes and closes all sockets.
 func (f *fleet) close() {
 	for _, n := range f.nodes {
 		n.close()
 	}
-	for _, l := range f.lend {
+	for _, l := range f.servers {
 		l.close()
 	}
 	if f.relay != nil {
@@ -227,16 +236,16 @@
 	}
 }
 
-// note adds an event to the story of a request, if stories are recorded. The fleet's
-// lock is held.
-func (f *fleet) note(w *want, node int, what trace.What, format string, args ...any) {
+// addNote adds an event to the story of a request, if stories are recorded. The fleet's lock
+// is held.
+func (f *fleet) addNote(w *clientRequest, node int, what trace.What, format string, args ...any) {
 	if w != nil && w.story != nil {
-		f.log.Add(w.story, f.since(), node, what, format, args...)
+		f.log.Add(w.story, f.elapsed(), node, what, format, args...)
 	}
 }
 
-// passes reports whether traffic from one zone reaches another. The fleet's lock is held.
-func (f *fleet) passes(from, to int) bool {
+// reachable reports whether traffic from one zone reaches another. The fleet's lock is held.
+func (f *fleet) reachable(from, to int) bool {
 	return from == to || !f.cutBoth[from] && !f.cutBoth[to] && !f.cutOut[from]
 }
 
--- a/internal/lab/live/front.go
+++ b/internal/lab/live/front.go
@@ -24,158 +24,165 @@
 
 // customer is a customer of the platform and its quota account.
 type customer struct {
-	key     string
-	plan    int
-	first   int
-	spread  int
-	account *tally.Account
+	key       string
+	plan      int
+	firstNode int
+	spread    int
+	account   *tally.Account
 }
 
-// want is a client's request over all its tries.
-type want struct {
-	c     *customer
-	class int
-	units int
-	at    time.Duration // intended time of the first try, since the run began
-	until time.Time
-	tries int
-	sends int
-	idem  string
-	ran   bool          // an attempt of any try may have run
-	ranAt time.Duration // when the first such attempt may have run
-	end   tally.End
-	story *trace.Story
+// clientRequest is a client's request over all its tries.
+type clientRequest struct {
+	customer       *customer
+	class          int
+	units          int
+	scheduled      time.Duration // intended time of the first try, since the run began
+	deadline       time.Time
+	tries          int
+	attempts       int
+	idempotencyKey string
+	mayHaveRun     bool          // an attempt of any try may have run
+	mayHaveRunAt   time.Duration // when the first such attempt may have run
+	end            tally.End
+	story          *trace.Story
 }
 
 // try is one HTTP request to one edge node, with its own request id.
 type try struct {
-	id       string
-	w        *want
-	node     int
-	deadline time.Time
-	attempts int
-	out      map[int]*link // attempts in flight, by number
-	ran      bool
-	ranAt    time.Duration
-	charged  bool
+	id           string
+	request      *clientRequest
+	nodeIndex    int
+	deadline     time.Time
+	attempts     int
+	inFlight     map[int]*serverConn // attempts in flight, by number
+	mayHaveRun   bool
+	mayHaveRunAt time.Duration
+	charged      bool
 }
 
-func (t *try) mayHaveRun(now time.Duration) {
-	if !t.ran {
-		t.ran, t.ranAt = true, now
+func (t *try) recordMayHaveRun(now time.Duration) {
+	if !t.mayHaveRun {
+		t.mayHaveRun, t.mayHaveRunAt = true, now
 	}
-	if !t.w.ran {
-		t.w.ran, t.w.ranAt = true, now
+	if !t.request.mayHaveRun {
+		t.request.mayHaveRun, t.request.mayHaveRunAt = true, now
 	}
 }
 
-// populate creates the customers of the world.
-func (f *fleet) populate() {
-	for _, p := range f.drawn.People {
-		f.people = append(f.people, &customer{key: p.Key, plan: p.Plan, first: p.First, spread: p.Spread,
-			account: tally.NewAccount(&f.w.Plans[p.Plan], f.now())})
+// createCustomers creates the customers of the world.
+func (f *fleet) createCustomers() {
+	for _, p := range f.population.People {
+		f.customers = append(f.customers, &customer{key: p.Key, plan: p.Plan, firstNode: p.First,
+			spread:  p.Spread,
+			account: tally.NewAccount(&f.world.Plans[p.Plan], f.now())})
 	}
 }
 
-// clients starts requests until the load or ctx ends and returns how long that took.
-func (f *fleet) clients(ctx context.Context, source load.Source) time.Duration {
-	second := time.NewTicker(time.Second)
-	defer second.Stop()
+// runClients starts requests until the load or ctx ends and returns how long that took.
+func (f *fleet) runClients(ctx context.Context, source load.Source) time.Duration {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	stop := make(chan struct{})
-	var steps sync.WaitGroup
-	steps.Go(func() {
+	var statusLoop sync.WaitGroup
+	statusLoop.Go(func() {
 		for n := 1; ; n++ {
 			select {
-			case <-second.C:
-				f.step(n)
+			case <-ticker.C:
+				f.reportStatus(n)
 			case <-stop:
 				return
 			}
 		}
 	})
-	defer steps.Wait()
+	defer statusLoop.Wait()
 	defer close(stop)
 	for {
 		at, more := source.Next()
-		if !more || at >= f.w.For.D() {
+		if !more || at >= f.world.For.D() {
 			break
 		}
-		if wait := at - f.since(); wait > 0 {
+		if wait := at - f.elapsed(); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
-				return f.since()
+				return f.elapsed()
 			}
 		}
 		if ctx.Err() != nil {
-			return f.since()
+			return f.elapsed()
 		}
-		f.ask(f.anyone(), at)
+		f.startRequest(f.drawCustomer(), at)
 	}
-	return f.w.For.D()
+	return f.world.For.D()
 }
 
-func (f *fleet) anyone() *customer {
+func (f *fleet) drawCustomer() *customer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.people[f.drawn.Anyone(f.rng)]
+	return f.customers[f.population.Anyone(f.clientRand)]
 }
 
-// ask starts a client's request; at is its intended time.
-func (f *fleet) ask(c *customer, at time.Duration) {
+// startRequest starts a client's request; at is its intended time.
+func (f *fleet) startRequest(c *customer, at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	class := f.w.ClassOf(f.rng)
-	w := &want{c: c, class: class, units: 1 + f.rng.IntN(max(1, f.w.Load.Units)), at: at, idem: fmt.Sprintf("%016x%016x", f.rng.Uint64(), f.rng.Uint64())}
-	cl := &f.w.Classes[class]
+	class := f.world.ClassOf(f.clientRand)
+	w := &clientRequest{customer: c, class: class, units: 1 + f.clientRand.IntN(max(1, f.world.Load.Units)),
+		scheduled:      at,
+		idempotencyKey: fmt.Sprintf("%016x%016x", f.clientRand.Uint64(), f.clientRand.Uint64())}
+	cl := &f.world.Classes[class]
 	patience := cl.Deadline.D()
-	if f.rng.Float64() < f.w.Client.Leave {
-		patience = time.Duration((0.3 + 0.6*f.rng.Float64()) * float64(patience))
+	if f.clientRand.Float64() < f.world.Client.Leave {
+		patience = time.Duration((0.3 + 0.6*f.clientRand.Float64()) * float64(patience))
 	}
-	w.until = f.begun.Add(at + patience)
-	w.end = tally.End{Class: class, Plan: c.plan, Node: -1, Units: float64(w.units), At: at, How: tally.Failed, Inside: c.account.Fits(float64(w.units), f.now())}
-	if f.asked++; f.since()-at > lateBy {
-		f.late++
+	w.deadline = f.startTime.Add(at + patience)
+	w.end = tally.End{Class: class, Plan: c.plan, Node: -1, Units: float64(w.units), At: at,
+		How: tally.Failed, Inside: c.account.Fits(float64(w.units), f.now())}
+	if f.requestCount++; f.elapsed()-at > lateThreshold {
+		f.lateRequests++
 	}
 	if f.log != nil {
-		f.nextNo++
-		w.story = f.log.Begin(trace.Story{ID: fmt.Sprintf("w%07d", f.nextNo), Class: cl.Name, Plan: f.w.Plans[c.plan].Name, Key: c.key,
+		f.storyCount++
+		w.story = f.log.Begin(trace.Story{ID: fmt.Sprintf("w%07d", f.storyCount), Class: cl.Name,
+			Plan: f.world.Plans[c.plan].Name, Key: c.key,
 			Worth: f.book.Worth(class, c.plan, float64(w.units))})
 	}
-	f.note(w, -1, trace.Asked, "%s, %d units, waits %v", cl.Name, w.units, patience)
-	f.open.Go(func() { f.pursue(w) })
+	f.addNote(w, -1, trace.Asked, "%s, %d units, waits %v", cl.Name, w.units, patience)
+	f.openRequests.Go(func() { f.runRequest(w) })
 }
 
-// pursue makes the tries of a request one after another and records its end.
-func (f *fleet) pursue(w *want) {
-	class := &f.w.Classes[w.class]
+// runRequest makes the tries of a request one after another and records its end.
+func (f *fleet) runRequest(w *clientRequest) {
+	class := &f.world.Classes[w.class]
 	how := tally.Failed
 	for {
-		var advice time.Duration
-		var untaken bool
-		how, advice, untaken = f.try(w)
+		var retryAfter time.Duration
+		var notAccepted bool
+		how, retryAfter, notAccepted = f.sendTry(w)
 		if how == tally.Served || how == tally.Lost {
 			break
 		}
 		f.mu.Lock()
-		wait, again := f.w.Again(f.rng, world.Retry{Class: class, Harmless: how == tally.Refused || untaken, MayRan: w.ran, RanSince: f.now() - w.ranAt,
-			Tries: w.tries, Advice: advice, Left: time.Until(w.until), Eager: f.eager})
+		wait, retry := f.world.Again(f.clientRand, world.Retry{Class: class,
+			Harmless: how == tally.Refused || notAccepted,
+			MayRan:   w.mayHaveRun, RanSince: f.now() - w.mayHaveRunAt,
+			Tries: w.tries, Advice: retryAfter, Left: time.Until(w.deadline), Eager: f.eagerness})
 		f.mu.Unlock()
-		if !again {
+		if !retry {
 			break
 		}
 		time.Sleep(wait)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w.end.Latency = f.since() - w.at
+	w.end.Latency = f.elapsed() - w.scheduled
 	if how == tally.Served && w.end.Latency > class.Aim.D() {
 		how = tally.Late
 	}
-	w.end.How, w.end.Tries, w.end.Sends = how, w.tries, w.sends
+	w.end.How, w.end.Tries, w.end.Sends = how, w.tries, w.attempts
 	f.book.Close(w.end)
-	f.last = append(f.last, w.end)
-	f.note(w, w.end.Node, trace.Ended, "%v after %v and %d tries", how, w.end.Latency, w.tries)
+	f.recentEnds = append(f.recentEnds, w.end)
+	f.addNote(w, w.end.Node, trace.Ended, "%v after %v and %d tries", how, w.end.Latency, w.tries)
 	if w.story != nil {
 		w.story.How, w.story.Inside = how.String(), w.end.Inside
 		if w.end.Inside && how != tally.Served {
@@ -187,98 +194,103 @@
 	}
 }
 
-// lostAfter is how long after its deadline an accepted request may be answered before it
-// counts as lost.
-const lostAfter = 500 * time.Millisecond
+// lateAnswerLimit is how long after its deadline an accepted request may be answered before
+// it counts as lost.
+const lateAnswerLimit = 500 * time.Millisecond
 
-// try sends one request and returns how it ended, the Retry-After that came with a
+// sendTry sends one request and returns how it ended, the Retry-After that came with a
 // refusal, and whether no edge node accepted it.
-func (f *fleet) try(w *want) (how tally.How, advice time.Duration, untaken bool) {
+func (f *fleet) sendTry(w *clientRequest) (how tally.How, retryAfter time.Duration, notAccepted bool) {
 	f.mu.Lock()
-	var up []*node
-	for i := range w.c.spread {
-		n := f.nodes[(w.c.first+i)%len(f.nodes)]
+	var candidates []*node
+	for i := range w.customer.spread {
+		n := f.nodes[(w.customer.firstNode+i)%len(f.nodes)]
 		n.mu.Lock()
-		if !n.shunned {
-			up = append(up, n)
+		if !n.outOfRotation {
+			candidates = append(candidates, n)
 		}
 		n.mu.Unlock()
 	}
-	if w.tries++; len(up) == 0 {
+	if w.tries++; len(candidates) == 0 {
 		f.mu.Unlock()
 		return tally.Failed, 0, true
 	}
-	n := up[f.rng.IntN(len(up))]
-	f.nextID++
-	t := &try{id: fmt.Sprintf("%016x", f.Seed<<40^f.nextID*0x9e3779b97f4a7c15), w: w, node: n.no, deadline: w.until, out: map[int]*link{}}
-	f.tries[t.id], f.sent[t.id] = t, true
-	w.end.Node = n.no
-	f.note(w, n.no, trace.Came, "as %s, try %d", t.id, w.tries)
+	n := candidates[f.clientRand.IntN(len(candidates))]
+	f.lastID++
+	t := &try{id: fmt.Sprintf("%016x", f.Seed<<40^f.lastID*0x9e3779b97f4a7c15), request: w,
+		nodeIndex: n.index, deadline: w.deadline, inFlight: map[int]*serverConn{}}
+	f.tries[t.id], f.sentIDs[t.id] = t, true
+	w.end.Node = n.index
+	f.addNote(w, n.index, trace.Came, "as %s, try %d", t.id, w.tries)
 	f.mu.Unlock()
-	_, inc := n.isUp()
-	began := time.Now()
-	status, head, body, err := n.pool.do(f.request(t), w.until.Add(lostAfter))
+	_, incarnation := n.isRunning()
+	start := time.Now()
+	status, header, body, err := n.pool.do(f.formatRequest(t), w.deadline.Add(lateAnswerLimit))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.tries, t.id)
-	took := time.Since(began)
-	w.end.HeldBack = t.attempts == 0 && took > time.Until(w.until)+took/2
-	end := func(h tally.How, what string) tally.How {
-		f.note(w, n.no, trace.Answered, "%s after %v", what, took)
+	duration := time.Since(start)
+	w.end.HeldBack = t.attempts == 0 && duration > time.Until(w.deadline)+duration/2
+	ended := func(h tally.How, what string) tally.How {
+		f.addNote(w, n.index, trace.Answered, "%s after %v", what, duration)
 		return h
 	}
 	if err != nil {
-		up, now := n.isUp()
-		var refused *notWritten
+		up, current := n.isRunning()
+		var refused *notWrittenError
 		switch {
 		case errors.As(err, &refused):
-			return end(tally.Failed, "could not be sent"), 0, true
-		case !up || now != inc:
-			f.note(w, n.no, trace.Crashed, "")
+			return ended(tally.Failed, "could not be sent"), 0, true
+		case !up || current != incarnation:
+			f.addNote(w, n.index, trace.Crashed, "")
 			return tally.Failed, 0, false
 		}
-		f.book.Broken(tally.AnswerLost, t.id, n.no, f.since(), "%s: %v after %v", f.w.Classes[w.class].Name, err, took)
-		return end(tally.Lost, err.Error()), 0, false
+		f.book.Broken(tally.AnswerLost, t.id, n.index, f.elapsed(), "%s: %v after %v",
+			f.world.Classes[w.class].Name, err, duration)
+		return ended(tally.Lost, err.Error()), 0, false
 	}
-	if over := time.Until(w.until); over < -f.w.Rules.Slack.D()-socketSlack {
-		f.note(w, n.no, trace.GaveUp, "the answer came %v late", -over)
+	if over := time.Until(w.deadline); over < -f.world.Rules.Slack.D()-socketSlack {
+		f.addNote(w, n.index, trace.GaveUp, "the answer came %v late", -over)
 		return tally.Failed, 0, false
 	}
 	switch {
-	case status == http.StatusOK && body == made(t.id):
-		return end(tally.Served, "served"), 0, false
+	case status == http.StatusOK && body == responseBody(t.id):
+		return ended(tally.Served, "served"), 0, false
 	case status == http.StatusOK:
-		f.book.Broken(tally.AnswerLost, t.id, n.no, f.since(), "served with what no lending server made for it")
-		return end(tally.Lost, "served wrong"), 0, false
+		f.book.Broken(tally.AnswerLost, t.id, n.index, f.elapsed(),
+			"served with what no lending server made for it")
+		return ended(tally.Lost, "served wrong"), 0, false
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		if v, err := strconv.ParseFloat(head.Get("Retry-After"), 64); err == nil {
-			advice = time.Duration(v * float64(time.Second))
+		if v, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err == nil {
+			retryAfter = time.Duration(v * float64(time.Second))
 		}
-		if class := &f.w.Classes[w.class]; t.ran && !class.MayRepeat() {
-			f.book.Broken(tally.SecondCopy, t.id, n.no, f.since(), "refused, but an attempt may have run")
+		if class := &f.world.Classes[w.class]; t.mayHaveRun && !class.MayRepeat() {
+			f.book.Broken(tally.SecondCopy, t.id, n.index, f.elapsed(),
+				"refused, but an attempt may have run")
 		}
-		return end(tally.Refused, "refused"), advice, false
+		return ended(tally.Refused, "refused"), retryAfter, false
 	}
-	return end(tally.Failed, fmt.Sprintf("failed with %d", status)), 0, false
+	return ended(tally.Failed, fmt.Sprintf("failed with %d", status)), 0, false
 }
 
-// request returns the HTTP request of a try.
-func (f *fleet) request(t *try) string {
-	w := t.w
-	class := &f.w.Classes[w.class]
+// formatRequest returns the text of a try's HTTP request.
+func (f *fleet) formatRequest(t *try) string {
+	w := t.request
+	class := &f.world.Classes[w.class]
 	var b strings.Builder
 	method, body := "POST", fmt.Sprintf(`{"book":%d}`, w.units)
 	if class.Effect == "repeatable" {
 		method, body = "GET", ""
 	}
 	fmt.Fprintf(&b, "%s /%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tier: %s\r\nCookie: key=%s\r\nX-Deadline-Ms: %d\r\n"+
-		"X-Call-Terms: units=%d,spread=%d,first=%d\r\n", method, class.Name, t.id, class.Name, f.w.Plans[w.c.plan].Name, w.c.key,
-		max(1, time.Until(w.until).Milliseconds()), w.units, w.c.spread, w.c.first)
+		"X-Call-Terms: units=%d,spread=%d,first=%d\r\n", method, class.Name, t.id, class.Name,
+		f.world.Plans[w.customer.plan].Name, w.customer.key,
+		max(1, time.Until(w.deadline).Milliseconds()), w.units, w.customer.spread, w.customer.firstNode)
 	if w.tries > 1 {
 		b.WriteString("X-Retry: 1\r\n")
 	}
 	if class.Effect == "by_key" {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", w.idem)
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", w.idempotencyKey)
 	}
 	if body != "" {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
@@ -287,52 +299,53 @@
 	return b.String()
 }
 
-// charge books the first attempt of a try against its customer's quota and ceiling, and
+// countAttempt charges the first attempt of a try to its customer's quota and ceiling, and
 // counts the attempts in flight. The fleet's lock is held.
-func (f *fleet) charge(t *try) {
-	acc := t.w.c.account
+func (f *fleet) countAttempt(t *try) {
+	account := t.request.customer.account
 	if !t.charged {
 		t.charged = true
-		inside, over := acc.Send(float64(t.w.units), f.now())
+		withinQuota, excess := account.Send(float64(t.request.units), f.now())
 		f.book.FirstSends++
-		win := f.book.Window(f.since())
-		if win != nil {
-			win.Sent++
+		window := f.book.Window(f.elapsed())
+		if window != nil {
+			window.Sent++
 		}
-		if !inside {
+		if !withinQuota {
 			f.book.Beyond++
-			t.w.end.Beyond = true
-			if win != nil {
-				win.Beyond++
+			t.request.end.Beyond = true
+			if window != nil {
+				window.Beyond++
 			}
 		}
-		if over > f.w.Rules.Tolerance && acc.Plan.HardRate > 0 {
-			f.book.Broken(tally.Ceiling, t.id, t.node, f.since(), "customer %s is %.2f units over its ceiling", t.w.c.key, over)
+		if excess > f.world.Rules.Tolerance && account.Plan.HardRate > 0 {
+			f.book.Broken(tally.Ceiling, t.id, t.nodeIndex, f.elapsed(),
+				"customer %s is %.2f units over its ceiling", t.request.customer.key, excess)
 		}
 	}
-	acc.Out(1)
-	out := 0
-	for _, l := range f.lend {
+	account.Out(1)
+	inFlight := 0
+	for _, l := range f.servers {
 		l.mu.Lock()
-		a, b := l.desk.Load()
+		a, b := l.processor.Load()
 		l.mu.Unlock()
-		out += a + b
+		inFlight += a + b
 	}
-	if win := f.book.Window(f.since()); win != nil {
-		win.Out = max(win.Out, out)
+	if window := f.book.Window(f.elapsed()); window != nil {
+		window.Out = max(window.Out, inFlight)
 	}
 }
 
-// step passes the status of the second that ended to Config.Step.
-func (f *fleet) step(second int) {
+// reportStatus passes the status of the second that ended to Config.Step.
+func (f *fleet) reportStatus(second int) {
 	f.mu.Lock()
-	s := Status{Second: second, Requests: len(f.last)}
-	var ms []float64
-	for _, e := range f.last {
+	s := Status{Second: second, Requests: len(f.recentEnds)}
+	var latencies []float64
+	for _, e := range f.recentEnds {
 		switch e.How {
 		case tally.Served, tally.Late:
 			s.Served++
-			ms = append(ms, e.Latency.Seconds()*1000)
+			latencies = append(latencies, e.Latency.Seconds()*1000)
 		case tally.Refused:
 			s.Refused++
 		case tally.Failed:
@@ -341,26 +354,27 @@
 			s.Lost++
 		}
 	}
-	f.last = f.last[:0]
+	f.recentEnds = f.recentEnds[:0]
 	for _, n := range f.nodes {
-		if up, _ := n.isUp(); up {
+		if up, _ := n.isRunning(); up {
 			s.Up++
 		}
 	}
-	for _, l := range f.lend {
-		if l.state == "SERVING" && !l.dead && !l.silent {
+	for _, l := range f.servers {
+		if l.state == "SERVING" && !l.crashed && !l.unresponsive {
 			s.Serving++
 		}
 	}
-	for _, x := range f.w.Faults {
-		if at := f.since(); at >= x.Start.D() && at < x.End() {
-			s.Faults = append(s.Faults, x.Kind)
+	for _, fault := range f.world.Faults {
+		if at := f.elapsed(); at >= fault.Start.D() && at < fault.End() {
+			s.Faults = append(s.Faults, fault.Kind)
 		}
 	}
 	f.mu.Unlock()
-	if len(ms) > 0 {
-		slices.Sort(ms)
-		s.P50, s.P99 = stat.Quantile(0.5, stat.Empirical, ms, nil), stat.Quantile(0.99, stat.Empirical, ms, nil)
+	if len(latencies) > 0 {
+		slices.Sort(latencies)
+		s.P50, s.P99 = stat.Quantile(0.5, stat.Empirical, latencies, nil),
+			stat.Quantile(0.99, stat.Empirical, latencies, nil)
 	}
 	if f.Step != nil {
 		f.Step(s)
@@ -371,31 +385,31 @@
 // connection. If the edge node closed that connection before it read the request, the
 // request is sent once more on a new connection.
 type pool struct {
-	addr string
-	mu   sync.Mutex
-	idle []*bufConn
-	gen  int
+	addr       string
+	mu         sync.Mutex
+	idle       []*bufConn
+	generation int
 }
 
 type bufConn struct {
 	net.Conn
-	br   *bufio.Reader
-	gen  int
-	used bool
+	br         *bufio.Reader
+	generation int
+	reused     bool
 }
 
-// notWritten is the error of a request that could not be written in full, so that the
+// notWrittenError is the error of a request that could not be written in full, so that the
 // edge node can't have accepted it.
-type notWritten struct{ err error }
+type notWrittenError struct{ err error }
 
-func (e *notWritten) Error() string { return e.err.Error() }
+func (e *notWrittenError) Error() string { return e.err.Error() }
 
 var errNoAnswer = errors.New("no answer")
 
-func (p *pool) take(fresh bool) (*bufConn, error) {
+func (p *pool) getConn(forceNew bool) (*bufConn, error) {
 	p.mu.Lock()
-	gen := p.gen
-	if n := len(p.idle); n > 0 && !fresh {
+	generation := p.generation
+	if n := len(p.idle); n > 0 && !forceNew {
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		p.mu.Unlock()
@@ -404,28 +418,28 @@
 	p.mu.Unlock()
 	c, err := net.DialTimeout("tcp", p.addr, time.Second)
 	if err != nil {
-		return nil, &notWritten{err}
+		return nil, &notWrittenError{err}
 	}
-	return &bufConn{Conn: c, br: bufio.NewReader(c), gen: gen}, nil
+	return &bufConn{Conn: c, br: bufio.NewReader(c), generation: generation}, nil
 }
 
-func (p *pool) keep(c *bufConn) {
+func (p *pool) putConn(c *bufConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.gen != p.gen {
+	if c.generation != p.generation {
 		c.Close()
 		return
 	}
-	c.used = true
+	c.reused = true
 	p.idle = append(p.idle, c)
 }
 
-// drop closes all idle connections after the edge node's process has ended. Connections
-// in use are closed when they are returned.
-func (p *pool) drop() {
+// closeIdle closes all idle connections after the edge node's process has exited.
+// Connections in use are closed when they are returned.
+func (p *pool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gen++
+	p.generation++
 	for _, c := range p.idle {
 		c.Close()
 	}
@@ -433,37 +447,39 @@
 }
 
 // do sends a request and waits for its response until a deadline.
-func (p *pool) do(request string, until time.Time) (status int, head http.Header, body string, err error) {
-	for again := false; ; again = true {
-		c, err := p.take(again)
+func (p *pool) do(request string, deadline time.Time) (status int, header http.Header, body string,
+	err error) {
+	for retry := false; ; retry = true {
+		c, err := p.getConn(retry)
 		if err != nil {
 			return 0, nil, "", err
 		}
-		status, head, body, closed, err := c.do(request, until)
+		status, header, body, closed, err := c.do(request, deadline)
 		switch {
 		case err == nil && !closed:
-			p.keep(c)
+			p.putConn(c)
 		default:
 			c.Close()
 		}
-		if err != nil && c.used && !again && errors.Is(err, io.EOF) {
+		if err != nil && c.reused && !retry && errors.Is(err, io.EOF) {
 			continue // the edge node closed the idle connection
 		}
-		return status, head, body, err
+		return status, header, body, err
 	}
 }
 
-func (c *bufConn) do(request string, until time.Time) (status int, head http.Header, body string, closed bool, err error) {
-	if err := c.SetDeadline(until); err != nil {
-		return 0, nil, "", true, &notWritten{err}
+func (c *bufConn) do(request string, deadline time.Time) (status int, header http.Header, body string,
+	closed bool, err error) {
+	if err := c.SetDeadline(deadline); err != nil {
+		return 0, nil, "", true, &notWrittenError{err}
 	}
 	if _, err := io.WriteString(c, request); err != nil {
-		return 0, nil, "", true, &notWritten{err}
+		return 0, nil, "", true, &notWrittenError{err}
 	}
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
-		var late net.Error
-		if errors.As(err, &late) && late.Timeout() {
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() {
 			return 0, nil, "", true, errNoAnswer
 		}
 		if errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/lab/live/relay.go
+++ b/internal/lab/live/relay.go
@@ -15,44 +15,44 @@
 // address reaches all edge nodes. The relay delays, drops and duplicates datagrams and
 // applies network cuts.
 type relay struct {
-	f     *fleet
-	socks []*net.UDPConn // by edge node; the last one reaches all
-	addrs []string
-	all   string
-	from  map[netip.AddrPort]int
-	in    []int // datagrams in the current second, by receiver
-	sec   int
-	peers []netip.AddrPort
+	fleet         *fleet
+	sockets       []*net.UDPConn // by edge node; the last one reaches all
+	addrs         []string
+	broadcastAddr string
+	senders       map[netip.AddrPort]int
+	received      []int // datagrams in the current second, by receiver
+	currentSecond int
+	nodeAddrs     []netip.AddrPort
 }
 
 func newRelay(f *fleet) (*relay, error) {
-	r := &relay{f: f, from: map[netip.AddrPort]int{}, in: make([]int, len(f.nodes))}
+	r := &relay{fleet: f, senders: map[netip.AddrPort]int{}, received: make([]int, len(f.nodes))}
 	for i := range len(f.nodes) + 1 {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			return r, err
 		}
-		r.socks = append(r.socks, c)
+		r.sockets = append(r.sockets, c)
 		if i == len(f.nodes) {
-			r.all = c.LocalAddr().String()
+			r.broadcastAddr = c.LocalAddr().String()
 			continue
 		}
 		r.addrs = append(r.addrs, c.LocalAddr().String())
-		at, err := netip.ParseAddrPort(f.nodes[i].addr)
+		addr, err := netip.ParseAddrPort(f.nodes[i].addr)
 		if err != nil {
 			return r, err
 		}
-		r.peers = append(r.peers, at)
-		r.from[at] = i
+		r.nodeAddrs = append(r.nodeAddrs, addr)
+		r.senders[addr] = i
 	}
-	for i, c := range r.socks {
-		go r.carry(i, c)
+	for i, c := range r.sockets {
+		go r.forward(i, c)
 	}
 	return r, nil
 }
 
-// carry reads the datagrams sent to one relay address and passes them on.
-func (r *relay) carry(to int, c *net.UDPConn) {
+// forward reads the datagrams sent to one relay address and passes them on.
+func (r *relay) forward(to int, c *net.UDPConn) {
 	buf := make([]byte, 2048)
 	for {
 		n, src, err := c.ReadFromUDPAddrPort(buf)
@@ -62,66 +62,70 @@
 		if err != nil {
 			continue // a temporary error, as when a receiver is down
 		}
-		from, known := r.from[netip.AddrPortFrom(src.Addr().Unmap(), src.Port())]
+		from, known := r.senders[netip.AddrPortFrom(src.Addr().Unmap(), src.Port())]
 		if !known {
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
 		if len(data) > 256 {
-			r.f.book.Broken(tally.Datagram, "-", from, r.f.since(), "a datagram of %d bytes", len(data))
+			r.fleet.book.Broken(tally.Datagram, "-", from, r.fleet.elapsed(), "a datagram of %d bytes",
+				len(data))
 		}
-		for other := range r.f.nodes {
-			if other != from && (other == to || to == len(r.f.nodes)) {
-				r.post(from, other, data)
+		for other := range r.fleet.nodes {
+			if other != from && (other == to || to == len(r.fleet.nodes)) {
+				r.transmit(from, other, data)
 			}
 		}
 	}
 }
 
-// post drops, duplicates or delays a datagram on its way to a receiver.
-func (r *relay) post(from, to int, data []byte) {
-	f := r.f
+// transmit drops, duplicates or delays a datagram on its way to a receiver.
+func (r *relay) transmit(from, to int, data []byte) {
+	f := r.fleet
 	f.mu.Lock()
 	copies := 1
-	if f.mail.Float64() < f.w.Net.Duplicate {
+	if f.datagramRand.Float64() < f.world.Net.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		if f.mail.Float64() < f.loss || f.deaf[to] || !f.passes(f.nodes[from].zone, f.nodes[to].zone) {
+		if f.datagramRand.Float64() < f.datagramLoss || f.receivesNone[to] ||
+			!f.reachable(f.nodes[from].zone, f.nodes[to].zone) {
 			f.book.MailLost++
 			continue
 		}
-		wait := f.w.Net.Peer.D() + time.Duration(f.mail.ExpFloat64()*float64(f.w.Net.PeerMore))
-		time.AfterFunc(wait, func() { r.arrive(from, to, data) })
+		delay := f.world.Net.Peer.D() +
+			time.Duration(f.datagramRand.ExpFloat64()*float64(f.world.Net.PeerMore))
+		time.AfterFunc(delay, func() { r.deliver(from, to, data) })
 	}
 	f.mu.Unlock()
 }
 
-func (r *relay) arrive(from, to int, data []byte) {
-	f := r.f
+func (r *relay) deliver(from, to int, data []byte) {
+	f := r.fleet
 	f.mu.Lock()
-	if sec := int(f.since() / time.Second); sec != r.sec {
-		r.sec = sec
-		clear(r.in)
+	if second := int(f.elapsed() / time.Second); second != r.currentSecond {
+		r.currentSecond = second
+		clear(r.received)
 	}
-	if float64(r.in[to]) >= f.w.Net.Mail {
+	if float64(r.received[to]) >= f.world.Net.Mail {
 		f.book.MailLost++
 		f.mu.Unlock()
 		return
 	}
-	r.in[to]++
-	f.book.MailPeak = int(math.Max(float64(f.book.MailPeak), float64(r.in[to])))
+	r.received[to]++
+	f.book.MailPeak = int(math.Max(float64(f.book.MailPeak), float64(r.received[to])))
 	f.book.Mail++
 	f.book.MailBytes += int64(len(data))
-	if w := f.book.Window(f.since()); w != nil {
+	if w := f.book.Window(f.elapsed()); w != nil {
 		w.Mail++
 	}
 	f.mu.Unlock()
-	_, _ = r.socks[from].WriteToUDPAddrPort(data, r.peers[to]) // a failed write counts as a datagram lost in the network
+	// a failed write counts as a datagram lost in the network
+	_, _ = r.sockets[from].WriteToUDPAddrPort(data, r.nodeAddrs[to])
 }
 
 func (r *relay) close() {
-	for _, c := range r.socks {
+	for _, c := range r.sockets {
 		c.Close()
 	}
 }
--- a/internal/lab/live/rude_test.go
+++ b/internal/lab/live/rude_test.go
@@ -12,15 +12,19 @@
 
 // A misbehaving client must get an error response or a close. The check counts an edge node
 // that does neither as ignoring the client, and one that serves it as breaking a rule.
-func TestMisbehaviourIsJudged(t *testing.T) {
+func TestMalformedInputMustGetErrorOrClose(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		serve           func(net.Conn)
 		ignored, broken int
 	}{
 		{"says nothing", func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, 1, 0},
-		{"serves", func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") }, 1, 1},
-		{"refuses", func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n") }, 0, 0},
+		{"serves", func(c net.Conn) {
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		}, 1, 1},
+		{"refuses", func(c net.Conn) {
+			_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+		}, 0, 0},
 		{"closes", func(net.Conn) {}, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -36,8 +40,8 @@
 					conn.Close()
 				}
 			}()
-			f := &fleet{book: tally.NewBook(world.Default(3, 3)), begun: time.Now()}
-			f.misbehave(&node{f: f, addr: ln.Addr().String(), up: true}, c.name, "GET")
+			f := &fleet{book: tally.NewBook(world.Default(3, 3)), startTime: time.Now()}
+			f.sendMalformed(&node{fleet: f, addr: ln.Addr().String(), running: true}, c.name, "GET")
 			_, counts := f.book.Breaches()
 			if f.book.Rude != 1 || f.book.RudeIgnored != c.ignored || counts[tally.AnswerLost] != c.broken {
 				t.Errorf("%d, %d ignored, %v", f.book.Rude, f.book.RudeIgnored, counts)
--- a/internal/lab/report/lines.go
+++ b/internal/lab/report/lines.go
@@ -8,7 +8,7 @@
 
 // Plot draws lines as an SVG element, in the colours and dashes of the reports.
 func Plot(title, x, y string, lines []Line) (string, error) {
-	c := chart{title: title, x: x, y: y, low: true}
+	c := chart{title: title, x: x, y: y, hasYMin: true}
 	for _, l := range lines {
 		c.lines = append(c.lines, line{l.Name, l.X, l.Y})
 	}
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -17,15 +17,17 @@
 // colours is the Okabe-Ito palette, which most colour-blind readers can distinguish, in an
 // order in which neighbours differ in grey too. Lines also differ in their dashes.
 var colours = []color.RGBA{
-	{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 0, 0, 255}, {204, 121, 167, 255}, {0, 158, 115, 255}, {213, 94, 0, 255}, {86, 180, 233, 255},
+	{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 0, 0, 255}, {204, 121, 167, 255}, {0, 158, 115, 255},
+	{213, 94, 0, 255}, {86, 180, 233, 255},
 }
 
-var dashes = [][]vg.Length{nil, {vg.Points(6), vg.Points(3)}, {vg.Points(2), vg.Points(2)}, {vg.Points(8), vg.Points(3), vg.Points(2), vg.Points(3)}}
+var dashes = [][]vg.Length{nil, {vg.Points(6), vg.Points(3)}, {vg.Points(2), vg.Points(2)},
+	{vg.Points(8), vg.Points(3), vg.Points(2), vg.Points(3)}}
 
 const (
 	plotWidth, plotHeight = 9 * vg.Inch, 2.6 * vg.Inch
-	legendPart            = 0.35 // width of the legend, as a share of the lines' width
-	legendAt              = 0.72 // start of the legend, as a share of the plot's width
+	legendWidthShare      = 0.35 // width of the legend, as a share of the lines' width
+	legendOffsetShare     = 0.72 // start of the legend, as a share of the plot's width
 )
 
 // line is a line of a chart.
@@ -40,9 +42,9 @@
 	lines       []line
 	faults      []world.Fault
 	logX        bool
-	points      bool
-	from        float64 // minimum of the y axis, if low is set
-	low         bool
+	showPoints  bool
+	yMin        float64 // minimum of the y axis, if hasYMin is set
+	hasYMin     bool
 }
 
 // svg draws a chart as an SVG element.
@@ -52,20 +54,20 @@
 	p.Title.TextStyle.Font.Size = vg.Points(11)
 	p.Add(plotter.NewGrid())
 	// The legend is aligned left, so that a font wider than expected extends into free space.
-	p.Legend.Top, p.Legend.Left, p.Legend.XOffs = true, true, legendAt*plotWidth
+	p.Legend.Top, p.Legend.Left, p.Legend.XOffs = true, true, legendOffsetShare*plotWidth
 	p.Legend.Padding = vg.Points(3)
 	p.Legend.TextStyle.Font.Size = vg.Points(9)
 	top, bottom := 0.0, 0.0
 	for i, l := range c.lines {
-		xy := make(plotter.XYs, 0, len(l.x))
+		points := make(plotter.XYs, 0, len(l.x))
 		for k := range l.x {
-			xy = append(xy, plotter.XY{X: l.x[k], Y: l.y[k]})
+			points = append(points, plotter.XY{X: l.x[k], Y: l.y[k]})
 			top, bottom = max(top, l.y[k]), min(bottom, l.y[k])
 		}
-		if len(xy) == 0 {
+		if len(points) == 0 {
 			continue
 		}
-		drawn, err := plotter.NewLine(xy)
+		drawn, err := plotter.NewLine(points)
 		if err != nil {
 			return "", fmt.Errorf("%s: %w", c.title, err)
 		}
@@ -74,8 +76,8 @@
 		drawn.Dashes = dashes[i%len(dashes)]
 		p.Add(drawn)
 		p.Legend.Add(l.name, drawn)
-		if c.points {
-			dots, err := plotter.NewScatter(xy)
+		if c.showPoints {
+			dots, err := plotter.NewScatter(points)
 			if err != nil {
 				return "", fmt.Errorf("%s: %w", c.title, err)
 			}
@@ -84,7 +86,8 @@
 		}
 	}
 	for i, f := range c.faults {
-		band, err := plotter.NewPolygon(plotter.XYs{{X: f.Start.D().Seconds(), Y: bottom}, {X: f.End().Seconds(), Y: bottom},
+		band, err := plotter.NewPolygon(plotter.XYs{{X: f.Start.D().Seconds(), Y: bottom},
+			{X: f.End().Seconds(), Y: bottom},
 			{X: f.End().Seconds(), Y: max(top, 1e-9)}, {X: f.Start.D().Seconds(), Y: max(top, 1e-9)}})
 		if err != nil {
 			return "", fmt.Errorf("%s: %w", c.title, err)
@@ -103,10 +106,10 @@
 		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
 	if right := p.X.Max; !c.logX {
-		p.X.Max = right + legendPart*(right-p.X.Min) // room for the legend beside the lines
+		p.X.Max = right + legendWidthShare*(right-p.X.Min) // room for the legend beside the lines
 	}
-	if p.Y.Max = max(top*1.05, 1e-9); c.low {
-		p.Y.Min = c.from
+	if p.Y.Max = max(top*1.05, 1e-9); c.hasYMin {
+		p.Y.Min = c.yMin
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(newCanvas(canvas))
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -67,7 +67,7 @@
 	}
 	var cells []cell
 	names := slices.Clone(f.Manifest.Arms)
-	by := map[arm]map[uint64]*tally.Result{}
+	results := map[arm]map[uint64]*tally.Result{}
 	for _, l := range f.Lines {
 		r := l.Result
 		if r == nil {
@@ -81,31 +81,34 @@
 			names = append(names, r.Variant)
 		}
 		a := arm{c, r.Variant}
-		if by[a] == nil {
-			by[a] = map[uint64]*tally.Result{}
+		if results[a] == nil {
+			results[a] = map[uint64]*tally.Result{}
 		}
-		by[a][r.Seed] = r
+		results[a][r.Seed] = r
 	}
 	slices.SortStableFunc(cells, func(a, b cell) int {
-		return cmp.Or(cmp.Compare(a.nodes, b.nodes), cmp.Compare(a.servers, b.servers), cmp.Compare(a.fault, b.fault))
+		return cmp.Or(cmp.Compare(a.nodes, b.nodes), cmp.Compare(a.servers, b.servers),
+			cmp.Compare(a.fault, b.fault))
 	})
 	var rows []Row
 	for _, c := range cells {
 		first := ""
 		for _, name := range names {
-			list := by[arm{c, name}]
+			list := results[arm{c, name}]
 			if len(list) == 0 {
 				continue
 			}
-			row := Row{Nodes: c.nodes, Servers: c.servers, Fault: c.fault, Variant: name, Against: first, Seeds: len(list)}
+			row := Row{Nodes: c.nodes, Servers: c.servers, Fault: c.fault, Variant: name, Against: first,
+				Seeds: len(list)}
 			var runs []*tally.Result
-			var worth, served, refused, beyond, mail, a, b []float64
+			var values, served, refused, beyond, datagrams, baseValues, armValues []float64
 			for _, seed := range slices.Sorted(maps.Keys(list)) {
 				r := list[seed]
 				runs = append(runs, r)
 				n := float64(max(1, r.Requests))
-				worth, served, refused = append(worth, r.Worth), append(served, float64(r.Served)/n), append(refused, float64(r.Refused)/n)
-				beyond, mail = append(beyond, r.Beyond), append(mail, r.Mail)
+				values, served, refused = append(values, r.Worth), append(served, float64(r.Served)/n),
+					append(refused, float64(r.Refused)/n)
+				beyond, datagrams = append(beyond, r.Beyond), append(datagrams, r.Mail)
 				row.Lost += r.Lost
 				for _, k := range r.Rules {
 					row.Broken += k
@@ -113,17 +116,18 @@
 				if r.Unsound != "" {
 					row.Unsound++
 				}
-				if base := by[arm{c, first}][seed]; first != "" && base != nil {
-					a, b = append(a, base.Worth), append(b, r.Worth)
+				if base := results[arm{c, first}][seed]; first != "" && base != nil {
+					baseValues, armValues = append(baseValues, base.Worth), append(armValues, r.Worth)
 				}
 			}
-			row.Median, row.Served, row.Refused = stats.Median(worth), stats.Median(served), stats.Median(refused)
-			row.Beyond, row.Mail = stats.Median(beyond), stats.Median(mail)
+			row.Median, row.Served, row.Refused = stats.Median(values), stats.Median(served),
+				stats.Median(refused)
+			row.Beyond, row.Mail = stats.Median(beyond), stats.Median(datagrams)
 			var err error
 			if row.Classes, err = tally.Merge(runs); err != nil {
 				return nil, fmt.Errorf("%dx%d %s %s: %w", c.nodes, c.servers, c.fault, name, err)
 			}
-			if row.Diff = stats.Paired(a, b); first == "" {
+			if row.Diff = stats.Paired(baseValues, armValues); first == "" {
 				first = name
 			}
 			rows = append(rows, row)
@@ -134,17 +138,21 @@
 
 // Table writes rows as a plain text table.
 func Table(w io.Writer, rows []Row) error {
-	_, err := fmt.Fprintf(w, "%-9s %-14s %-12s %5s %7s %8s %-19s %7s %7s %7s %7s %6s  %s\n", "size", "fault", "variant", "seeds", "worth", "diff",
+	_, err := fmt.Fprintf(w, "%-9s %-14s %-12s %5s %7s %8s %-19s %7s %7s %7s %7s %6s  %s\n", "size", "fault",
+		"variant", "seeds", "worth", "diff",
 		"95% interval", "served", "refused", "beyond", "mail/s", "rules", "")
 	for i := range rows {
 		r := &rows[i]
 		diff, span := "", ""
 		if r.Against != "" {
-			diff, span = fmt.Sprintf("%+.4f", r.Diff.Diff), fmt.Sprintf("%+.4f to %+.4f", r.Diff.Low, r.Diff.High)
+			diff, span = fmt.Sprintf("%+.4f", r.Diff.Diff), fmt.Sprintf("%+.4f to %+.4f", r.Diff.Low,
+				r.Diff.High)
 		}
 		if err == nil {
-			_, err = fmt.Fprintf(w, "%-9s %-14s %-12s %5d %7.4f %8s %-19s %7.4f %7.4f %7.4f %7.1f %6d  %s\n", fmt.Sprintf("%dx%d", r.Nodes, r.Servers),
-				r.Fault, r.Variant, r.Seeds, r.Median, diff, span, r.Served, r.Refused, r.Beyond, r.Mail, r.Broken, r.Verdict())
+			_, err = fmt.Fprintf(w, "%-9s %-14s %-12s %5d %7.4f %8s %-19s %7.4f %7.4f %7.4f %7.1f %6d  %s\n",
+				fmt.Sprintf("%dx%d", r.Nodes, r.Servers),
+				r.Fault, r.Variant, r.Seeds, r.Median, diff, span, r.Served, r.Refused, r.Beyond, r.Mail,
+				r.Broken, r.Verdict())
 		}
 	}
 	return err
@@ -152,12 +160,14 @@
 
 // Latencies writes the latencies of served requests by class, merged over all seeds.
 func Latencies(w io.Writer, rows []Row) error {
-	_, err := fmt.Fprintf(w, "%-9s %-14s %-12s %-14s %9s %10s %10s %10s\n", "size", "fault", "variant", "class", "served", "median ms", "99th ms", "99.9th ms")
+	_, err := fmt.Fprintf(w, "%-9s %-14s %-12s %-14s %9s %10s %10s %10s\n", "size", "fault", "variant",
+		"class", "served", "median ms", "99th ms", "99.9th ms")
 	for i := range rows {
 		r := &rows[i]
 		for _, c := range r.Classes {
 			if err == nil {
-				_, err = fmt.Fprintf(w, "%-9s %-14s %-12s %-14s %9d %10.1f %10.1f %10.1f\n", fmt.Sprintf("%dx%d", r.Nodes, r.Servers), r.Fault, r.Variant,
+				_, err = fmt.Fprintf(w, "%-9s %-14s %-12s %-14s %9d %10.1f %10.1f %10.1f\n",
+					fmt.Sprintf("%dx%d", r.Nodes, r.Servers), r.Fault, r.Variant,
 					c.Name, c.Served, c.P50, c.P99, c.P999)
 			}
 		}
@@ -188,89 +198,102 @@
 			page.Breaches = append(page.Breaches, l.Key+": "+b.String())
 		}
 	}
-	charts = append(charts, scaling(page.Rows)...)
-	charts = append(charts, overTime(f.Lines)...)
+	charts = append(charts, scalingCharts(page.Rows)...)
+	charts = append(charts, timelineCharts(f.Lines)...)
 	for i := range charts {
 		text, err := charts[i].svg()
 		if err != nil {
 			return err
 		}
-		page.Charts = append(page.Charts, template.HTML(text)) // generated by this package, so it needs no escaping
+		// generated by this package, so it needs no escaping
+		page.Charts = append(page.Charts, template.HTML(text))
 	}
 	return pageTemplate.Execute(w, page)
 }
 
-// mostTimelines is the maximum number of runs drawn second by second.
-const mostTimelines = 6
+// maxTimelines is the maximum number of runs drawn second by second.
+const maxTimelines = 6
 
-// overTime returns charts of the seconds of a run: the last run of each arm.
-func overTime(lines []store.Line) (list []chart) {
+// timelineCharts returns charts of the seconds of a run: the last run of each arm.
+func timelineCharts(lines []store.Line) (list []chart) {
 	shown := 0
 	seen := map[string]bool{}
-	for i := len(lines) - 1; i >= 0 && shown < mostTimelines; i-- {
+	for i := len(lines) - 1; i >= 0 && shown < maxTimelines; i-- {
 		l := &lines[i]
 		if l.Result == nil || l.World == nil {
 			continue
 		}
 		r := l.Result
-		name := fmt.Sprintf("%d edge nodes, %d lending servers, %s, %s, seed %d", r.Nodes, r.Servers, cmp.Or(r.Fault, "no fault"), r.Variant, r.Seed)
+		name := fmt.Sprintf("%d edge nodes, %d lending servers, %s, %s, seed %d", r.Nodes, r.Servers,
+			cmp.Or(r.Fault, "no fault"), r.Variant, r.Seed)
 		if arm := fmt.Sprint(r.Nodes, r.Servers, r.Fault, r.Variant); seen[arm] {
 			continue
 		} else {
 			seen[arm] = true
 		}
 		shown++
-		var t, share, served, refused, failed, p50, p99, sent, beyond, out, mail []float64
+		var seconds, share, served, refused, failed, p50, p99, sent, beyond, inFlight, datagrams []float64
 		for _, w := range r.Windows {
-			t = append(t, float64(w.Second)+0.5)
+			seconds = append(seconds, float64(w.Second)+0.5)
 			n := float64(max(1, w.Requests))
 			share = append(share, w.Earned/max(w.Asked, 1e-9))
 			served, refused = append(served, float64(w.Served)/n), append(refused, float64(w.Refused)/n)
 			failed = append(failed, float64(w.Failed+w.Lost)/n)
 			p50, p99 = append(p50, w.P50), append(p99, w.P99)
 			sent, beyond = append(sent, float64(w.Sent)), append(beyond, float64(w.Beyond))
-			out, mail = append(out, float64(w.Out)), append(mail, float64(w.Mail)/float64(r.Nodes))
+			inFlight, datagrams = append(inFlight, float64(w.Out)),
+				append(datagrams, float64(w.Mail)/float64(r.Nodes))
 		}
-		const second = "time since the run began (s)"
+		const xLabel = "time since the run began (s)"
 		list = append(list,
-			chart{title: "Worth and outcomes: " + name, x: second, y: "share", faults: l.World.Faults, low: true, lines: []line{
-				{"worth earned", t, share}, {"served", t, served}, {"refused", t, refused}, {"failed or lost", t, failed}}},
-			chart{title: "Latency of what was served, from the time it was meant to be asked for", x: second, y: "latency (ms)", faults: l.World.Faults,
-				low: true, lines: []line{{"median", t, p50}, {"99th percentile", t, p99}}},
-			chart{title: "First sends, and those beyond quota or cap", x: second, y: "requests a second", faults: l.World.Faults, low: true,
-				lines: []line{{"first sends", t, sent}, {"beyond quota or cap", t, beyond}}},
-			chart{title: "Most attempts out at once, of all edge nodes", x: second, y: "attempts", faults: l.World.Faults, low: true, lines: []line{{"out", t, out}}},
-			chart{title: "Datagrams that an edge node takes in", x: second, y: "a second", faults: l.World.Faults, low: true, lines: []line{{"mean of all", t, mail}}})
+			chart{title: "Worth and outcomes: " + name, x: xLabel, y: "share", faults: l.World.Faults,
+				hasYMin: true, lines: []line{
+					{"worth earned", seconds, share}, {"served", seconds, served},
+					{"refused", seconds, refused}, {"failed or lost", seconds, failed}}},
+			chart{title: "Latency of what was served, from the time it was meant to be asked for", x: xLabel,
+				y: "latency (ms)", faults: l.World.Faults,
+				hasYMin: true, lines: []line{{"median", seconds, p50}, {"99th percentile", seconds, p99}}},
+			chart{title: "First sends, and those beyond quota or cap", x: xLabel, y: "requests a second",
+				faults: l.World.Faults, hasYMin: true,
+				lines: []line{{"first sends", seconds, sent}, {"beyond quota or cap", seconds, beyond}}},
+			chart{title: "Most attempts out at once, of all edge nodes", x: xLabel, y: "attempts",
+				faults: l.World.Faults, hasYMin: true, lines: []line{{"out", seconds, inFlight}}},
+			chart{title: "Datagrams that an edge node takes in", x: xLabel, y: "a second",
+				faults: l.World.Faults, hasYMin: true, lines: []line{{"mean of all", seconds, datagrams}}})
 	}
 	return list
 }
 
-// scaling returns charts of value and datagrams by size of the fleet.
-func scaling(rows []Row) (list []chart) {
+// scalingCharts returns charts of value and datagrams by size of the fleet.
+func scalingCharts(rows []Row) (list []chart) {
 	type arm struct{ fault, variant string }
-	worth, mail := map[arm]*line{}, map[arm]*line{}
+	values, datagrams := map[arm]*line{}, map[arm]*line{}
 	var arms []arm
 	sizes := map[int]bool{}
 	for _, r := range rows {
 		sizes[r.Nodes] = true
 		a := arm{r.Fault, r.Variant}
-		if worth[a] == nil {
+		if values[a] == nil {
 			name := strings.TrimSpace(r.Variant + " " + r.Fault)
-			worth[a], mail[a] = &line{name: name}, &line{name: name}
+			values[a], datagrams[a] = &line{name: name}, &line{name: name}
 			arms = append(arms, a)
 		}
-		worth[a].x, worth[a].y = append(worth[a].x, float64(r.Nodes)), append(worth[a].y, r.Median)
-		mail[a].x, mail[a].y = append(mail[a].x, float64(r.Nodes)), append(mail[a].y, r.Mail)
+		values[a].x, values[a].y = append(values[a].x, float64(r.Nodes)), append(values[a].y, r.Median)
+		datagrams[a].x, datagrams[a].y = append(datagrams[a].x, float64(r.Nodes)),
+			append(datagrams[a].y, r.Mail)
 	}
 	if len(sizes) < 2 {
 		return nil
 	}
-	w := chart{title: "The figure by size of the fleet", x: "edge nodes", y: "worth", logX: true, points: true, low: true}
-	m := chart{title: "Datagrams by size of the fleet", x: "edge nodes", y: "a second and edge node", logX: true, points: true, low: true}
+	valueChart := chart{title: "The figure by size of the fleet", x: "edge nodes", y: "worth", logX: true,
+		showPoints: true, hasYMin: true}
+	datagramChart := chart{title: "Datagrams by size of the fleet", x: "edge nodes",
+		y: "a second and edge node", logX: true, showPoints: true, hasYMin: true}
 	for _, a := range arms {
-		w.lines, m.lines = append(w.lines, *worth[a]), append(m.lines, *mail[a])
+		valueChart.lines, datagramChart.lines = append(valueChart.lines, *values[a]),
+			append(datagramChart.lines, *datagrams[a])
 	}
-	return []chart{w, m}
+	return []chart{valueChart, datagramChart}
 }
 
 var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
