--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment reads descriptions of what is to be played: a world, and a matrix
-// of sizes, faults, seeds and variants. A file is checked whole, and each fault names
-// its line and field. Nothing is played here.
+// Package experiment reads experiment files: a world, and a matrix of sizes, faults, seeds
+// and variants. It checks the whole file, and each error names its line and field. It
+// doesn't run experiments.
 package experiment
 
 import (
@@ -20,29 +20,31 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// Variant is what one arm of an experiment differs by: settings, another build, or a
-// baseline in the module's place.
+// Variant is what distinguishes one arm of an experiment: settings, another build, or a
+// baseline instead of the module.
 type Variant struct {
-	Name     string         `toml:"name" json:"name"`
-	Adapter  string         `toml:"adapter" json:"adapter,omitempty"` // a simulator's host of another build
-	Baseline string         `toml:"baseline" json:"baseline,omitempty"`
-	Program  string         `toml:"program" json:"program,omitempty"` // an edge node of another build, for the live engine
-	Set      map[string]any `toml:"set" json:"set,omitempty"`         // of the world
+	Name string `toml:"name" json:"name"`
+	// program of a simulator adapter of another build
+	Adapter  string `toml:"adapter" json:"adapter,omitempty"`
+	Baseline string `toml:"baseline" json:"baseline,omitempty"`
+	// edge node program of another build, for the live engine
+	Program string         `toml:"program" json:"program,omitempty"`
+	Set     map[string]any `toml:"set" json:"set,omitempty"` // settings of the world
 }
 
-// Matrix is what is combined.
+// Matrix lists the values whose combinations, with the variants, are the runs.
 type Matrix struct {
-	Sizes  [][]int  `toml:"sizes"` // edge nodes and lending servers
+	Sizes  [][]int  `toml:"sizes"` // pairs: edge nodes, lending servers
 	Faults []string `toml:"faults"`
 	Seeds  []uint64 `toml:"seeds"`
 }
 
-// File is an experiment.
+// File is an experiment file.
 type File struct {
 	Name     string    `toml:"name"`
-	Engine   string    `toml:"engine"` // sim, live
+	Engine   string    `toml:"engine"` // sim or live
 	Stories  bool      `toml:"stories"`
-	World    any       `toml:"world"` // of the sizes and faults named by the matrix
+	World    any       `toml:"world"` // settings of all worlds; sizes and faults come from the matrix
 	Matrix   Matrix    `toml:"matrix"`
 	Variants []Variant `toml:"variant"`
 
@@ -58,15 +60,15 @@
 	World   *world.World
 }
 
-// Key names a run within its experiment.
+// Key returns the name of a run, which is unique within its experiment.
 func (r *Run) Key() string {
 	return fmt.Sprintf("%dx%d/%s/%d/%s", r.World.Nodes, r.World.Servers, r.Fault, r.Seed, r.Variant.Name)
 }
 
-// mostRuns is what an experiment may ask for; mostFile its size in bytes.
+// Limits of an experiment: its number of runs, and the size of its file in bytes.
 const (
-	mostRuns = 20_000
-	mostFile = 1 << 20
+	maxRuns      = 20_000
+	maxFileBytes = 1 << 20
 )
 
 // Read reads an experiment from a file.
@@ -82,26 +84,27 @@
 	return f, nil
 }
 
-// Faults are all that is wrong with a file.
-type Faults []error
+// Errors holds all errors of an experiment file.
+type Errors []error
 
-func (f Faults) Error() string { return errors.Join(f...).Error() }
+func (e Errors) Error() string { return errors.Join(e...).Error() }
 
-// Parse checks an experiment whole; relative paths in it count from dir.
+// Parse reads and checks an experiment. Relative paths in it start at dir.
 func Parse(data []byte, dir string) (*File, error) {
-	if len(data) > mostFile {
-		return nil, fmt.Errorf("over %d bytes", mostFile)
+	if len(data) > maxFileBytes {
+		return nil, fmt.Errorf("over %d bytes", maxFileBytes)
 	}
 	f := &File{text: data, dir: dir, Engine: "sim"}
 	if err := decode(data, f); err != nil {
 		return nil, err
 	}
-	var faults Faults
-	fault := func(field, format string, args ...any) {
-		faults = append(faults, fmt.Errorf("line %d: %s: %s", lineOf(data, field), field, fmt.Sprintf(format, args...)))
+	var errs Errors
+	addError := func(field, format string, args ...any) {
+		errs = append(errs, fmt.Errorf("line %d: %s: %s", lineOf(data, field), field,
+			fmt.Sprintf(format, args...)))
 	}
 	if f.Engine != "sim" && f.Engine != "live" {
-		fault("engine", "%q is neither sim nor live", f.Engine)
+		addError("engine", "%q is neither sim nor live", f.Engine)
 	}
 	if len(f.Matrix.Sizes) == 0 {
 		f.Matrix.Sizes = [][]int{{60, 40}}
@@ -117,62 +120,66 @@
 	}
 	for _, s := range f.Matrix.Sizes {
 		if len(s) != 2 || s[0] < 1 || s[1] < 1 || s[0] > world.MostNodes || s[1] > world.MostServers {
-			fault("matrix.sizes", "%v is not [edge nodes, lending servers], up to [%d, %d]", s, world.MostNodes, world.MostServers)
+			addError("matrix.sizes", "%v is not [edge nodes, lending servers], up to [%d, %d]", s,
+				world.MostNodes, world.MostServers)
 		}
 	}
 	for _, name := range f.Matrix.Faults {
 		if name != "none" && name != "world" && world.Named(name, 1) == nil {
-			fault("matrix.faults", "%q is not one of none, world (those of the world), %s", name, strings.Join(world.Names(), ", "))
+			addError("matrix.faults", "%q is not one of none, world (those of the world), %s", name,
+				strings.Join(world.Names(), ", "))
 		}
 	}
 	for i, v := range f.Variants {
-		at := fmt.Sprintf("variant[%d].", i)
-		if v.Name == "" || slices.ContainsFunc(f.Variants[:i], func(o Variant) bool { return o.Name == v.Name }) {
-			fault(at+"name", "%q is empty or there twice", v.Name)
+		prefix := fmt.Sprintf("variant[%d].", i)
+		if v.Name == "" || slices.ContainsFunc(f.Variants[:i],
+			func(o Variant) bool { return o.Name == v.Name }) {
+			addError(prefix+"name", "%q is empty or there twice", v.Name)
 		}
 		if v.Adapter != "" && v.Baseline != "" {
-			fault(at+"adapter", "an adapter and a baseline can't both decide")
+			addError(prefix+"adapter", "an adapter and a baseline can't both decide")
 		}
 		if v.Baseline != "" && baseline.Maker(v.Baseline) == nil {
-			fault(at+"baseline", "%q is not one of %s", v.Baseline, strings.Join(baseline.Names, ", "))
+			addError(prefix+"baseline", "%q is not one of %s", v.Baseline, strings.Join(baseline.Names, ", "))
 		}
-		for field, path := range map[string]*string{"adapter": &f.Variants[i].Adapter, "program": &f.Variants[i].Program} {
+		for field, path := range map[string]*string{"adapter": &f.Variants[i].Adapter,
+			"program": &f.Variants[i].Program} {
 			if *path == "" {
 				continue
 			}
 			if !filepath.IsAbs(*path) {
 				*path = filepath.Join(dir, *path)
 			}
-			if st, err := os.Stat(*path); err != nil || st.IsDir() {
-				fault(at+field, "there is no program %s", *path)
+			if info, err := os.Stat(*path); err != nil || info.IsDir() {
+				addError(prefix+field, "there is no program %s", *path)
 			}
 		}
 	}
-	if n := f.Count(); n > mostRuns {
-		fault("matrix", "%d runs, over %d", n, mostRuns)
+	if n := f.Count(); n > maxRuns {
+		addError("matrix", "%d runs, over %d", n, maxRuns)
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
-	// The worlds are checked once for each size, fault and variant.
-	seen := map[string]bool{}
+	// Each combination of size, fault and variant has one world; the seed doesn't change it.
+	reported := map[string]bool{}
 	for _, size := range f.Matrix.Sizes {
 		for _, name := range f.Matrix.Faults {
 			for _, v := range f.Variants {
-				if _, err := f.world(size, name, v); err != nil && !seen[err.Error()] {
-					seen[err.Error()] = true
-					faults = append(faults, err)
+				if _, err := f.buildWorld(size, name, v); err != nil && !reported[err.Error()] {
+					reported[err.Error()] = true
+					errs = append(errs, err)
 				}
 			}
 		}
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return f, nil
 }
 
-// Count is how many runs the matrix has.
+// Count returns the number of runs.
 func (f *File) Count() int {
 	n := 1
 	for _, k := range []int{len(f.Matrix.Sizes), len(f.Matrix.Faults), len(f.Matrix.Seeds), len(f.Variants)} {
@@ -181,14 +188,14 @@
 	return n
 }
 
-// Runs are all cells of the matrix, those that are compared next to each other.
+// Runs returns all runs. The variants of one size, fault and seed are adjacent.
 func (f *File) Runs() ([]Run, error) {
 	var list []Run
 	for _, size := range f.Matrix.Sizes {
 		for _, name := range f.Matrix.Faults {
 			for _, seed := range f.Matrix.Seeds {
 				for _, v := range f.Variants {
-					w, err := f.world(size, name, v)
+					w, err := f.buildWorld(size, name, v)
 					if err != nil {
 						return nil, err
 					}
@@ -200,9 +207,9 @@
 	return list, nil
 }
 
-// world is the world of a cell: the default of its size, the file's on top, then the
-// fault and the variant's settings.
-func (f *File) world(size []int, fault string, v Variant) (*world.World, error) {
+// buildWorld returns the world of a run: the default of its size, overlaid with the settings
+// of the file, the fault and the settings of the variant, in this order.
+func (f *File) buildWorld(size []int, fault string, v Variant) (*world.World, error) {
 	w := world.Default(size[0], size[1])
 	if table, ok := f.World.(map[string]any); ok {
 		if err := overlay(w, table); err != nil {
@@ -223,24 +230,27 @@
 	if w.Load.Trace != "" && !filepath.IsAbs(w.Load.Trace) {
 		w.Load.Trace = filepath.Join(f.dir, w.Load.Trace)
 	}
-	var faults Faults
+	var errs Errors
 	for _, p := range w.Check() {
-		faults = append(faults, fmt.Errorf("line %d: world.%s: %s", lineOf(f.text, "world."+p.Field), p.Field, p.What))
+		errs = append(errs, fmt.Errorf("line %d: world.%s: %s", lineOf(f.text, "world."+p.Field), p.Field,
+			p.What))
 	}
-	if len(faults) > 0 {
-		return nil, faults
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return w, nil
 }
 
-// overlay puts a table over a world. Lists that it names replace those of the world.
+// overlay applies the settings of a table to a world. A list in the table replaces the
+// list of the world.
 func overlay(w *world.World, table map[string]any) error {
 	if len(table) == 0 {
 		return nil
 	}
-	for name, list := range map[string]func(){"class": func() { w.Classes = nil }, "plan": func() { w.Plans = nil }, "fault": func() { w.Faults = nil }} {
+	for name, clearList := range map[string]func(){"class": func() { w.Classes = nil },
+		"plan": func() { w.Plans = nil }, "fault": func() { w.Faults = nil }} {
 		if _, named := table[name]; named {
-			list()
+			clearList()
 		}
 	}
 	data, err := toml.Marshal(table)
@@ -250,7 +260,7 @@
 	return decode(data, w)
 }
 
-// decode reads TOML strictly; the error names line and key.
+// decode decodes TOML and rejects unknown fields. Its errors name line and key.
 func decode(data []byte, to any) error {
 	d := toml.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
@@ -261,36 +271,38 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &strict):
-		var faults Faults
+		var errs Errors
 		for i := range strict.Errors {
 			e := &strict.Errors[i]
 			line, _ := e.Position()
-			faults = append(faults, fmt.Errorf("line %d: %s: there is no such field", line, strings.Join(e.Key(), ".")))
+			errs = append(errs, fmt.Errorf("line %d: %s: there is no such field", line,
+				strings.Join(e.Key(), ".")))
 		}
-		return faults
+		return errs
 	case errors.As(err, &bad):
 		line, _ := bad.Position()
-		return fmt.Errorf("line %d: %s: %s", line, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: "))
+		return fmt.Errorf("line %d: %s: %s", line, strings.Join(bad.Key(), "."),
+			strings.TrimPrefix(bad.Error(), "toml: "))
 	}
 	return err
 }
 
-var header = regexp.MustCompile(`^\s*\[+\s*([A-Za-z0-9_.]+)\s*\]+`)
+var tableHeader = regexp.MustCompile(`^\s*\[+\s*([A-Za-z0-9_.]+)\s*\]+`)
 
-// lineOf finds the line on which a field stands, or the table that it would stand in;
-// 1 where neither is there. Places in lists are counted.
+// lineOf returns the line of a field, or the line of the table that it belongs to, or 1 if
+// neither is in the file. A field of a list element is named with the element's index.
 func lineOf(text []byte, field string) int {
-	table, best := "", 1
+	table, tableLine := "", 1
 	counts := map[string]int{}
-	for no, line := range strings.Split(string(text), "\n") {
-		if m := header.FindStringSubmatch(line); m != nil {
+	for index, line := range strings.Split(string(text), "\n") {
+		if m := tableHeader.FindStringSubmatch(line); m != nil {
 			table = m[1]
 			if strings.HasPrefix(strings.TrimSpace(line), "[[") {
 				counts[table]++
 				table = fmt.Sprintf("%s[%d]", table, counts[table]-1)
 			}
 			if field == table || strings.HasPrefix(field, table+".") {
-				best = no + 1
+				tableLine = index + 1
 			}
 			continue
 		}
@@ -300,16 +312,16 @@
 		}
 		full := strings.TrimPrefix(table+"."+strings.TrimSpace(key), ".")
 		if full == field || strings.HasPrefix(field, full+".") {
-			return no + 1
+			return index + 1
 		}
 	}
-	return best
+	return tableLine
 }
 
-// Text is the file as it was read.
+// Text returns the contents of the file.
 func (f *File) Text() []byte { return f.text }
 
-// Describe names the kinds of trouble that there are.
+// Describe returns a line for each named day, with its faults, and each kind of fault.
 func Describe() []string {
 	var list []string
 	for _, name := range slices.Sorted(maps.Keys(world.Days)) {
--- a/internal/lab/explain/explain.go
+++ b/internal/lab/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain tells what happened to a request, and groups what was lost by cause.
+// Package explain prints what happened to a request and groups lost value by cause.
 package explain
 
 import (
@@ -13,8 +13,8 @@
 	"valvering.example/valvering/internal/lab/trace"
 )
 
-// Cause is why a request earned less than it could, as far as its story tells. Each
-// has one: that of its last try.
+// Cause returns why a request earned less than its full value, according to its story.
+// Each request has one cause, that of its last try.
 func Cause(s *trace.Story) string {
 	last := 0
 	for i, n := range s.Notes {
@@ -29,11 +29,13 @@
 	has := func(w trace.What) bool {
 		return slices.ContainsFunc(notes, func(n trace.Note) bool { return n.What == w })
 	}
-	outcome := func(word string) bool {
-		return slices.ContainsFunc(notes, func(n trace.Note) bool { return n.What == trace.Outcome && strings.Contains(n.Detail, word) })
+	outcome := func(text string) bool {
+		return slices.ContainsFunc(notes, func(n trace.Note) bool {
+			return n.What == trace.Outcome && strings.Contains(n.Detail, text)
+		})
 	}
-	asked := has(trace.Askroot)
-	heard := has(trace.Granted) || has(trace.Denied) || has(trace.Waits)
+	askedRoot := has(trace.Askroot)
+	answered := has(trace.Granted) || has(trace.Denied) || has(trace.Waits)
 	switch {
 	case has(trace.Crashed):
 		return "its edge node died"
@@ -61,13 +63,13 @@
 		return "granted, but no server had room"
 	case has(trace.Waits):
 		return "held by its root until too late"
-	case asked && !heard:
+	case askedRoot && !answered:
 		return "neither root nor deputy was heard"
 	}
 	return "refused where it came in"
 }
 
-// lateness says where a late request spent most of its time.
+// lateness returns where a late request spent most of its time.
 func lateness(s *trace.Story) string {
 	spent := map[string]time.Duration{}
 	where := "between its client's tries"
@@ -102,9 +104,10 @@
 	return "late: most of its time " + names[0]
 }
 
-// Print tells a request's whole way.
+// Print prints all events of a request.
 func Print(w io.Writer, run string, s *trace.Story) error {
-	_, err := fmt.Fprintf(w, "request %s of run %s\n%s, plan %s, customer %s: %s, worth %.3g, lost %.3g\n", s.ID, run, s.Class, s.Plan, s.Key,
+	_, err := fmt.Fprintf(w, "request %s of run %s\n%s, plan %s, customer %s: %s, worth %.3g, lost %.3g\n",
+		s.ID, run, s.Class, s.Plan, s.Key,
 		s.How, s.Worth, s.Lost)
 	for _, n := range s.Notes {
 		node := "client      "
@@ -118,35 +121,35 @@
 	return err
 }
 
-// Group is what was lost by one cause.
+// Group is the loss by one cause.
 type Group struct {
 	Cause    string         `json:"cause"`
 	Requests int            `json:"requests"`
 	Lost     float64        `json:"lost"`
-	Share    float64        `json:"share"` // of all that was lost
+	Share    float64        `json:"share"` // of the total loss
 	Classes  map[string]int `json:"classes"`
-	First    time.Duration  `json:"first"` // when the first and the last of them were asked for
+	First    time.Duration  `json:"first"` // start times of the first and the last request
 	Last     time.Duration  `json:"last"`
 	Dearest  []Example      `json:"dearest"`
 }
 
-// Example is a request of a group.
+// Example is one request of a group.
 type Example struct {
 	Run  string  `json:"run"`
 	ID   string  `json:"id"`
 	Lost float64 `json:"lost"`
 }
 
-// Worst gathers what was lost by cause, the dearest causes first, each with its
-// dearest requests. The parts sum to all that was lost.
+// Worst groups the lost value by cause and retains the most expensive requests of each
+// group. The losses of the groups sum to the total loss.
 type Worst struct {
-	Most   int // examples of a group
+	Most   int // maximum number of examples of a group
 	groups map[string]*Group
 	Lost   float64
 	Asked  float64
 }
 
-// Add enters a story.
+// Add counts a story.
 func (w *Worst) Add(run string, s *trace.Story) {
 	w.Asked += s.Worth
 	if s.Lost <= 0 {
@@ -174,14 +177,14 @@
 	}
 }
 
-func (g *Group) trim(most int) {
+func (g *Group) trim(maxExamples int) {
 	slices.SortStableFunc(g.Dearest, func(a, b Example) int {
 		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Run, b.Run), cmp.Compare(a.ID, b.ID))
 	})
-	g.Dearest = g.Dearest[:min(most, len(g.Dearest))]
+	g.Dearest = g.Dearest[:min(maxExamples, len(g.Dearest))]
 }
 
-// Groups are the causes, the dearest first.
+// Groups returns the groups in descending order of loss.
 func (w *Worst) Groups() []*Group {
 	list := slices.SortedFunc(maps.Values(w.groups), func(a, b *Group) int {
 		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Cause, b.Cause))
@@ -193,14 +196,15 @@
 	return list
 }
 
-// Print prints them.
+// Print prints the total loss, the groups and their examples.
 func (w *Worst) Print(out io.Writer) error {
 	_, err := fmt.Fprintf(out, "lost %.0f of a worth of %.0f\n", w.Lost, w.Asked)
 	for _, g := range w.Groups() {
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(out, "%5.1f%%  %6d requests  %s (%.1f to %.1f s)", 100*g.Share, g.Requests, g.Cause, g.First.Seconds(), g.Last.Seconds())
+		_, err = fmt.Fprintf(out, "%5.1f%%  %6d requests  %s (%.1f to %.1f s)", 100*g.Share, g.Requests,
+			g.Cause, g.First.Seconds(), g.Last.Seconds())
 		for _, name := range slices.Sorted(maps.Keys(g.Classes)) {
 			fmt.Fprintf(out, "  %s %d", name, g.Classes[name])
 		}
