--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -15,7 +15,7 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// clients ask real edge nodes over HTTP.
+// clients send the load to the real edge nodes over HTTP.
 type clients struct {
 	fleet  *fleet
 	http   *http.Client
@@ -24,17 +24,17 @@
 }
 
 const (
-	connections = 512              // kept to one edge node
-	lostAfter   = 2 * time.Second  // behind its deadline a request without an answer is lost
+	connections = 512              // idle connections kept to one edge node
+	lostAfter   = 2 * time.Second  // a request without a response this long after its deadline is lost
 	maxAnswer   = 64 << 10         // bytes
-	drainFor    = 10 * time.Second // for requests that are open at the end of the load
+	drainFor    = 10 * time.Second // for requests that are in flight when the load ends
 )
 
 func newClients(f *fleet) *clients {
 	return &clients{fleet: f, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connections, DisableCompression: true}}}
 }
 
-// ask has clients ask an edge node, open-loop, until ctx ends.
+// generateLoad sends requests to an edge node in an open loop until ctx ends.
 func (c *clients) ask(ctx context.Context, p *process) {
 	w, rng := c.fleet.world, rand.New(rand.NewPCG(c.fleet.Seed, uint64(p.no)+1))
 	c.fleet.openLoop(ctx, p.no, func(at time.Duration) {
@@ -46,7 +46,7 @@
 	})
 }
 
-// request makes one request; its time counts from when it was meant to be made.
+// sendRequest makes one request. Its time counts from when it was scheduled.
 func (c *clients) request(p *process, at time.Duration, class *world.Class, tenant *world.Person, units int) {
 	id := fmt.Sprintf("%016x", c.fleet.Seed<<40^c.nextID.Add(1)*0x9e3779b97f4a7c15)
 	ctx, end := context.WithTimeout(context.Background(), class.Deadline.D()+lostAfter)
@@ -55,7 +55,7 @@
 	c.close(id, how, err, at)
 }
 
-// close notes what became of a request that was meant to be made at a time.
+// record counts the outcome of a request that was scheduled at a time.
 func (c *clients) close(id string, how ending, err error, at time.Duration) {
 	took := unixNow() - at
 	server, known := c.fleet.lender.took(id)
@@ -68,10 +68,10 @@
 	c.fleet.realLoad.end(how, took-server)
 }
 
-// errForeign is an answer that no lending server made for the request.
+// errForeignResponse reports a response that no server made for the request.
 var errForeign = errors.New("served with what no lending server made for it")
 
-// do makes a request; the error says why it was lost.
+// do makes a request. The error says why the request was lost.
 func (c *clients) do(ctx context.Context, addr, id string, class *world.Class, tenant *world.Person, units int) (ending, error) {
 	req, err := c.build(ctx, addr, id, class, tenant, units)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return endFailed, nil
 }
 
-// build words a request.
+// newRequest builds the HTTP request.
 func (c *clients) build(ctx context.Context, addr, id string, class *world.Class, tenant *world.Person, units int) (*http.Request, error) {
 	method, body := http.MethodPost, fmt.Sprintf(`{"book":%d}`, units)
 	if class.Effect == "repeatable" {
@@ -120,7 +120,7 @@
 	return req, nil
 }
 
-// drain waits for the requests that are open, but not for ever.
+// drain waits at most drainTimeout for the requests in flight.
 func (c *clients) drain() {
 	done := make(chan struct{})
 	go func() {
--- a/internal/lab/scale/clients_test.go
+++ b/internal/lab/scale/clients_test.go
@@ -11,7 +11,8 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// A client tells by the answer what became of its request, and keeps why the first was lost.
+// A client derives the outcome of a request from the response, and the statistics keep the error of
+// the first lost request.
 func TestEndings(t *testing.T) {
 	c := small()
 	f := &fleet{Config: c, world: describe(&c), realLoad: newLoadBook()}
@@ -26,7 +27,7 @@
 			f.lender.mu.Unlock()
 			_, _ = w.Write([]byte(loanOf(id)))
 		case 1:
-			_, _ = w.Write([]byte(loanOf(id))) // never at a lending server
+			_, _ = w.Write([]byte(loanOf(id))) // the request reached no server
 		case 2:
 			_, _ = w.Write([]byte("something else"))
 		case 3:
--- a/internal/lab/scale/clock.go
+++ b/internal/lab/scale/clock.go
@@ -8,13 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// begun anchors the clock of all edge nodes: monotonic, counted from the Unix epoch.
+// processStart anchors the clock of all edge nodes, which is monotonic and counts from the Unix
+// epoch.
 var begun = time.Now()
 
 func unixNow() time.Duration { return time.Duration(begun.UnixNano()) + time.Since(begun) }
 
-// onThread tells the processor time that a function takes on its thread. The function
-// must not start others that work for it.
+// threadTime returns the processor time that a function takes on its thread. The function must not
+// start goroutines that work for it.
 func onThread(do func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -31,15 +32,15 @@
 	return time.Duration(t.Nano())
 }
 
-// ownTime is the processor time that this process has taken.
+// ownTime returns the processor time that this process has used.
 func ownTime() time.Duration { return clockTime(unix.CLOCK_PROCESS_CPUTIME_ID) }
 
-// processTime is the processor time that another process has taken.
+// processTime returns the processor time that another process has used.
 func processTime(pid int) (time.Duration, error) {
-	const processClock = 2 // in the low bits: the scheduler's clock of a process
+	const processClock = 2 // CPUCLOCK_SCHED in the low bits: the scheduler's clock of a process
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<3|processClock), &t); err != nil {
-		return 0, fmt.Errorf("processor time of process %d: %w", pid, err)
+		return 0, fmt.Errorf("reading the processor time of process %d: %w", pid, err)
 	}
 	return time.Duration(t.Nano()), nil
 }
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -13,21 +13,21 @@
 	"valvering.example/valvering/internal/roster"
 )
 
-const mostWatch = time.Minute // a watch is answered by then
+const mostWatch = time.Minute // a watch gets a response by then
 
-// discovery serves one list to all edge nodes and pushes its changes.
+// discovery serves one list of servers to all edge nodes and pushes its changes.
 type discovery struct {
 	mu      sync.Mutex
 	rev     int64
 	list    *serverList
-	revs    []int64          // by line: the version in which it changed last
-	texts   map[int64][]byte // answers of the version in force, by the version that they follow
-	news    chan struct{}    // closed at each change
+	revs    []int64          // by line: the version of its last change
+	texts   map[int64][]byte // responses of the current version, by the version that the edge node has
+	news    chan struct{}    // closed and replaced at each change
 	servers []*http.Server
 	takes   *takes
 }
 
-// firstRev is the version of the list that edge nodes start with.
+// firstRev is the version of the list with which edge nodes start.
 const firstRev = 1
 
 func newDiscovery(list *serverList, takes *takes) *discovery {
@@ -38,8 +38,8 @@
 	return d
 }
 
-// listen opens an address for an edge node. A watch from a version on tells that this
-// edge node has taken that version; for a number below 0 nothing is concluded.
+// listen opens an address for an edge node. A watch from a version shows that this edge node has
+// applied that version. For a negative number nothing is recorded.
 func (d *discovery) listen(no int) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,11 +70,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = w.Write(text) // the edge node asks again
+	_, _ = w.Write(text) // after an error the edge node asks again
 }
 
-// await waits until there is something newer than a version or a time is over; it is
-// false when nobody waits any more.
+// waitForChange waits until the list is newer than a version or the time limit is over. It returns
+// false when the request is cancelled.
 func (d *discovery) await(ctx context.Context, since int64, limit time.Duration) bool {
 	over := time.NewTimer(limit)
 	defer over.Stop()
@@ -95,7 +95,7 @@
 	}
 }
 
-// answer is the whole list, or what changed after a version. Each is written once.
+// response returns the encoded whole list, or the changes after a version. Each is encoded once.
 func (d *discovery) answer(since int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,7 +110,7 @@
 	return text, err
 }
 
-// pick gathers the lines of an answer; the lock is held.
+// listSince collects the lines of a response. The caller holds the lock.
 func (d *discovery) pick(since int64) roster.List {
 	l := roster.List{Rev: d.rev, All: since == 0, Targets: []roster.Target{}}
 	for i := range d.list.lines {
@@ -122,14 +122,14 @@
 	return l
 }
 
-// known is the list that edge nodes start with.
+// initialList returns the list that edge nodes have in their configuration.
 func (d *discovery) known() roster.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.pick(0)
 }
 
-// change changes some lines at once and tells the new version.
+// change changes some lines in one version of the list and returns this version.
 func (d *discovery) change(lines []int, edit func(*roster.Target)) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,11 +151,11 @@
 	}
 }
 
-// takes notes when each edge node has taken a version of the list.
+// appliedVersions records when each edge node has applied a version of the list.
 type takes struct {
 	mu    sync.Mutex
 	begun map[int64]time.Time
-	took  map[int64]map[int]time.Duration // by version and number: the time since the change
+	took  map[int64]map[int]time.Duration // by version and edge node: the time since the change
 }
 
 func newTakes() *takes {
@@ -168,7 +168,7 @@
 	t.begun[rev], t.took[rev] = now, map[int]time.Duration{}
 }
 
-// note tells that an edge node has taken a version, and with it all before.
+// record notes that an edge node has applied a version, and with it all earlier versions.
 func (t *takes) note(no int, rev int64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,7 +179,7 @@
 	}
 }
 
-// of is how long each edge node took that has taken a version.
+// delays returns how long each edge node that has applied a version took.
 func (t *takes) of(rev int64) map[int]time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -11,8 +11,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// The stand-in serves the whole list and what changed, and a watch tells what its edge
-// node has taken.
+// The stub serves the whole list and its changes, and a watch shows which version its edge node has
+// applied.
 func TestDiscovery(t *testing.T) {
 	c := &Config{Servers: 100}
 	d := newDiscovery(drawList(c, nil), newTakes())
@@ -40,10 +40,10 @@
 		return l
 	}
 	if l := get(""); !l.all || l.rev != firstRev || len(l.servers) != c.Servers {
-		t.Errorf("whole: %d lines, version %d", len(l.servers), l.rev)
+		t.Errorf("whole list: %d lines, version %d", len(l.servers), l.rev)
 	}
 	if l := get("?since=1&timeout_ms=0"); l.all || len(l.servers) != 0 || l.rev != firstRev {
-		t.Errorf("nothing changed: %d lines, version %d", len(l.servers), l.rev)
+		t.Errorf("watch without changes: %d lines, version %d", len(l.servers), l.rev)
 	}
 	answered := make(chan *decodedList, 1)
 	go func() {
@@ -59,34 +59,35 @@
 	}()
 	rev := d.change([]int{3, 4}, removed)
 	if l := <-answered; l == nil || l.all || l.rev != rev || len(l.servers) != 2 || l.servers[0].State != policy.Removed {
-		t.Errorf("a watch: %+v", l)
+		t.Errorf("watch: %+v", l)
 	}
 	if took := d.takes.of(rev); len(took) != 0 {
-		t.Errorf("taken before a watch from it: %v", took)
+		t.Errorf("applied before a watch from this version: %v", took)
 	}
 	get("?since=2&timeout_ms=0")
 	if took := d.takes.of(rev); len(took) != 1 || took[no] <= 0 {
-		t.Errorf("taken: %v", took)
+		t.Errorf("applied: %v", took)
 	}
 	if l := get(""); len(l.servers) != c.Servers-2 {
-		t.Errorf("whole without those removed: %d lines", len(l.servers))
+		t.Errorf("whole list without removed servers: %d lines", len(l.servers))
 	}
 	if rev = d.change([]int{3}, restarted); rev != 3 {
-		t.Errorf("version %d", rev)
+		t.Errorf("version %d, want 3", rev)
 	}
 	if l := get("?since=1&timeout_ms=0"); len(l.servers) != 2 || !l.servers[0].HasStart && !l.servers[1].HasStart {
-		t.Errorf("both changes: %+v", l.servers)
+		t.Errorf("two changes: %+v", l.servers)
 	}
 }
 
-// An edge node that has taken a version has taken all before, and the first time counts.
+// An edge node that has applied a version has applied all earlier ones, and the first report of a
+// version counts.
 func TestTakes(t *testing.T) {
 	takes, now := newTakes(), time.Now()
 	takes.begin(2, now)
 	takes.begin(3, now.Add(time.Second))
 	takes.note(1, 1, now.Add(2*time.Second))
 	if len(takes.of(2)) != 0 {
-		t.Error("an older version is no take")
+		t.Error("a version counts as applied after a report of an older one")
 	}
 	takes.note(1, 3, now.Add(3*time.Second))
 	takes.note(1, 3, now.Add(9*time.Second))
@@ -95,17 +96,17 @@
 	}
 }
 
-// A list with a line that can't be used is an error here: the stand-in makes none.
+// A list with an unusable line is an error, since the stub makes none.
 func TestDecodeList(t *testing.T) {
 	if _, err := decodeList([]byte(`{"rev":1,"all":true,"targets":[{"uid":"s-00000001","endpoint":"127.0.0.1:1","az":"a","state":"SERVING"},{"uid":""}]}`)); !errors.Is(err, errBadLines) {
 		t.Error(err)
 	}
 	if _, err := decodeList([]byte("nothing")); err == nil {
-		t.Error("no list was read")
+		t.Error("text that is no list was decoded without an error")
 	}
 }
 
-// Equal answers are decoded once.
+// Equal responses are decoded once.
 func TestDecoderSharesLists(t *testing.T) {
 	var d decoder
 	body := []byte(`{"rev":1,"all":true,"targets":[{"uid":"s-00000001","endpoint":"127.0.0.1:1","az":"a","state":"SERVING"}]}`)
@@ -121,11 +122,11 @@
 	}
 	d.drop()
 	if again, err := d.take(body); err != nil || again == first {
-		t.Errorf("held after drop: %v", err)
+		t.Errorf("list still cached after the cache was dropped: %v", err)
 	}
 }
 
-// All servers have distinct names and lie in all zones.
+// All servers have distinct names, and each zone has its share of them.
 func TestDrawList(t *testing.T) {
 	l := drawList(&Config{Servers: 56_000}, []string{"127.0.0.1:1"})
 	ids, perZone := map[policy.ServerID]bool{}, map[string]int{}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -15,7 +15,8 @@
 	"valvering.example/valvering/internal/roster"
 )
 
-// fleet is what a run consists of.
+// fleet holds the parts of a run: edge nodes, stub servers, stub discovery, clients and
+// measurements.
 type fleet struct {
 	Config
 	world     *world.World
@@ -31,7 +32,7 @@
 	reals     []*process
 	hollows   []*hollow
 
-	// What hollow edge nodes share.
+	// Shared by the hollow edge nodes.
 	hollowDiscovery string
 	decoder         decoder
 	http            *http.Client
@@ -39,13 +40,13 @@
 	discoveryErrors atomic.Int64
 
 	realLoad, hollowLoad *loadBook
-	end                  context.CancelFunc // of the hollow edge nodes
+	end                  context.CancelFunc // stops the hollow edge nodes
 	measured             measured
 }
 
-// measured is what the phases found; a nil part was not reached.
+// measurements holds what the phases measured. A nil field belongs to a phase that was not reached.
 type measured struct {
-	phases      []Phase // that were played whole
+	phases      []Phase // that ran to their end
 	interrupted bool
 	rest        *span
 	lines       *span
@@ -56,14 +57,14 @@
 	zoneCounts  [sorts]loadCount
 	lost, back  *zoneChange
 	flood       *span
-	flooded     int         // datagrams that each real edge node was sent
-	heap        [2]float64  // of the lab, in bytes: before the hollow edge nodes, and with them
-	resident    [][]float64 // of real ones, in MB: now, most, live heap
+	flooded     int         // datagrams sent to each real edge node
+	heap        [2]float64  // of the lab, in bytes: without and with the hollow edge nodes
+	resident    [][]float64 // of real edge nodes, in MB: current, peak, live heap
 	windows     []Window
 	begun       time.Time
 }
 
-// zoneChange is a change of all servers of a zone.
+// zoneChange is a change of all servers of a zone in one version of the list.
 type zoneChange struct {
 	rev   int64
 	lines int
@@ -73,7 +74,7 @@
 // Phase is a part of a run.
 type Phase string
 
-// The phases, in their order.
+// The phases, in the order of a run.
 const (
 	PhaseStart     Phase = "start"
 	PhaseRest      Phase = "rest"
@@ -83,14 +84,14 @@
 	PhaseDatagrams Phase = "datagrams"
 )
 
-// Sorts of edge node.
+// The kinds of edge node.
 const (
 	sortReal = iota
 	sortHollow
 	sorts
 )
 
-// open opens the stand-ins' sockets and describes the edge nodes.
+// open opens the sockets of the stubs and prepares the edge nodes.
 func (f *fleet) open() error {
 	var err error
 	if f.lender, err = newLender(f.world, f.Seed); err != nil {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// openReals sets the real edge nodes' addresses aside.
+// openReals reserves the addresses of the real edge nodes.
 func (f *fleet) openReals() ([]netip.AddrPort, error) {
 	var addrs []netip.AddrPort
 	for i := range f.Real {
@@ -140,7 +141,7 @@
 	return addrs, nil
 }
 
-// play goes through the phases until ctx ends.
+// runPhases runs the phases in order until ctx ends.
 func (f *fleet) play(ctx context.Context) error {
 	f.measured.begun = time.Now()
 	inner, end := context.WithCancel(context.Background())
@@ -185,9 +186,9 @@
 	return nil
 }
 
-// start starts all edge nodes and waits until they are ready.
+// start starts all edge nodes and waits at most readyTimeout until they are ready.
 func (f *fleet) start(ctx, inner context.Context) error {
-	if _, err := f.discovery.answer(0); err != nil { // written before it is asked for
+	if _, err := f.discovery.answer(0); err != nil { // encodes the whole list before the first request for it
 		return err
 	}
 	f.measured.heap[0] = heapLive()
@@ -215,7 +216,7 @@
 	return nil
 }
 
-// startReals starts the processes, which know the list from their configuration.
+// startReals starts the processes. Their configuration holds the list.
 func (f *fleet) startReals(ctx context.Context, awaited *sync.WaitGroup) error {
 	known := f.discovery.known()
 	for _, p := range f.reals {
@@ -240,7 +241,7 @@
 	}
 }
 
-// pause waits; it is false when ctx ends before.
+// sleep waits for a duration. It returns false when ctx ends first.
 func pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -250,7 +251,7 @@
 	}
 }
 
-// rest measures edge nodes that nobody asks for anything.
+// measureRest measures edge nodes without requests.
 func (f *fleet) rest(ctx context.Context) error {
 	pause(ctx, settleFor)
 	before := f.read()
@@ -259,7 +260,7 @@
 	return nil
 }
 
-// changeLines has single servers restart, one after another.
+// measureLineChanges restarts single servers one after another.
 func (f *fleet) changeLines(ctx context.Context) error {
 	before := f.read()
 	for i := range lineChanges {
@@ -274,7 +275,7 @@
 	return nil
 }
 
-// restarted is the change of a server that has just started.
+// markRestarted changes the line of a server that has just started.
 func restarted(t *roster.Target) { t.State, t.BootMS = stateServing, float64(time.Now().UnixMilli()) }
 
 func removed(t *roster.Target) { t.State = roster.Gone }
@@ -287,7 +288,7 @@
 	return list
 }
 
-// awaitTakes waits until some edge nodes have taken a version, but not for ever.
+// awaitApplied waits at most listTimeout until the given edge nodes have applied a version.
 func (f *fleet) awaitTakes(ctx context.Context, rev int64, awaited []int) {
 	for end := time.Now().Add(listWait); time.Now().Before(end); {
 		took, missing := f.takes.of(rev), 0
@@ -302,7 +303,7 @@
 	}
 }
 
-// underLoad has all edge nodes asked while something is done, and returns the counts.
+// runUnderLoad sends the load to all edge nodes while a function runs, and returns the counts.
 func (f *fleet) underLoad(ctx context.Context, do func(ctx context.Context)) (counts [sorts]loadCount) {
 	f.realLoad.takePhase()
 	f.hollowLoad.takePhase()
@@ -322,7 +323,7 @@
 	return counts
 }
 
-// underFullLoad measures the load.
+// measureLoad measures the edge nodes under load.
 func (f *fleet) underFullLoad(ctx context.Context) error {
 	f.network.startCount()
 	f.measured.loadCounts = f.underLoad(ctx, func(ctx context.Context) {
@@ -334,7 +335,8 @@
 	return nil
 }
 
-// changeZone has a zone's servers leave and come back under load, each in one change.
+// measureZoneChange removes and restores all servers of a zone under load, each in one change of
+// the list.
 func (f *fleet) changeZone(ctx context.Context) error {
 	var lines []int
 	for i := range f.list.lines {
@@ -342,7 +344,7 @@
 			lines = append(lines, i)
 		}
 	}
-	var able []int // a list that is refused is not waited for again
+	var able []int // edge nodes that refused the first change are not waited for again
 	for no := range f.takes.of(f.measured.lineRevs[0]) {
 		able = append(able, no)
 	}
@@ -366,7 +368,7 @@
 	return z
 }
 
-// floodDatagrams sends real edge nodes many datagrams of a kind that was seen.
+// measureDatagramFlood sends many copies of a datagram from the load to the real edge nodes.
 func (f *fleet) floodDatagrams(ctx context.Context) error {
 	seen := f.network.sample.Load()
 	if seen == nil || f.Real == 0 || f.existing() < 2 {
@@ -389,7 +391,7 @@
 	return nil
 }
 
-// readMemory reads what the real edge nodes hold.
+// readMemory reads the memory of the real edge nodes.
 func (f *fleet) readMemory() {
 	for _, p := range f.reals {
 		resident, peak, heap := p.memory()
@@ -397,7 +399,7 @@
 	}
 }
 
-// close ends everything that was started.
+// close stops the edge nodes and stubs, closes all sockets and removes the directory.
 func (f *fleet) close() {
 	if f.end != nil {
 		f.end()
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -14,18 +14,22 @@
 	"valvering.example/valvering/policy"
 )
 
-// What a hollow edge node takes over from a real one.
+// Limits of the loop, as in a real edge node.
 const (
 	eventQueue   = 4096
-	answerMargin = 10 * time.Millisecond // before a client's deadline its answer is decided
-	watchWait    = 20 * time.Second
-	callLimit    = 30 * time.Second // behind the end of a watch's wait
-	callPause    = 100 * time.Millisecond
-	mostList     = 64 << 20 // bytes
-	listsAtOnce  = 4        // whole lists that are read at the same moment
+	answerMargin = 10 * time.Millisecond // time before a client's deadline at which its response is decided
 )
 
-// cause is what an event of the module is about.
+// Limits of the calls to discovery.
+const (
+	watchWait   = 20 * time.Second
+	callLimit   = 30 * time.Second // a watch may take watchTimeout longer
+	callPause   = 100 * time.Millisecond
+	mostList    = 64 << 20 // bytes
+	listsAtOnce = 4        // whole lists that are fetched in parallel
+)
+
+// cause is the kind of event for which the policy module runs.
 type cause int
 
 const (
@@ -41,10 +45,10 @@
 
 var causeNames = [causes]string{"request", "outcome", "tick", "other timer", "datagram", "list", "request given up"}
 
-// tickToken is the module's regular timer.
+// tickToken is the token of the module's periodic timer.
 const tickToken = "tick"
 
-// spending sums up processor time by cause.
+// moduleUsage sums the processor time of the policy module by cause.
 type spending struct {
 	count [causes]int64
 	time  [causes]time.Duration
@@ -57,7 +61,7 @@
 	return sum
 }
 
-// minus is what was spent since an earlier reading.
+// minus returns the usage since an earlier reading.
 func (s spending) minus(before spending) spending {
 	for i := range s.count {
 		s.count[i] -= before.count[i]
@@ -66,15 +70,15 @@
 	return s
 }
 
-// Events of a hollow edge node's loop, beside a policy.PeerMessage.
+// Events of a hollow edge node's loop, besides policy.PeerMessage.
 type (
 	arrival struct {
-		at      time.Duration // when it was meant to come
+		at      time.Duration // scheduled time
 		tenant  *world.Person
 		class   int
 		units   int
-		latency time.Duration // that the server's model will take for each attempt
-		spent   time.Duration // by the module of this edge node when it came
+		latency time.Duration // of each attempt, drawn from the model of the server
+		spent   time.Duration // processor time of this edge node's module at the arrival
 	}
 	listing struct {
 		list *decodedList
@@ -82,7 +86,7 @@
 	}
 )
 
-// hollowTimer is a timer of the module, the end of an attempt or the end of a request's time.
+// hollowTimer is a timer of the module, the end of an attempt, or the deadline of a request.
 type hollowTimer struct {
 	at      time.Duration
 	token   string
@@ -96,10 +100,10 @@
 func (h hollowTimers) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h hollowTimers) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push is heap's.
+// Push implements heap.Interface.
 func (h *hollowTimers) Push(x any) { *h = append(*h, x.(hollowTimer)) }
 
-// Pop is heap's.
+// Pop implements heap.Interface.
 func (h *hollowTimers) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -114,18 +118,18 @@
 	due      time.Duration
 	attempts int
 	out      bool
-	sent     time.Duration // the attempt that is out
+	sent     time.Duration // start of the attempt in flight
 	class    *world.Class
 }
 
-// hollow is an edge node without client and server sockets. Its loop owns the module and
-// the requests.
+// hollow is an edge node without client and server sockets. Its loop owns the policy module and the
+// requests.
 type hollow struct {
 	no      int
 	fleet   *fleet
 	gateway *policy.Gateway
 	events  chan any
-	over    chan struct{} // closed when the loop has ended
+	over    chan struct{} // closed when the loop returns
 	timers  hollowTimers
 	open    map[policy.RequestID]*hollowRequest
 	nextID  policy.RequestID
@@ -135,8 +139,8 @@
 	mu      sync.Mutex
 	spent   spending
 	began   time.Time
-	ready   time.Duration // from its start to a whole list in force; 0: not yet
-	dropped int64         // datagrams, for want of room
+	ready   time.Duration // time from the start until a whole list is in force; 0: not yet
+	dropped int64         // datagrams dropped because the event queue was full
 }
 
 func newHollow(f *fleet, no int) (*hollow, error) {
@@ -146,12 +150,12 @@
 	}
 	g, err := policy.New(settings, f.Seed<<20+uint64(no))
 	if err != nil {
-		return nil, fmt.Errorf("settings of edge node %d: %w", no, err)
+		return nil, fmt.Errorf("invalid settings of edge node %d: %w", no, err)
 	}
 	return &hollow{no: no, fleet: f, gateway: g, events: make(chan any, eventQueue), over: make(chan struct{}), open: map[policy.RequestID]*hollowRequest{}}, nil
 }
 
-// start begins its loop, its peers' datagrams and its watch of discovery.
+// start starts the loop, the reader of the peers' datagrams and the watch of discovery.
 func (h *hollow) start(ctx context.Context) {
 	h.mu.Lock()
 	h.began = time.Now()
@@ -161,7 +165,7 @@
 	go h.follow(ctx)
 }
 
-// hear takes in a datagram; one that finds no room is lost.
+// receive queues a datagram, or drops it if the queue is full.
 func (h *hollow) hear(from sender, data []byte) {
 	n := h.fleet.network
 	n.noteIn(h.no, data)
@@ -175,7 +179,7 @@
 	}
 }
 
-// post hands the loop an event; it is false once the loop has ended.
+// post sends the loop an event. It returns false once the loop has ended.
 func (h *hollow) post(ev any) bool {
 	select {
 	case h.events <- ev:
@@ -244,7 +248,7 @@
 		Units: float64(a.units), Remaining: max(0, r.due-now), First: a.tenant.First, Spread: a.tenant.Spread})
 }
 
-// takeList puts a list in force and tells when it is.
+// applyList passes a list to the module and records when it is in force.
 func (h *hollow) takeList(l listing) {
 	h.decide(causeList, policy.Members{Kind: l.kind, Servers: l.list.servers})
 	h.fleet.takes.note(h.no, l.list.rev, time.Now())
@@ -255,7 +259,8 @@
 	}
 }
 
-// end tells of an attempt's end. What ends well is the answer.
+// finishAttempt reports the outcome of an attempt to the module. A successful attempt serves the
+// request.
 func (h *hollow) end(o policy.Outcome) {
 	r := h.open[o.ID]
 	if r != nil {
@@ -269,7 +274,7 @@
 	h.decide(causeOutcome, o)
 }
 
-// giveUp ends a request whose time is over.
+// expire fails a request at its deadline.
 func (h *hollow) giveUp(id policy.RequestID) {
 	if h.open[id] == nil {
 		return
@@ -283,7 +288,7 @@
 	h.fleet.hollowLoad.end(how, added)
 }
 
-// decide hands an event to the module and carries out what it wants done.
+// dispatch passes an event to the module and performs the resulting actions.
 func (h *hollow) decide(why cause, ev policy.Event) {
 	h.queue = append(h.queue[:0], ev)
 	for i := 0; i < len(h.queue); i++ {
@@ -295,7 +300,7 @@
 		for _, a := range h.acts {
 			h.act(a)
 		}
-		why = causeOutcome // what an action brings about at once
+		why = causeOutcome // events that an action causes at once
 	}
 }
 
@@ -316,7 +321,7 @@
 	}
 }
 
-// send begins an attempt. The model of the server serves it in any case.
+// startAttempt starts an attempt. The model of the server serves every attempt.
 func (h *hollow) send(s policy.Send) {
 	r := h.open[s.ID]
 	outcome := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.Moot, Over: r == nil}
@@ -337,7 +342,7 @@
 	heap.Push(&h.timers, hollowTimer{at: r.sent + latency, outcome: &outcome})
 }
 
-// cancel ends an attempt that is out.
+// cancelAttempt ends an attempt in flight.
 func (h *hollow) cancel(c policy.Cancel) {
 	r := h.open[c.ID]
 	if r == nil || !r.out || r.attempts-1 != c.Attempt {
@@ -353,14 +358,14 @@
 	}
 }
 
-// final answers a request that is not served.
+// reject ends a request that is refused or has failed.
 func (h *hollow) final(id policy.RequestID, how ending) {
 	if h.open[id] != nil {
 		h.close(id, how, 0)
 	}
 }
 
-// follow fetches the whole list and watches it until ctx ends.
+// followDiscovery fetches the whole list and watches it until ctx ends.
 func (h *hollow) follow(ctx context.Context) {
 	rev, have := int64(0), false
 	for ctx.Err() == nil {
@@ -384,7 +389,7 @@
 	}
 }
 
-// fetch asks for the whole list, or waits for what changes after a version.
+// fetchList requests the whole list, or waits for changes after a version.
 func (h *hollow) fetch(ctx context.Context, rev int64, have bool) (*decodedList, error) {
 	url, limit := "http://"+h.fleet.hollowDiscovery+"/v1/servers", callLimit
 	if have {
@@ -406,7 +411,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("status %d", resp.StatusCode)
+		return nil, fmt.Errorf("discovery responded with status %d", resp.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, mostList))
 	if err != nil {
@@ -415,7 +420,7 @@
 	return h.fleet.decoder.take(body)
 }
 
-// ask has requests come, open-loop, until ctx ends.
+// generateLoad creates requests in an open loop until ctx ends.
 func (h *hollow) ask(ctx context.Context) {
 	w, rng := h.fleet.world, rand.New(rand.NewPCG(h.fleet.Seed, uint64(h.no)+1))
 	model := latencyModel{w}
@@ -427,14 +432,14 @@
 	})
 }
 
-// spentTime is the processor time that its module has taken.
+// moduleTime returns the processor time that the module has used.
 func (h *hollow) spentTime() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.spent.total()
 }
 
-// reading is what it has spent and lost until now.
+// stats returns the usage, the time until ready and the number of dropped datagrams.
 func (h *hollow) reading() (spent spending, ready time.Duration, dropped int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/scale/lending.go
+++ b/internal/lab/scale/lending.go
@@ -13,10 +13,10 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// endpointCount is how many addresses all lines of the list share.
+// endpointCount is the number of addresses that all lines of the list share.
 const endpointCount = 4
 
-// latencyModel draws how long a lending server takes for a request: log-normal, by class.
+// latencyModel draws the service time of a request from a log-normal distribution of its class.
 type latencyModel struct{ world *world.World }
 
 func (m latencyModel) draw(class int, rng *rand.Rand) time.Duration {
@@ -25,14 +25,14 @@
 	return time.Duration(float64(mean) * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2))
 }
 
-// lender stands in for all lending servers of the real edge nodes.
+// stubServers stand in for all servers of the real edge nodes.
 type lender struct {
 	model   latencyModel
 	servers []*http.Server
 	addrs   []string
 	mu      sync.Mutex
 	rng     *rand.Rand
-	held    map[string]time.Duration // by request: how long the server took
+	held    map[string]time.Duration // by request: the service time
 }
 
 func newLender(w *world.World, seed uint64) (*lender, error) {
@@ -40,7 +40,7 @@
 	for range endpointCount {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return l, fmt.Errorf("lending server: %w", err)
+			return l, fmt.Errorf("opening a socket for the stub servers: %w", err)
 		}
 		srv := &http.Server{Handler: l}
 		l.servers, l.addrs = append(l.servers, srv), append(l.addrs, ln.Addr().String())
@@ -49,7 +49,7 @@
 	return l, nil
 }
 
-// ServeHTTP answers a request after a drawn time.
+// ServeHTTP responds after a service time that it draws.
 func (l *lender) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	id := r.Header.Get("X-Request-Id")
@@ -65,7 +65,7 @@
 	l.mu.Lock()
 	l.held[id] = time.Since(began)
 	l.mu.Unlock()
-	_, _ = w.Write([]byte(loanOf(id))) // the edge node may have given up
+	_, _ = w.Write([]byte(loanOf(id))) // the edge node may have cancelled the attempt
 }
 
 func (l *lender) classOf(name string) int {
@@ -77,7 +77,7 @@
 	return -1
 }
 
-// took is how long the server took for a request; it is forgotten.
+// takeServiceTime returns the service time of a request and removes the entry.
 func (l *lender) took(id string) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,5 +92,5 @@
 	}
 }
 
-// loanOf is the answer made for a request.
+// loanBody returns the response body for a request.
 func loanOf(id string) string { return `{"loan":"` + id + `"}` }
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -14,14 +14,14 @@
 	"valvering.example/valvering/policy"
 )
 
-// serversPerCell is how many lending servers share a cell.
+// serversPerCell is the number of servers in a cell.
 const serversPerCell = 4
 
 // serverList holds the lines of discovery's list.
 type serverList struct{ lines []roster.Target }
 
-// drawList makes the list of a fleet whose servers have run for long. All lines share
-// the endpoints: a lending stand-in answers there for every server.
+// drawList makes the list of a fleet whose servers have long been running. All lines share the
+// endpoints, where the stub servers respond for every server.
 func drawList(c *Config, endpoints []string) *serverList {
 	if len(endpoints) == 0 {
 		endpoints = []string{"127.0.0.1:9"}
@@ -39,10 +39,9 @@
 	return l
 }
 
-// States of a line, beside roster.Gone.
-const stateServing = "SERVING"
+const stateServing = "SERVING" // state of a line, besides roster.Gone
 
-// module gives the list in the module's form.
+// policyServers returns the list in the form of package policy.
 func (l *serverList) module() []policy.Server { return moduleServers(l.lines) }
 
 func moduleServers(lines []roster.Target) []policy.Server {
@@ -53,16 +52,16 @@
 	return servers
 }
 
-// decodedList is a list as discovery told it, in the module's form.
+// decodedList is a list received from discovery, in the form of package policy.
 type decodedList struct {
 	rev     int64
 	all     bool
 	servers []policy.Server
 }
 
-var errBadLines = errors.New("a line of the list can't be used")
+var errBadLines = errors.New("the list has an unusable line")
 
-// decodeList is the one place where the lab reads a list.
+// decodeList decodes a list for the hollow edge nodes.
 func decodeList(body []byte) (*decodedList, error) {
 	var l roster.List
 	if err := json.Unmarshal(body, &l); err != nil {
@@ -74,12 +73,12 @@
 	return &decodedList{l.Rev, l.All, moduleServers(l.Targets)}, nil
 }
 
-// decoder decodes each distinct answer of discovery once for all hollow edge nodes: an
-// edge node of its own would decode its own, and what that takes is measured here.
+// decoder decodes each distinct response of discovery once for all hollow edge nodes. A real edge
+// node decodes its own; decoder measures the cost.
 type decoder struct {
 	mu     sync.Mutex
 	held   map[uint64]*decoding
-	decode DecodeCost // of the largest answer
+	decode DecodeCost // of the largest response
 }
 
 type decoding struct {
@@ -88,10 +87,10 @@
 	err  error
 }
 
-// mostHeld is how many decoded answers are kept.
+// maxCachedLists is the number of decoded responses in the cache.
 const mostHeld = 16
 
-// take returns a decoded answer.
+// decode returns the decoded form of a response.
 func (d *decoder) take(body []byte) (*decodedList, error) {
 	key := xxhash.Sum64(body)
 	d.mu.Lock()
@@ -119,14 +118,14 @@
 	}
 }
 
-// cost is that of the largest answer.
+// cost returns the decoding cost of the largest response.
 func (d *decoder) cost() DecodeCost {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.decode
 }
 
-// drop lets go of what is held.
+// dropCache releases the decoded lists.
 func (d *decoder) drop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -11,18 +11,18 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// A load is not kept when more than this share of its requests came later than so much.
+// A run is unsound when more than maxLateShare of its requests are later than lateThreshold.
 const (
 	lateBy   = 50 * time.Millisecond
 	mostLate = 0.01
 )
 
-// openLoop calls back at each time of a Poisson stream of an edge node's own, on the
-// clock of unixNow, until ctx ends. It does not wait for what becomes of a request.
+// openLoop calls onArrival at each arrival of an edge node's own Poisson process, on the clock of
+// unixNow, until ctx ends. It does not wait for the outcome of a request.
 func (f *fleet) openLoop(ctx context.Context, no int, come func(at time.Duration)) {
 	source, err := load.New(&world.Load{Rate: f.Rate, Shape: "poisson"}, f.Seed<<16+uint64(no), nil)
 	if err != nil {
-		panic(err) // only a trace can fail
+		panic(err) // only a load read from a trace can fail
 	}
 	start := unixNow()
 	wake := time.NewTimer(0)
@@ -45,41 +45,41 @@
 	}
 }
 
-// ending is what became of a request.
+// requestOutcome is the outcome of a request.
 type ending int
 
 const (
 	endServed ending = iota
 	endRefused
 	endFailed
-	endLost // no answer, or one that no lending server made
+	endLost // no response, or one that no server made
 	endings
 )
 
-// Range of the histograms of added time, in microseconds, and their digits.
+// Range and precision of the histograms of added time.
 const (
-	leastAdded  = 1
-	mostAdded   = 120_000_000
-	addedDigits = 3
+	leastAdded  = 1           // microseconds
+	mostAdded   = 120_000_000 // microseconds
+	addedDigits = 3           // significant decimal digits
 )
 
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(leastAdded, mostAdded, addedDigits)
 }
 
-// loadBook counts the requests of one sort of edge node.
+// loadStats counts the requests of one kind of edge node, for the phase and for the current second.
 type loadBook struct {
 	mu     sync.Mutex
 	phase  loadCount
 	second loadCount
 }
 
-// loadCount is what came during a time.
+// loadCount counts the requests of an interval.
 type loadCount struct {
 	asked, late          int
 	handledLate, starved int
 	ends                 [endings]int
-	lostWhy              error                   // of the first that was lost
+	lostWhy              error                   // error of the first lost request
 	added                *hdrhistogram.Histogram // microseconds
 }
 
@@ -87,7 +87,7 @@
 
 func newLoadBook() *loadBook { return &loadBook{phase: newLoadCount(), second: newLoadCount()} }
 
-// asked notes a request that came so much later than it was meant to.
+// addRequest counts a request that was made late by the given time.
 func (b *loadBook) asked(late time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,8 +98,9 @@
 	}
 }
 
-// handled notes how long a request waited for a hollow edge node's loop, and for how much
-// of that its module was at work. The rest of a long wait is the machine's.
+// addWait counts how long a request waited for the loop of a hollow edge node, and how much of this
+// wait the policy module of that edge node was at work. The rest of a long wait is due to the
+// machine.
 func (b *loadBook) handled(wait, work time.Duration) {
 	if wait <= lateBy {
 		return
@@ -112,19 +113,19 @@
 	}
 }
 
-// end notes an end; added is the time over what the server took, where it was served.
+// addOutcome counts an outcome. For a served request, added is the time above the service time.
 func (b *loadBook) end(how ending, added time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range []*loadCount{&b.phase, &b.second} {
 		c.ends[how]++
 		if how == endServed {
-			_ = c.added.RecordValue(min(mostAdded, max(leastAdded, added.Microseconds()))) // in range
+			_ = c.added.RecordValue(min(mostAdded, max(leastAdded, added.Microseconds()))) // the value is in range
 		}
 	}
 }
 
-// lost notes why a request was lost, where it is the first.
+// addLoss records why a request was lost, if it is the first of the phase.
 func (b *loadBook) lost(why error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -133,7 +134,7 @@
 	}
 }
 
-// takePhase returns what came since the last call.
+// takePhase returns the counts since the last call.
 func (b *loadBook) takePhase() loadCount {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -142,7 +143,7 @@
 	return c
 }
 
-// takeSecond is the same for the seconds.
+// takeSecond returns the counts since the last call of takeSecond.
 func (b *loadBook) takeSecond() loadCount {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,7 +152,7 @@
 	return c
 }
 
-// addedMS is a quantile of the added time, in milliseconds; 0 of none.
+// addedMS returns a quantile of the added time in milliseconds, or 0 without values.
 func (c *loadCount) addedMS(percent float64) float64 {
 	return float64(c.added.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/lab/scale/memory.go
+++ b/internal/lab/scale/memory.go
@@ -12,24 +12,24 @@
 	"valvering.example/valvering/policy"
 )
 
-// Reckoned memory of what is not measured before the run, in bytes. Those of a real edge
-// node are above what its process was seen to hold.
+// Estimates in bytes of the memory that is not measured before the run. The estimates for a real
+// edge node are higher than the memory of its process.
 const (
 	labBase       = 64 << 20
-	labPerServer  = 3 << 10 // lines, their text, and the decoding of a whole list
-	labPerNode    = 8 << 10 // a sink socket with its reader
+	labPerServer  = 3 << 10 // lines, their encoded form, and the decoding of a whole list
+	labPerNode    = 8 << 10 // a sink socket and its reader
 	realBase      = 24 << 20
 	realPerServer = 5 << 10
 	hollowBase    = 512 << 10
 )
 
-// memoryNeed is what a run is reckoned to need, in bytes.
+// memoryNeed is the estimated memory of a run in bytes.
 type memoryNeed struct {
-	lab, real, hollow float64 // real, hollow: of one edge node
+	lab, real, hollow float64 // real and hollow: for one edge node
 }
 
-// memoryNeed reckons the need. The module's state of one hollow edge node is measured,
-// by building one.
+// memoryNeed estimates the memory of the run. It builds the module's state of one hollow edge node
+// to measure it.
 func (f *fleet) memoryNeed() (memoryNeed, error) {
 	state, err := f.hollowState()
 	if err != nil {
@@ -43,7 +43,7 @@
 	}, nil
 }
 
-// hollowState is the memory of the module's state with the whole list, in bytes.
+// hollowState returns the memory of the module's state with the whole list, in bytes.
 func (f *fleet) hollowState() (float64, error) {
 	settings, err := f.world.Settings(0)
 	if err != nil {
@@ -53,7 +53,7 @@
 	before := heapLive()
 	g, err := policy.New(settings, f.Seed)
 	if err != nil {
-		return 0, fmt.Errorf("settings: %w", err)
+		return 0, fmt.Errorf("invalid settings: %w", err)
 	}
 	g.Handle(unixNow(), policy.Members{Kind: policy.Whole, Servers: servers}, nil)
 	after := heapLive()
@@ -62,7 +62,7 @@
 	return max(0, after-before), nil
 }
 
-// heapLive is the live heap of this process, in bytes.
+// heapLive returns the live heap of this process in bytes.
 func heapLive() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -70,8 +70,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// check refuses what needs more than half of the machine's memory, and tells how many
-// hollow edge nodes would fit.
+// check returns a Problem for a run that needs more than half of the machine's memory. The Problem
+// names the number of hollow edge nodes that fit.
 func (n memoryNeed) check(c *Config) error {
 	machine, err := machineMemory()
 	if err != nil {
@@ -92,13 +92,13 @@
 
 const megabyte = 1 << 20
 
-// machineMemory is the machine's memory, in bytes.
+// machineMemory returns the machine's memory in bytes.
 func machineMemory() (float64, error) {
 	kilobytes, err := procFigure("/proc/meminfo", "MemTotal:")
 	return kilobytes * 1024, err
 }
 
-// procFigure reads the figure behind a name from a file of lines such as "VmRSS: 12 kB".
+// procFigure reads the figure after a name from a file with lines such as "VmRSS: 12 kB".
 func procFigure(path, name string) (float64, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -112,22 +112,22 @@
 			return strconv.ParseFloat(words[1], 64)
 		}
 	}
-	return 0, fmt.Errorf("%s: no %s", path, name)
+	return 0, fmt.Errorf("%s has no line %s", path, name)
 }
 
-// Descriptors that the lab keeps beside the sinks: for each edge node its sockets and
-// connections, and some for itself.
+// File descriptors of the lab besides the sink sockets.
 const (
-	descriptorsPerNode = 4
+	descriptorsPerNode = 4   // sockets and connections of an edge node
 	descriptorsPerReal = 128 // connections of clients and servers
 	descriptorsSpare   = 64
 )
 
-// checkDescriptors refuses what needs more open files than this process may have.
+// checkDescriptors returns a Problem for a run that needs more open files than this process may
+// have.
 func (c *Config) checkDescriptors() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("limit of open files: %w", err)
+		return fmt.Errorf("reading the limit of open files: %w", err)
 	}
 	need := uint64(c.Nodes + descriptorsPerNode*c.existing() + descriptorsPerReal*c.Real + descriptorsSpare)
 	if need > limit.Cur {
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-const mostDatagram = 256 // bytes; longer ones break the platform's rule
+const mostDatagram = 256 // bytes, the platform's limit
 
-// network carries the datagrams between edge nodes. Hollow ones and the relays of real
-// ones have a socket each, whose address all are told; an edge node that does not exist
-// has a sink socket. Each datagram is written to a socket of its receiver from the
-// address that the receiver was told for the sender.
+// network carries the datagrams between edge nodes. Each hollow edge node and the relay of each
+// real one has a socket, whose address is in the list of peers of all edge nodes. An edge node that
+// does not exist has a sink socket. Each datagram is written to a socket of its receiver from the
+// address that the receiver's list of peers has for the sender.
 type network struct {
 	config  *Config
-	peers   []string               // as all edge nodes are told
-	conns   []*net.UDPConn         // of those that exist: a hollow one's own, or a real one's relay
-	targets []netip.AddrPort       // where datagrams to those that exist are written
-	from    map[netip.AddrPort]int // by the address that an edge node itself writes from
-	relayed map[netip.AddrPort]int // by the relay's address of a real one
+	peers   []string               // the list of peers of all edge nodes
+	conns   []*net.UDPConn         // by existing edge node: the socket of a hollow one, or the relay of a real one
+	targets []netip.AddrPort       // by existing edge node: the destination of its datagrams
+	from    map[netip.AddrPort]int // edge node by its own source address
+	relayed map[netip.AddrPort]int // real edge node by the address of its relay
 	sinks   []*net.UDPConn
-	sinkTo  []netip.AddrPort // by number, from the first that does not exist
-	all     *net.UDPConn     // reaches all edge nodes, for real senders
-	ledgers []*ledger        // by number
-	sunk    ledger           // datagrams to those that don't exist
+	sinkTo  []netip.AddrPort // by edge node that does not exist, starting with the first
+	all     *net.UDPConn     // broadcasts the datagrams of real edge nodes
+	ledgers []*ledger        // by existing edge node
+	sunk    ledger           // datagrams to edge nodes that don't exist
 	sample  atomic.Pointer[sample]
-	long    atomic.Int64 // datagrams over mostDatagram
+	long    atomic.Int64 // datagrams over maxDatagramBytes
 }
 
-// sample is a datagram that was seen, to be repeated.
+// sample is a datagram of the load, kept for the flood.
 type sample struct{ data []byte }
 
-// newNetwork opens the sockets. The addresses of real edge nodes are theirs to open.
+// newNetwork opens all sockets except those of the real edge nodes.
 func newNetwork(c *Config, real []netip.AddrPort) (*network, error) {
 	n := &network{config: c, from: map[netip.AddrPort]int{}, relayed: map[netip.AddrPort]int{}}
 	for no := range c.existing() {
@@ -54,7 +54,7 @@
 func (n *network) addNode(no int, real []netip.AddrPort) error {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return fmt.Errorf("socket of edge node %d: %w", no, err)
+		return fmt.Errorf("opening the socket of edge node %d: %w", no, err)
 	}
 	told := conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	target := told
@@ -68,14 +68,14 @@
 	return nil
 }
 
-// addSinks opens a socket for each edge node that does not exist, all at one port.
+// addSinks opens a socket for each edge node that does not exist. All have the same port.
 func (n *network) addSinks(count int) error {
 	port := 0
 	for i := range count {
 		at := &net.UDPAddr{IP: net.IPv4(127, 2, byte(i>>8), byte(i)), Port: port}
 		conn, err := net.ListenUDP("udp4", at)
 		if err != nil {
-			return fmt.Errorf("sink socket %d of %d: %w", i+1, count, err)
+			return fmt.Errorf("opening sink socket %d of %d: %w", i+1, count, err)
 		}
 		addr := conn.LocalAddr().(*net.UDPAddr).AddrPort()
 		port = int(addr.Port())
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// run starts the readers of all sockets but those of hollow edge nodes.
+// run starts the readers of all sockets except those of hollow edge nodes.
 func (n *network) run() {
 	for no := range n.conns {
 		if n.config.isReal(no) {
@@ -106,13 +106,13 @@
 	})
 }
 
-// sender is who a datagram is from.
+// sender is the edge node that sent a datagram.
 type sender struct {
 	no      int
-	relayed bool // it came through the lab, and is counted as sent already
+	relayed bool // came through the lab, which has counted it as sent
 }
 
-// senderAt tells who writes from an address.
+// senderAt returns the sender with a source address.
 func (n *network) senderAt(addr netip.AddrPort) (from sender, known bool) {
 	if no, own := n.from[addr]; own {
 		return sender{no: no}, true
@@ -121,8 +121,8 @@
 	return sender{no, true}, known
 }
 
-// read hands over what edge nodes that exist send to a socket, until it is closed. The
-// data holds until the function returns.
+// read passes the datagrams that existing edge nodes send to a socket to a function, until the
+// socket is closed. The data is valid until the function returns.
 func (n *network) read(conn *net.UDPConn, take func(from sender, data []byte)) {
 	buf := make([]byte, mostDatagram+1)
 	for {
@@ -146,10 +146,9 @@
 	}
 }
 
-const readPause = time.Millisecond // behind an error, so that none is met without pause
+const readPause = time.Millisecond // after a read error, to avoid a busy loop
 
-// tell sends a hollow edge node's datagram to one edge node, or to all for a number
-// below 0.
+// send sends a datagram of a hollow edge node to another one, or to all others if to is negative.
 func (n *network) tell(from, to int, data []byte) {
 	n.noteOut(from, data)
 	switch {
@@ -158,16 +157,16 @@
 	case to < len(n.conns):
 		n.deliver(from, to, data)
 	case to < n.config.Nodes:
-		_, _ = n.conns[from].WriteToUDPAddrPort(data, n.sinkTo[to-len(n.conns)]) // lost, like one on the way
+		_, _ = n.conns[from].WriteToUDPAddrPort(data, n.sinkTo[to-len(n.conns)]) // an error loses the datagram, as a network may
 	}
 }
 
-// deliver writes a datagram to an edge node that exists.
+// deliver writes a datagram to an existing edge node.
 func (n *network) deliver(from, to int, data []byte) {
 	if n.config.isReal(to) {
-		n.noteIn(to, data) // a hollow one counts what it reads
+		n.noteIn(to, data) // a hollow edge node counts what it reads
 	}
-	_, _ = n.conns[from].WriteToUDPAddrPort(data, n.targets[to]) // lost, like one on the way
+	_, _ = n.conns[from].WriteToUDPAddrPort(data, n.targets[to]) // an error loses the datagram, as a network may
 }
 
 func (n *network) deliverAll(from int, data []byte) {
@@ -187,15 +186,15 @@
 	}
 }
 
-// noteFirst counts a real edge node's datagram as sent where the lab sees it first; a
-// hollow one's is counted when it is told.
+// countFirst counts a datagram of a real edge node as sent where the lab first receives it.
+// Datagrams of hollow edge nodes are counted by send.
 func (n *network) noteFirst(from sender, data []byte) {
 	if !from.relayed && n.config.isReal(from.no) {
 		n.noteOut(from.no, data)
 	}
 }
 
-// startCount forgets what was counted before.
+// startCount resets all counters.
 func (n *network) startCount() {
 	for _, l := range n.ledgers {
 		l.reset()
@@ -211,21 +210,23 @@
 	}
 }
 
-// kind is that of a datagram, by its second byte; those that start otherwise are reports.
+// kind is the kind of a datagram, from its second byte. Datagrams with another version byte are
+// reports.
 type kind int
 
-// Words on an outcome to the server's watcher.
+// Failure observations, which edge nodes send to a server's health monitor.
 const (
 	kindSight       kind = 3
 	kindMarkedSight kind = 6
 )
 
-// The kinds of datagram of the module's wire, and one for reports and unknown ones.
+// kindNames are the kinds of datagram of package policy, and a last one for reports and unknown
+// datagrams.
 var kindNames = [...]string{"ask", "answer", "ended", "sight", "verdict", "tables", "marked sight", "marked verdict",
 	"leave", "handed", "took", "judged", "ended for", "still out", "report or other"}
 
 const (
-	shortVersion = 3 // of all datagrams but reports
+	shortVersion = 3 // version byte of all datagrams except reports
 	kindOther    = kind(len(kindNames) - 1)
 )
 
@@ -236,7 +237,7 @@
 	return kind(data[1])
 }
 
-// direction of a datagram, seen from an edge node.
+// direction is the direction of a datagram as seen from an edge node.
 type direction int
 
 const (
@@ -248,13 +249,13 @@
 // flow counts datagrams and their bytes.
 type flow struct{ datagrams, bytes int64 }
 
-// ledger counts the datagrams of one edge node.
+// datagramCounter counts the datagrams of one edge node.
 type ledger struct {
 	mu     sync.Mutex
 	flows  [directions][len(kindNames)]flow
-	second int64 // Unix time of the second at hand
-	within int   // datagrams taken in during that second
-	peak   int   // most taken in during a second
+	second int64 // Unix time of the current second
+	within int   // datagrams received in the current second
+	peak   int   // most datagrams received in a second
 }
 
 func (l *ledger) note(d direction, data []byte) {
@@ -279,7 +280,7 @@
 	l.flows, l.peak, l.within = [directions][len(kindNames)]flow{}, 0, 0
 }
 
-// read is what was counted.
+// read returns the counts and the peak.
 func (l *ledger) read() (flows [directions][len(kindNames)]flow, peak int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/scale/network_test.go
+++ b/internal/lab/scale/network_test.go
@@ -9,8 +9,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// Datagrams are counted by sender, receiver and kind on every way: between hollow and
-// real edge nodes, to all, and to those that don't exist.
+// Datagrams are counted by sender, receiver and kind on every path: between hollow and real edge
+// nodes, to all, and to edge nodes that don't exist.
 func TestDatagramsAreCounted(t *testing.T) {
 	c := &Config{Nodes: 10, Real: 2, Hollow: 2}
 	const hollow, real, otherReal = 0, 1, 2
@@ -46,10 +46,10 @@
 		}
 	}
 	n.tell(hollow, real, ask)                           // hollow to real
-	n.tell(hollow, 7, ask)                              // hollow to one that does not exist
+	n.tell(hollow, 7, ask)                              // hollow to a missing one
 	send(reals[0], n.peers[hollow], ask)                // real to hollow
 	send(reals[0], n.peers[otherReal], ask)             // real to real
-	send(reals[0], n.peers[9], ask)                     // real to one that does not exist
+	send(reals[0], n.peers[9], ask)                     // real to a missing one
 	send(reals[0], n.all.LocalAddr().String(), verdict) // real to all
 	check := func(no int, d direction, k kind, want, bytes int64) {
 		t.Helper()
@@ -66,11 +66,11 @@
 	check(real, directionOut, 4, 1, 3)
 	check(otherReal, directionIn, 0, 1, 4)
 	check(otherReal, directionIn, 4, 1, 3)
-	testkit.Eventually(t, "two datagrams in sinks", func() bool {
+	testkit.Eventually(t, "two datagrams in the sinks", func() bool {
 		flows, _ := n.sunk.read()
 		return flows[directionIn][0] == flow{2, 8}
 	})
-	for _, want := range []string{n.peers[hollow], n.peers[otherReal]} { // each comes from the address that was told
+	for _, want := range []string{n.peers[hollow], n.peers[otherReal]} { // each comes from the address in the list of peers
 		buf := make([]byte, mostDatagram)
 		conn := reals[0]
 		if want == n.peers[otherReal] {
@@ -82,14 +82,14 @@
 	}
 }
 
-// The kinds' names fit the module's wire.
+// The names of the kinds match the encoding of package policy.
 func TestKinds(t *testing.T) {
 	for _, data := range [][]byte{nil, {1}, {shortVersion}, {2, 0, 0}, {shortVersion, 200}} {
 		if kindOf(data) != kindOther {
-			t.Errorf("%v is a %s", data, kindNames[kindOf(data)])
+			t.Errorf("%v: kind %s, want the last kind", data, kindNames[kindOf(data)])
 		}
 	}
-	// An ask as the module reads it: customer, first, spread, plan, class, units, left, tag, thin, fill, repeat.
+	// Fields of an ask: customer, first, spread, plan, class, units, left, tag, thin, fill, repeat.
 	ask := append([]byte{shortVersion, 0}, make([]byte, 8+2+2+1+1+2+2+4+1+1+1)...)
 	if _, is := policy.ReadAsk(ask); !is || kindNames[kindOf(ask)] != "ask" {
 		t.Errorf("ask: %v, %s", is, kindNames[kindOf(ask)])
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -7,7 +7,7 @@
 	"valvering.example/valvering/internal/lab/report"
 )
 
-// WritePage writes a result as one page that needs nothing else.
+// WritePage writes a result as a self-contained HTML page.
 func WritePage(w io.Writer, r *Result, command []string) error {
 	page := struct {
 		*Result
@@ -20,7 +20,7 @@
 		if err != nil {
 			return err
 		}
-		page.Charts = append(page.Charts, template.HTML(text)) // made here, not taken from anywhere
+		page.Charts = append(page.Charts, template.HTML(text)) // generated here, so it needs no escaping
 	}
 	return pageTemplate.Execute(w, page)
 }
@@ -35,7 +35,7 @@
 	lines       []report.Line
 }
 
-// charts draws the seconds of a run.
+// charts returns the charts of a run over its seconds.
 func charts(r *Result) []chart {
 	of := func(name string, group func(*Window) *WindowOf, figure func(*WindowOf) float64) report.Line {
 		l := report.Line{Name: name}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -20,30 +20,33 @@
 	"valvering.example/valvering/internal/loopback"
 )
 
-// Limits that a real edge node is told.
+// Limits in the configuration of a real edge node.
 const (
 	toldMemoryMB = 512
 	toldSockets  = 4096
-	pollReady    = 10 * time.Millisecond
-	stopWithin   = 8 * time.Second
 )
 
-// process is a real edge node.
+const (
+	pollReady  = 10 * time.Millisecond // between two checks while waiting
+	stopWithin = 8 * time.Second       // until a process that is asked to stop is killed
+)
+
+// process is the process of a real edge node.
 type process struct {
 	no        int
 	at        *loopback.Address
 	discovery string
 	cmd       *exec.Cmd
-	over      chan struct{} // closed when it has ended
+	over      chan struct{} // closed when the process has ended
 	began     time.Time
 
 	mu    sync.Mutex
-	ready time.Duration // from its start; 0: not yet
-	heap  float64       // live after its last collection, in MB
-	lines []string      // the last that it wrote
+	ready time.Duration // time from the start until ready; 0: not yet
+	heap  float64       // live heap after the last garbage collection, in MB
+	lines []string      // last lines of its standard error
 }
 
-// start starts the program.
+// start writes the configuration and starts the program.
 func (p *process) start(f *fleet, known any) error {
 	settings := f.world.Facts(p.no)
 	config := map[string]any{
@@ -62,31 +65,31 @@
 	}
 	p.cmd = exec.Command(f.Program)
 	p.cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", "GOMAXPROCS=1", "GODEBUG=gctrace=1")
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // a terminal's Ctrl-C is the lab's alone
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // the terminal's Ctrl-C reaches only the lab
 	said, err := p.cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
 	p.began = time.Now()
 	if err := p.cmd.Start(); err != nil {
-		return fmt.Errorf("edge node %d: %w", p.no, err)
+		return fmt.Errorf("starting edge node %d: %w", p.no, err)
 	}
 	p.over = make(chan struct{})
 	go func() {
 		p.listen(said)
-		_ = p.cmd.Wait() // how it ended is told by what it wrote
+		_ = p.cmd.Wait() // exitError reports the state and the last lines of output
 		close(p.over)
 	}()
 	return nil
 }
 
-// collection is a line of the run-time's trace of its garbage collector; the third
-// figure is the live heap in MB.
+// gcTraceLine matches a line of the garbage collector's trace. The third heap size is the live heap
+// in MB.
 var collection = regexp.MustCompile(`^gc \d+ @.* (\d+)->(\d+)->(\d+) MB`)
 
-const mostLines = 3
+const mostLines = 3 // of a process's standard error that are kept
 
-// listen reads what the process writes.
+// readStderr reads the standard error of the process until it is closed.
 func (p *process) listen(said io.Reader) {
 	lines := bufio.NewScanner(said)
 	for lines.Scan() {
@@ -99,10 +102,10 @@
 		}
 		p.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, said) // behind a line that is too long the process must not wait for a reader
+	_, _ = io.Copy(io.Discard, said) // after an overlong line, so that the process does not block
 }
 
-// await asks for readiness until the process has it, ends, or ctx ends.
+// awaitReady polls the process until it is ready or has ended, or ctx ends.
 func (p *process) await(ctx context.Context) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -131,19 +134,19 @@
 	return p.ready
 }
 
-// ended tells of a process that has ended by itself.
+// exitError returns an error if the process has ended by itself.
 func (p *process) ended() error {
 	select {
 	case <-p.over:
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return fmt.Errorf("edge node %d ended by itself: %v: %s", p.no, p.cmd.ProcessState, strings.Join(p.lines, " | "))
+		return fmt.Errorf("edge node %d exited unexpectedly: %v: %s", p.no, p.cmd.ProcessState, strings.Join(p.lines, " | "))
 	default:
 		return nil
 	}
 }
 
-// time is the processor time it has taken.
+// cpuTime returns the processor time that the process has used.
 func (p *process) time() time.Duration {
 	t, err := processTime(p.cmd.Process.Pid)
 	if err != nil {
@@ -152,7 +155,7 @@
 	return t
 }
 
-// memory is what it holds, in MB.
+// memory returns the resident memory, its peak and the live heap in MB.
 func (p *process) memory() (resident, peak, heap float64) {
 	path := fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid)
 	rss, _ := procFigure(path, "VmRSS:")
@@ -162,12 +165,12 @@
 	return rss / 1024, top / 1024, p.heap
 }
 
-// stop asks it to end, and ends it if it does not.
+// stop asks the process to stop and kills it after stopTimeout.
 func (p *process) stop() {
 	if p.cmd == nil || p.cmd.Process == nil || p.over == nil {
 		return
 	}
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // one that has ended needs none
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has already ended
 	select {
 	case <-p.over:
 	case <-time.After(stopWithin):
--- a/internal/lab/scale/reading.go
+++ b/internal/lab/scale/reading.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// reading is the processor time taken until a moment.
+// reading is the processor time used until a moment.
 type reading struct {
 	at     time.Time
 	lab    time.Duration
@@ -14,7 +14,7 @@
 	hollow []spending
 }
 
-// span is what was taken during a time.
+// span is the processor time used during an interval.
 type span struct {
 	length time.Duration
 	lab    time.Duration
@@ -45,7 +45,7 @@
 	return s
 }
 
-// realTime is that of all real edge nodes.
+// realTime returns the sum of all real edge nodes.
 func (s *span) realTime() (sum time.Duration) {
 	for _, t := range s.real {
 		sum += t
@@ -53,7 +53,7 @@
 	return sum
 }
 
-// hollowTime is that of all hollow ones, in the module.
+// hollowTime returns the sum of the modules of all hollow edge nodes.
 func (s *span) hollowTime() (sum time.Duration) {
 	for i := range s.hollow {
 		sum += s.hollow[i].total()
@@ -61,7 +61,7 @@
 	return sum
 }
 
-// byCause sums up the hollow ones.
+// byCause sums the usage of all hollow edge nodes by cause.
 func (s *span) byCause() (sum spending) {
 	for i := range s.hollow {
 		for c := range sum.count {
@@ -72,7 +72,7 @@
 	return sum
 }
 
-// traffic is the datagrams of a time, by sort of edge node.
+// traffic holds the datagrams of an interval by kind of edge node.
 type traffic struct {
 	length time.Duration
 	flows  [sorts][directions][len(kindNames)]flow
@@ -104,7 +104,7 @@
 	return t
 }
 
-// sampleSeconds keeps a window for each second until ctx ends.
+// sampleSeconds appends a window each second until ctx ends.
 func (f *fleet) sampleSeconds(ctx context.Context, phase *atomic.Value) {
 	every := time.NewTicker(time.Second)
 	defer every.Stop()
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Result is what a run measured. Figures that were not reached are 0; Phases names the
-// phases that were played whole.
+// Result holds the measurements of a run. Figures of phases that were not reached are 0. Phases
+// names the phases that ran to their end.
 type Result struct {
 	Nodes       int      `json:"nodes"`
 	Servers     int      `json:"servers"`
@@ -21,30 +21,30 @@
 	ForS        float64  `json:"for_s"`
 	Seed        uint64   `json:"seed"`
 	CPUs        int      `json:"cpus"`
-	LoadAverage string   `json:"load_average"` // of the machine at the end: 1, 5 and 15 minutes
+	LoadAverage string   `json:"load_average"` // of the machine at the end, over 1, 5 and 15 minutes
 	TookS       float64  `json:"took_s"`
 	Phases      []Phase  `json:"phases"`
 	Interrupted bool     `json:"interrupted"`
 	Unsound     string   `json:"unsound,omitempty"`
-	Scaled      []string `json:"scaled"` // what stands for more than there is
+	Scaled      []string `json:"scaled"` // notes on figures that are extrapolated or simplified
 
-	TenantsHere    int        `json:"tenants_here"`     // those whose sets lie among the existing edge nodes
-	TenantsPerNode float64    `json:"tenants_per_node"` // mean, of those that ask at one
+	TenantsHere    int        `json:"tenants_here"`     // tenants whose sets lie among the existing edge nodes
+	TenantsPerNode float64    `json:"tenants_per_node"` // mean number of tenants of an edge node
 	Real           Group      `json:"real"`
 	Hollow         Group      `json:"hollow"`
 	Changes        []Change   `json:"changes"`
-	Sink           Flow       `json:"sink"` // datagrams a second to edge nodes that don't exist, from all
+	Sink           Flow       `json:"sink"` // datagrams a second from all edge nodes to those that don't exist
 	Decode         DecodeCost `json:"decode"`
-	LabRest        float64    `json:"lab_rest_percent"` // processor time of the lab with all hollow edge nodes, of a core
+	LabRest        float64    `json:"lab_rest_percent"` // processor time of the lab and all hollow edge nodes, of a core
 	LabLoad        float64    `json:"lab_load_percent"`
-	NeedMB         float64    `json:"need_mb"` // reckoned before the run
+	NeedMB         float64    `json:"need_mb"` // estimated before the run
 	MachineMB      float64    `json:"machine_mb"`
-	LongDatagrams  int64      `json:"long_datagrams"` // over the 256 bytes allowed
+	LongDatagrams  int64      `json:"long_datagrams"` // over the limit of 256 bytes
 	CallErrors     int64      `json:"discovery_errors"`
 	Windows        []Window   `json:"windows"`
 }
 
-// Group is one sort of edge node. Figures are means of one edge node unless told otherwise.
+// Group is one kind of edge node. Figures are means for one edge node unless stated otherwise.
 type Group struct {
 	Count     int       `json:"count"`
 	Ready     Ready     `json:"ready"`
@@ -52,7 +52,7 @@
 	Memory    Memory    `json:"memory"`
 	Requests  Requests  `json:"requests"`
 	Added     Added     `json:"added"`
-	ZoneAdded Added     `json:"zone_added"` // while a zone's servers left and came back
+	ZoneAdded Added     `json:"zone_added"` // while a zone's servers were removed and restored
 	Datagrams Datagrams `json:"datagrams"`
 }
 
@@ -64,16 +64,16 @@
 	MostS float64 `json:"most_s"`
 }
 
-// CPU is processor time: of a real edge node's process, or of the module in a hollow one.
+// CPU is the processor time of a real edge node's process, or of the policy module of a hollow one.
 type CPU struct {
 	RestPercent  float64     `json:"rest_percent"` // of a core
 	LoadPercent  float64     `json:"load_percent"`
-	RequestUS    float64     `json:"request_us"` // above rest, with all that a request brings about
+	RequestUS    float64     `json:"request_us"` // above rest, with all work that a request causes
 	DatagramUS   float64     `json:"datagram_us"`
-	LineChangeMS float64     `json:"line_change_ms"` // above rest; 0 where no change was taken
+	LineChangeMS float64     `json:"line_change_ms"` // above rest; 0 if no edge node applied the change
 	ZoneLostMS   float64     `json:"zone_lost_ms"`   // above load
 	ZoneBackMS   float64     `json:"zone_back_ms"`
-	Causes       []CauseCost `json:"causes,omitempty"` // of hollow ones, under load
+	Causes       []CauseCost `json:"causes,omitempty"` // of hollow edge nodes under load
 }
 
 // CauseCost is the processor time of the module for one cause.
@@ -83,27 +83,28 @@
 	MeanUS float64 `json:"mean_us"`
 }
 
-// Memory is what an edge node holds, in MB: medians and the most of real ones, means of hollow ones.
+// Memory is the memory of an edge node in MB: medians and the maximum of real ones, means of hollow
+// ones.
 type Memory struct {
 	ResidentMB     float64 `json:"resident_mb"`
 	ResidentMostMB float64 `json:"resident_most_mb"`
 	HeapMB         float64 `json:"heap_mb"`
 }
 
-// Requests are those of the load, of all edge nodes of a sort.
+// Requests counts the requests of the load, over all edge nodes of a kind.
 type Requests struct {
 	Asked       int    `json:"asked"`
-	Late        int    `json:"late"`         // made over 50 ms after their time
-	HandledLate int    `json:"handled_late"` // waited over 50 ms for a hollow edge node's loop,
-	Starved     int    `json:"starved"`      // and over 50 ms of that for the machine
+	Late        int    `json:"late"`         // made over 50 ms after their scheduled time
+	HandledLate int    `json:"handled_late"` // waited over 50 ms for the loop of a hollow edge node
+	Starved     int    `json:"starved"`      // waited over 50 ms of that for the machine
 	Served      int    `json:"served"`
 	Refused     int    `json:"refused"`
 	Failed      int    `json:"failed"`
 	Lost        int    `json:"lost"`
-	LostWhy     string `json:"lost_why,omitempty"` // of the first
+	LostWhy     string `json:"lost_why,omitempty"` // error of the first lost request
 }
 
-// Added is the time that requests took over what the server took, in milliseconds.
+// Added is the time of requests above the service time, in milliseconds.
 type Added struct {
 	Count  int64   `json:"count"`
 	P50MS  float64 `json:"p50_ms"`
@@ -112,63 +113,63 @@
 	MostMS float64 `json:"most_ms"`
 }
 
-// Flow is datagrams and their bytes, a second.
+// Flow is the datagrams and bytes of a second.
 type Flow struct {
 	Datagrams float64 `json:"datagrams"`
 	Bytes     float64 `json:"bytes"`
 }
 
-// Bounds of datagrams taken in, a second.
+// Limits on the datagrams that an edge node receives in a second.
 const (
 	BoundDatagrams = 100
-	BoundBytes     = 12 << 10
+	BoundBytes     = 12 << 10 // bytes
 )
 
-// Datagrams are those of one edge node during the load, a second.
+// Datagrams are the datagrams of one edge node in a second of the load.
 type Datagrams struct {
 	In           Flow       `json:"in"`
 	Out          Flow       `json:"out"`
-	InPeak       int        `json:"in_peak"`       // most that one took in during a second
-	InScaled     Flow       `json:"in_scaled"`     // reckoned for the whole fleet
-	BoundPart    float64    `json:"bound_part"`    // of 100 datagrams a second, scaled
-	BytesPart    float64    `json:"bytes_part"`    // of 12 KB a second, scaled
-	DroppedFull  int64      `json:"dropped_full"`  // by hollow ones whose loop was behind
-	PerRequestIn float64    `json:"in_a_request"`  // of one edge node's requests
-	PerRequest   float64    `json:"out_a_request"` //
+	InPeak       int        `json:"in_peak"`       // most that one edge node received in a second
+	InScaled     Flow       `json:"in_scaled"`     // extrapolated to the whole fleet
+	BoundPart    float64    `json:"bound_part"`    // InScaled as a part of 100 datagrams a second
+	BytesPart    float64    `json:"bytes_part"`    // InScaled as a part of 12 KB a second
+	DroppedFull  int64      `json:"dropped_full"`  // by hollow edge nodes with a full event queue
+	PerRequestIn float64    `json:"in_a_request"`  // received per request of the edge node
+	PerRequest   float64    `json:"out_a_request"` // sent per request of the edge node
 	Kinds        []KindFlow `json:"kinds"`
 }
 
-// KindFlow is one kind of datagram.
+// KindFlow is the flow of one kind of datagram.
 type KindFlow struct {
 	Kind string `json:"kind"`
 	In   Flow   `json:"in"`
 	Out  Flow   `json:"out"`
 }
 
-// Change is a change of discovery's list and how long edge nodes took to take it.
+// Change is a change of discovery's list and the time until edge nodes applied it.
 type Change struct {
 	What   string    `json:"what"`
 	Lines  int       `json:"lines"`
-	Count  int       `json:"count"` // changes of this sort
+	Count  int       `json:"count"` // number of such changes
 	Real   TakenTime `json:"real"`
 	Hollow TakenTime `json:"hollow"`
 }
 
-// TakenTime is the time from a change to those who have taken it.
+// TakenTime is the time from a change until edge nodes applied it.
 type TakenTime struct {
-	Taken  int     `json:"taken"` // over all changes of the sort
+	Taken  int     `json:"taken"` // edge nodes that applied it, summed over all such changes
 	Of     int     `json:"of"`
 	P50MS  float64 `json:"p50_ms"`
 	MostMS float64 `json:"most_ms"`
 }
 
-// DecodeCost is the processor time to decode the largest answer of discovery.
+// DecodeCost is the processor time to decode the largest response of discovery.
 type DecodeCost struct {
 	Bytes int     `json:"bytes"`
 	MS    float64 `json:"ms"`
 }
 
-// Window is one second.
+// Window is one second of a run.
 type Window struct {
 	Second float64  `json:"second"`
 	Phase  Phase    `json:"phase"`
@@ -176,7 +177,7 @@
 	Hollow WindowOf `json:"hollow"`
 }
 
-// WindowOf is one second of one sort of edge node.
+// WindowOf is one second of one kind of edge node.
 type WindowOf struct {
 	Requests   int     `json:"requests"`
 	CPUPercent float64 `json:"cpu_percent"`
@@ -184,7 +185,7 @@
 	P99MS      float64 `json:"p99_ms"`
 }
 
-// result puts together what was measured.
+// result builds the result from the measurements.
 func (f *fleet) result() *Result {
 	m := &f.measured
 	r := &Result{Nodes: f.Nodes, Servers: f.Servers, Tenants: f.Tenants, Rate: f.Rate, ForS: f.For.Seconds(), Seed: f.Seed, CPUs: runtime.NumCPU(),
@@ -214,7 +215,7 @@
 	return r
 }
 
-// scaled says what stands for more than there is.
+// scaled returns notes on the figures that are extrapolated or simplified.
 func (f *fleet) scaled() []string {
 	return []string{
 		fmt.Sprintf("%d of %d edge nodes exist; datagrams to the others end in sinks", f.existing(), f.Nodes),
@@ -225,7 +226,8 @@
 	}
 }
 
-// above is what a span took above another's pace, per edge node.
+// aboveBaseline returns the processor time of an edge node in a span above the rate of a baseline
+// span.
 func above(s, base *span, sum func(*span) time.Duration, nodes int) time.Duration {
 	if s == nil || nodes == 0 {
 		return 0
@@ -244,7 +246,7 @@
 	return 100 * sum(s).Seconds() / s.length.Seconds() / float64(nodes)
 }
 
-// fillCPU gives the figures that both sorts have.
+// fillCPU sets the processor times that both kinds of edge node have.
 func (f *fleet) fillCPU(g *Group, sum func(*span) time.Duration, sort int) {
 	m, n := &f.measured, g.Count
 	g.CPU.RestPercent, g.CPU.LoadPercent = share(m.rest, sum, n), share(m.load, sum, n)
@@ -262,8 +264,8 @@
 	}
 }
 
-// anyTook tells whether an edge node of a sort has taken a version: where none has, its
-// cost is not known.
+// anyApplied reports whether an edge node of a kind has applied a version. Otherwise the cost of
+// the version is unknown.
 func (f *fleet) anyTook(rev int64, sort int) bool {
 	for no := range f.takes.of(rev) {
 		if f.isReal(no) == (sort == sortReal) {
@@ -339,7 +341,7 @@
 	return r
 }
 
-// median is that of a sorted list that is not empty.
+// median returns the median of a sorted list that is not empty.
 func median(sorted []float64) float64 { return stat.Quantile(0.5, stat.Empirical, sorted, nil) }
 
 func (f *fleet) fillLoad(g *Group, sort int) {
@@ -383,9 +385,9 @@
 	}
 }
 
-// scaledIn is what an edge node would take in of a kind in the whole fleet. Sights and
-// verdicts come from all edge nodes alike, of which a part exists; the other kinds come
-// from the sets of tenants, which exist whole.
+// scaledIn extrapolates the received datagrams of a kind to the whole fleet. Failure observations
+// and health verdicts come from all edge nodes equally, of which only a part exists. The other
+// kinds come from the sets of tenants, all of whose edge nodes exist.
 func (f *fleet) scaledIn(name string, row KindFlow) Flow {
 	if others := f.existing() - 1; others > 0 && (strings.Contains(name, "sight") || strings.Contains(name, "verdict")) {
 		return Flow{}.plus(row.In, float64(f.Nodes-1)/float64(others))
@@ -438,7 +440,7 @@
 	return t
 }
 
-// unsound says why a run proves nothing; empty: its load was kept.
+// unsound returns the reason why a run is invalid, or "" if its load was generated on time.
 func (f *fleet) unsound(r *Result) string {
 	if f.measured.load == nil {
 		return "it was ended before its load was played"
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,11 +1,11 @@
-// Package scale measures edge nodes that are told the size of a large fleet while only
-// a part of it exists on this machine. Real ones are processes of the edge node's
-// program; hollow ones share the lab's process and run the decisions of package policy,
-// their peers' datagrams over UDP sockets and discovery's list over HTTP, but have no
-// client or server sockets: their requests are drawn and end by a model of a server.
-// Datagrams to edge nodes that don't exist go to sink sockets and are counted. All
-// sockets lie on loopback. Times are durations or carry their unit in their name, rates
-// are per second, memory is in MB of 1<<20 bytes.
+// Package scale measures edge nodes that are configured for a large fleet of which only a part
+// exists on this machine. A real edge node is a process of the edge node's program. Hollow edge
+// nodes share the lab's process. They run the decisions of package policy, exchange datagrams with
+// their peers over UDP sockets and fetch discovery's list over HTTP, but have no client or server
+// sockets: their requests are generated, and a model of a server ends them. Datagrams to edge nodes
+// that don't exist go to sink sockets and are counted. All sockets use the loopback interface.
+// Times are durations or have their unit in their name, rates are per second, and memory is in MB
+// of 1<<20 bytes.
 package scale
 
 import (
@@ -18,41 +18,41 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// Bounds of a configuration.
+// Limits of a configuration.
 const (
-	mostNodes     = 1 << 15 // as many as an edge node's configuration may name
-	mostServers   = 90_000  // their list still fits into an edge node's configuration file
+	mostNodes     = 1 << 15 // limit of peers in an edge node's configuration
+	mostServers   = 90_000  // their list fits into an edge node's configuration file
 	mostTenants   = 10_000_000
 	mostRate      = 10_000
-	mostProcesses = 50 // the lab's own included
+	mostProcesses = 50 // including the lab
 	leastFor      = time.Second
 	mostFor       = time.Hour
 )
 
-// zones of the planned fleet.
+// zones is the number of zones of the planned fleet.
 const zones = 18
 
-// Config says what is measured.
+// Config configures a run.
 type Config struct {
-	Nodes   int           // edge nodes that all are told of
-	Servers int           // lending servers on discovery's list
+	Nodes   int           // edge nodes in the configuration of each
+	Servers int           // servers on discovery's list
 	Tenants int           // of the whole fleet
-	Rate    float64       // requests a second that each edge node gets
+	Rate    float64       // requests a second to each edge node
 	Real    int           // processes of the edge node's program
 	Hollow  int           // edge nodes inside this process
 	For     time.Duration // of the load
-	Seed    uint64        // all chance comes from it
+	Seed    uint64        // of all random numbers
 	Program string        // path of the edge node's program
 	Step    func(phase string)
 }
 
-// Problem is one thing wrong with a configuration: which field, and what.
+// Problem is an error in a field of a configuration.
 type Problem struct{ Field, What string }
 
 func (p Problem) Error() string { return p.Field + ": " + p.What }
 
-// Check returns the first thing wrong with the configuration, or nil. Fields bear the
-// names of the command's flags.
+// Check returns the first Problem of the configuration, or nil. Its fields have the names of the
+// command's flags.
 func (c *Config) Check() error {
 	whole := func(field string, v, least, most int) error {
 		if v < least || v > most {
@@ -86,33 +86,33 @@
 	return c.checkDescriptors()
 }
 
-// existing is how many edge nodes there are; they have the numbers from 0.
+// existing returns the number of edge nodes that exist. They are numbered from 0.
 func (c *Config) existing() int { return c.Real + c.Hollow }
 
-// firstReal is the number of the first real edge node. They lie in the middle of the
-// numbers that exist, so that the sets of their tenants lie on both sides.
+// firstReal returns the number of the first real edge node. Real edge nodes have the middle
+// numbers, so that the sets of their tenants extend to both sides.
 func (c *Config) firstReal() int { return c.Hollow / 2 }
 
 func (c *Config) isReal(no int) bool { return no >= c.firstReal() && no < c.firstReal()+c.Real }
 
-// Times of a run.
+// Durations and counts of a run.
 const (
 	readyWithin = 60 * time.Second
 	settleFor   = 500 * time.Millisecond
 	mostRest    = 10 * time.Second
 	leastRest   = time.Second
-	listWait    = 10 * time.Second // for all edge nodes to take a change
-	lineChanges = 8                // changes of one line
+	listWait    = 10 * time.Second // for all edge nodes to apply a change
+	lineChanges = 8                // number of changes of one line
 	lineEvery   = 250 * time.Millisecond
 	floodFor    = 2 * time.Second
-	floodRate   = 1000.0
-	gcPercent   = 50
+	floodRate   = 1000.0 // datagrams a second to each real edge node
+	gcPercent   = 50     // garbage collection target of the lab
 )
 
 func (c *Config) restFor() time.Duration { return max(leastRest, min(mostRest, c.For/2)) }
 
-// Play measures. Where ctx ends before it is through, the result holds what was measured
-// until then. The error is a Problem for a configuration that can't be played.
+// Play runs the measurement. If ctx ends early, the result holds what was measured until then. The
+// error is a Problem for a configuration that can't be run.
 func Play(ctx context.Context, c Config) (*Result, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 	return f.result(), nil
 }
 
-// newFleet describes the fleet and checks that it fits into the machine's memory.
+// newFleet returns a fleet without open sockets and checks that it fits into the machine's memory.
 func newFleet(c Config) (*fleet, error) {
 	f := &fleet{Config: c, world: describe(&c), list: drawList(&c, nil)}
 	need, err := f.memoryNeed()
@@ -147,8 +147,8 @@
 	return f, err
 }
 
-// describe gives the platform as all edge nodes are told it: classes, rules and network
-// are the lab's own; the quotas of the plans are scaled so that the tenants' demand is
+// plannedWorld returns the platform as all edge nodes are configured for it. Classes, rules and
+// network are the lab's defaults. The quotas of the plans are scaled so that the tenants' demand is
 // about their quota.
 func describe(c *Config) *world.World {
 	w := world.Default(c.Nodes, c.Servers)
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// small is a run without processes that takes a few seconds.
+// small returns the configuration of a run without processes that takes a few seconds.
 func small() Config {
 	return Config{Nodes: 600, Servers: 540, Tenants: 30_000, Rate: 40, Hollow: 6, For: time.Second, Seed: 1}
 }
 
-// A run through all phases. Figures are checked by count; how fast the machine is
-// decides nothing.
+// A run goes through all phases. Only counts are checked, so the result does not depend on the
+// machine's speed.
 func TestPlaySmall(t *testing.T) {
 	c := small()
 	r, err := Play(t.Context(), c)
@@ -48,19 +48,19 @@
 		delete(wantLines, change.What)
 	}
 	if len(wantLines) > 0 {
-		t.Errorf("not there: %v", wantLines)
+		t.Errorf("changes missing: %v", wantLines)
 	}
 	var page bytes.Buffer
 	if err := WritePage(&page, r, []string{"a <command>"}); err != nil || bytes.Count(page.Bytes(), []byte("<svg")) != 4 ||
 		bytes.Contains(page.Bytes(), []byte("src=")) || bytes.Contains(page.Bytes(), []byte("a <command>")) {
-		t.Errorf("%v, a page of %d bytes", err, page.Len())
+		t.Errorf("error %v, page of %d bytes", err, page.Len())
 	}
 	if _, err := json.Marshal(r); err != nil {
 		t.Error(err)
 	}
 }
 
-// A run that is ended gives what was measured until then.
+// A run that is interrupted returns what was measured until then.
 func TestPlayEnded(t *testing.T) {
 	for _, test := range []struct {
 		at      Phase
@@ -88,7 +88,7 @@
 	}
 }
 
-// What can't be played is refused with the flag's name.
+// An invalid configuration is refused with the name of the flag.
 func TestCheck(t *testing.T) {
 	for _, test := range []struct {
 		field string
@@ -111,7 +111,7 @@
 		test.edit(&c)
 		var problem Problem
 		if err := c.Check(); !errors.As(err, &problem) || problem.Field != test.field || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%+v: %v, want a problem of %s", c, err, test.field)
+			t.Errorf("%+v: %v, want a problem of field %s", c, err, test.field)
 		}
 	}
 	c := small()
@@ -120,7 +120,8 @@
 	}
 }
 
-// A run that needs over half of the machine's memory is refused, with the count that fits.
+// A run that needs over half of the machine's memory is refused with the number of edge nodes that
+// fit.
 func TestMemoryIsBounded(t *testing.T) {
 	machine, err := machineMemory()
 	if err != nil {
@@ -139,8 +140,7 @@
 	}
 }
 
-// A load that came or was handled late, and edge nodes that were not ready, make a run
-// unsound.
+// Requests that were made or handled late and edge nodes that were not ready make a run unsound.
 func TestUnsound(t *testing.T) {
 	f := &fleet{Config: Config{Real: 1, Hollow: 1}}
 	sound := func() *Result {
@@ -151,7 +151,7 @@
 		return r
 	}
 	if f.unsound(sound()) == "" {
-		t.Error("sound without a load")
+		t.Error("a run without a load is sound")
 	}
 	f.measured.load = &span{}
 	if why := f.unsound(sound()); why != "" {
@@ -166,12 +166,12 @@
 		r := sound()
 		edit(r)
 		if f.unsound(r) == "" {
-			t.Errorf("edit %d is not seen", i)
+			t.Errorf("edit %d does not make the run unsound", i)
 		}
 	}
 }
 
-// All tenants' sets lie among the edge nodes that exist, and each of these has some.
+// The sets of all tenants lie among the existing edge nodes, and each of these has tenants.
 func TestTenantsLieAmongExisting(t *testing.T) {
 	for _, hollow := range []int{1, 2, 7, 200} {
 		c := small()
@@ -180,24 +180,24 @@
 		drawn := drawTenants(&c, w)
 		for _, p := range drawn.people {
 			if p.First < 0 || p.Spread < 1 || p.First+p.Spread > hollow {
-				t.Fatalf("%d exist: a set of %d from %d", hollow, p.Spread, p.First)
+				t.Fatalf("%d edge nodes exist: a tenant has a set of %d from %d", hollow, p.Spread, p.First)
 			}
 		}
 		for no := range hollow {
 			if drawn.count(no) == 0 {
-				t.Errorf("%d exist: nobody asks at %d", hollow, no)
+				t.Errorf("%d edge nodes exist: edge node %d has no tenants", hollow, no)
 			}
 		}
 	}
 }
 
-// Only what a request waited beyond the work of its own edge node is the machine's.
+// Only the wait of a request beyond the work of its own edge node is attributed to the machine.
 func TestWaitsAreToldApart(t *testing.T) {
 	b := newLoadBook()
 	b.handled(lateBy, 0)
 	b.handled(10*lateBy, 9*lateBy+lateBy/2)
 	b.handled(10*lateBy, lateBy)
 	if c := b.takePhase(); c.handledLate != 2 || c.starved != 1 {
-		t.Errorf("%d late, %d by the machine", c.handledLate, c.starved)
+		t.Errorf("%d handled late, %d of them due to the machine", c.handledLate, c.starved)
 	}
 }
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -7,20 +7,19 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// tenants are those whose sets of edge nodes lie among the ones that exist.
+// tenants holds the tenants whose sets of edge nodes lie among the existing ones.
 type tenants struct {
 	people []world.Person
-	byNode []draw // by number of the edge node
+	byNode []draw // by edge node
 }
 
-// draw picks one of some tenants by their demand.
+// tenantSampler draws a tenant with a probability proportional to its demand.
 type draw struct {
 	people []int
-	sums   []float64 // of their demand
+	sums   []float64 // cumulative demand
 }
 
-// drawTenants draws the share of all tenants that the existing edge nodes have of the
-// planned ones.
+// drawTenants draws tenants in proportion to the part of the planned edge nodes that exists.
 func drawTenants(c *Config, w *world.World) *tenants {
 	here := *w
 	here.Nodes, here.Servers = c.existing(), 1
@@ -43,7 +42,7 @@
 	return t
 }
 
-// add enters a tenant at the edge nodes of its set.
+// add adds a tenant to the edge nodes of its set.
 func (t *tenants) add(i int, demand float64) {
 	p := &t.people[i]
 	for no := p.First; no < p.First+p.Spread; no++ {
@@ -56,12 +55,12 @@
 	}
 }
 
-// at draws a tenant that asks at an edge node.
+// pick draws a tenant for a request at an edge node.
 func (t *tenants) at(no int, rng *rand.Rand) *world.Person {
 	d := &t.byNode[no]
 	i := sort.SearchFloat64s(d.sums, rng.Float64()*d.sums[len(d.sums)-1])
 	return &t.people[d.people[min(i, len(d.people)-1)]]
 }
 
-// count is how many tenants ask at an edge node.
+// count returns the number of tenants of an edge node.
 func (t *tenants) count(no int) int { return len(t.byNode[no].people) }
--- a/internal/lab/sweep/cut.go
+++ b/internal/lab/sweep/cut.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// A cut between two halves of a tenant's edge nodes, with more asked for on each side than
-// the quota bears. What is admitted is measured in seconds of the quota, so the slope is
-// the multiple of the quota that passes for as long as the cut lasts.
+// A network partition between two halves of a tenant's edge nodes, with a demand above the quota on
+// each side. Admitted requests are measured in seconds of the quota, so the slope is the multiple
+// of the quota that is admitted during the partition.
 const (
 	cutTenants = 8
-	cutDemand  = 3.0 // of the quota, on each side
+	cutDemand  = 3.0 // multiple of the quota, on each side
 	cutWarm    = 5 * time.Second
 )
 
-// halves are the ways to halve a set. Root and deputy of a tenant stand half a set apart.
+// partitions are the ways to divide a set. The numbers of a tenant's root and deputy differ by half
+// a set.
 var halves = []struct {
 	name string
 	side func(node int) int
@@ -23,7 +24,7 @@
 	{"root and deputy on one side", func(node int) int { return node % 2 }},
 }
 
-// atCut measures what a set admits during a cut of so many seconds.
+// measureCut measures how much a set admits during a partition of the given length.
 func atCut(ctx context.Context, s *sweeper, seconds, repetitions int) error {
 	for seed := range repetitions {
 		for _, h := range halves {
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// playCut plays one cut. The quota in force before it is used up by then.
+// runCut simulates one partition. The tenants have used up their burst before it starts.
 func playCut(name string, side func(int) int, seconds int, seed uint64) ([]sample, error) {
 	const rate = int(2 * cutDemand * tightRate * cutTenants / setNodes)
 	f, err := newFleet(planTight, rate, seed)
--- a/internal/lab/sweep/fit.go
+++ b/internal/lab/sweep/fit.go
@@ -7,12 +7,12 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidence is the chance that the interval of a slope holds the true one, where the
-// residuals are independent and normal.
+// confidence is the probability that the interval of a slope contains the true slope, if the
+// residuals are independent and normally distributed.
 const confidence = 0.95
 
-// Fit is a straight line by least squares. Low and High bound the slope; with fewer than
-// three points there is no interval, and both are the slope.
+// Fit is a straight line fitted by least squares. Low and High are the confidence interval of the
+// slope. With fewer than three points there is no interval, and both equal the slope.
 type Fit struct {
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
@@ -21,10 +21,10 @@
 	R2        float64 `json:"r2"`
 }
 
-// At is the line's value.
+// At returns the value of the line at x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// fitLine fits a line to points.
+// fitLine fits a line to points. With fewer than two points all fields are 0.
 func fitLine(x, y []float64) Fit {
 	if len(x) < 2 {
 		return Fit{}
@@ -33,7 +33,7 @@
 	f.Intercept, f.Slope = stat.LinearRegression(x, y, nil, false)
 	f.Low, f.High = f.Slope, f.Slope
 	if f.R2 = stat.RSquared(x, y, nil, f.Intercept, f.Slope); math.IsNaN(f.R2) {
-		f.R2 = 0 // all values alike
+		f.R2 = 0 // all values are equal
 	}
 	free := float64(len(x) - 2)
 	if free < 1 {
--- a/internal/lab/sweep/fleet.go
+++ b/internal/lab/sweep/fleet.go
@@ -10,41 +10,41 @@
 	"valvering.example/valvering/policy"
 )
 
-// A small set of edge nodes that are told the planned number of them. Each tenant comes in
-// through all of the set, so roots and deputies are among it; watchers of servers may lie
-// outside, where nobody answers: what is told to them is counted as sent.
+// A small set of edge nodes that are configured for the planned size of the fleet. Each tenant
+// sends requests to all of the set, so the set contains all roots and deputies. Health monitors of
+// servers may lie outside the set, where nothing responds. Datagrams to them are counted as sent.
 const (
 	setNodes    = 16
 	setServers  = 64
-	perTenant   = 2.63                 // requests a second of a tenant: 790,000 over 300,000
-	step        = time.Millisecond     // of simulated time
-	travel      = 5 * time.Millisecond // of a datagram
+	perTenant   = 2.63                 // requests a second of a tenant: 790,000 of 300,000 tenants
+	step        = time.Millisecond     // simulated time
+	travel      = 5 * time.Millisecond // of a datagram in the network
 	warmSeconds = 1
 )
 
-// datagram is one on its way.
+// datagram is a datagram in transit.
 type datagram struct {
 	at       time.Duration
 	from, to int
 	data     []byte
 }
 
-// attempt is one that a server works on.
+// attempt is an attempt in flight.
 type attempt struct {
 	at   time.Duration
 	node int
 	send policy.Send
 }
 
-// traffic counts what the set sends.
+// traffic counts the requests and datagrams of the set.
 type traffic struct {
 	requests, sent, refused int
-	count                   map[kind]int // to one edge node
-	toAll                   int          // to all others
+	count                   map[kind]int // datagrams to one edge node
+	toAll                   int          // datagrams to all others
 	bytes                   int
 }
 
-// fleet plays a set of edge nodes in simulated time.
+// fleet simulates a set of edge nodes.
 type fleet struct {
 	now      time.Duration
 	rng      *rand.Rand
@@ -56,14 +56,14 @@
 	attempts []attempt
 	timers   [][]timer
 	counting bool
-	cut      func(from, to int) bool // tells whether a datagram is lost; nil: none is
+	cut      func(from, to int) bool // reports whether a datagram is lost; nil: no loss
 	traffic  traffic
-	gone     int // an edge node that has ended without a word; below 0: none has
+	gone     int // the edge node that has crashed; negative: none
 	arrived  map[policy.RequestID]time.Duration
 	waits    []float64 // milliseconds from a request to its attempt
 }
 
-// timer is one that an edge node's module has set.
+// timer is a timer set by the policy module of an edge node.
 type timer struct {
 	at    time.Duration
 	token string
@@ -73,7 +73,7 @@
 	return newFleetOf(PlannedNodes, plan, rate, seed)
 }
 
-// newFleetOf makes a set that is told of so many edge nodes.
+// newFleetOfSize makes a set that is configured for a fleet of the given size.
 func newFleetOf(nodes int, plan string, rate int, seed uint64) (*fleet, error) {
 	f := &fleet{now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), plan: plan, timers: make([][]timer, setNodes),
 		tenants: max(1, int(float64(setNodes*rate)/perTenant)), traffic: traffic{count: map[kind]int{}},
@@ -90,7 +90,7 @@
 	return f, nil
 }
 
-// handle gives an edge node an event and carries out what it wants done.
+// handle passes an event to an edge node and performs the resulting actions.
 func (f *fleet) handle(i int, ev policy.Event) {
 	if i == f.gone {
 		return
@@ -111,7 +111,7 @@
 	}
 }
 
-// sortedWaits are the waits, least first; there is at least one.
+// sortedWaits returns the waits in ascending order, or a single 0 without waits.
 func (f *fleet) sortedWaits() []float64 {
 	if len(f.waits) == 0 {
 		return []float64{0}
@@ -119,7 +119,7 @@
 	return slices.Sorted(slices.Values(f.waits))
 }
 
-// noteWait notes how long a request has waited for its attempt.
+// recordWait records how long a request has waited for its attempt.
 func (f *fleet) noteWait(id policy.RequestID) {
 	if at, known := f.arrived[id]; known && f.counting {
 		f.waits = append(f.waits, float64(f.now-at)/float64(time.Millisecond))
@@ -127,7 +127,7 @@
 	delete(f.arrived, id)
 }
 
-// counted is 1 once the start is over.
+// increment returns 1 after the warm-up, before that 0.
 func (f *fleet) counted() int {
 	if f.counting {
 		return 1
@@ -135,7 +135,7 @@
 	return 0
 }
 
-// tell counts a datagram and sends it on its way.
+// send counts a datagram and puts it in transit.
 func (f *fleet) tell(from int, t policy.Tell) {
 	if t.To < 0 {
 		f.traffic.toAll += f.counted()
@@ -148,7 +148,8 @@
 	}
 }
 
-// play lets time go by with requests of a rate at each edge node, drawn open-loop.
+// advance simulates a span of time with requests in an open loop at the given rate at each edge
+// node.
 func (f *fleet) play(d time.Duration, rate int) {
 	for end := f.now + d; f.now < end; {
 		f.now += step
@@ -171,7 +172,7 @@
 	}
 }
 
-// ring runs an edge node's timers that are due.
+// runTimers runs the expired timers of an edge node.
 func (f *fleet) ring(i int) {
 	due := f.timers[i]
 	f.timers[i] = nil
@@ -184,7 +185,7 @@
 	}
 }
 
-// arrive has a request of a tenant drawn at random come in.
+// startRequest passes a request of a random tenant to an edge node.
 func (f *fleet) arrive(i int) {
 	f.next++
 	f.traffic.requests += f.counted()
@@ -194,7 +195,7 @@
 	f.handle(i, r)
 }
 
-// atRate measures the datagrams of the set by kind of plan.
+// measureRate measures the datagrams of the set by plan.
 func atRate(seconds int) measureAt {
 	return func(ctx context.Context, s *sweeper, rate, repetitions int) error {
 		for seed := range repetitions {
@@ -213,7 +214,7 @@
 	}
 }
 
-// playRate plays one plan at one rate; all figures are for one edge node and second.
+// runRate simulates one plan at one rate. All figures are per edge node and second.
 func playRate(plan string, rate, seconds int, seed uint64) ([]sample, error) {
 	f, err := newFleet(plan, rate, seed)
 	if err != nil {
@@ -226,7 +227,7 @@
 	spent := processorTime() - began
 	t, per := &f.traffic, float64(setNodes*seconds)
 	if float64(t.sent) < leastServed*float64(t.requests) {
-		return nil, fmt.Errorf("plan %s: %d of %d requests were sent on", plan, t.sent, t.requests)
+		return nil, fmt.Errorf("plan %s: only %d of %d requests were sent to a server", plan, t.sent, t.requests)
 	}
 	name := "plan " + plan + ": "
 	all := 0
--- a/internal/lab/sweep/gone.go
+++ b/internal/lab/sweep/gone.go
@@ -6,16 +6,17 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Requests under a rate while one edge node of a set has ended without a word: it is the
-// root of one in setNodes of the tenants.
+// Requests under a rate limit while one edge node of a set has crashed. This edge node is the root
+// of one in setNodes of the tenants.
 const (
 	goneRate = 16 // requests a second and edge node
 	goneWarm = time.Second
 	goneFor  = 3 * time.Second
 )
 
-// waitsAt plays a set, told of so many edge nodes, and returns the sorted waits of its
-// requests for their attempts. Where a node is named it ends before they are counted.
+// waitsAt simulates a set in a fleet of the given size and returns the sorted waits of its requests
+// for their attempts. If crashed is not negative, this edge node crashes before the waits are
+// counted.
 func waitsAt(nodes, gone int, seed uint64) ([]float64, error) {
 	f, err := newFleetOf(nodes, planRate, goneRate, seed)
 	if err != nil {
@@ -27,7 +28,7 @@
 	return f.sortedWaits(), nil
 }
 
-// rootGone compares the waits with all edge nodes there and with one gone.
+// measureRootCrash compares the waits with all edge nodes running and with one crashed.
 func rootGone(nodes int, seed uint64) ([]sample, error) {
 	all, err := waitsAt(nodes, -1, seed)
 	if err != nil {
--- a/internal/lab/sweep/kind.go
+++ b/internal/lab/sweep/kind.go
@@ -2,11 +2,11 @@
 
 import "valvering.example/valvering/policy"
 
-// kind names a datagram by what it tells, as the module writes it: a version, and behind
-// the version of the short messages a byte for the kind.
+// kind is the kind of a datagram of package policy. The first byte is a version; in short messages
+// the second byte is the kind.
 type kind string
 
-// The kinds that the sweeps tell apart.
+// The kinds that the sweeps distinguish.
 const (
 	kindAsk     kind = "ask"
 	kindAnswer  kind = "answer"
@@ -22,7 +22,7 @@
 
 var shortKinds = map[byte]kind{0: kindAsk, 1: kindAnswer, 2: kindEnded, 3: kindSight, 4: kindVerdict, 13: kindStill}
 
-// kindOf tells a datagram's kind.
+// kindOf returns the kind of a datagram.
 func kindOf(data []byte) kind {
 	switch {
 	case len(data) > 0 && data[0] == reportVersion:
@@ -33,7 +33,7 @@
 	return kindOther
 }
 
-// tells returns the datagrams of one kind among actions.
+// datagramsOfKind returns the datagrams of one kind among actions.
 func tells(acts []policy.Action, want kind) (list []policy.Tell) {
 	for _, a := range acts {
 		if t, ok := a.(policy.Tell); ok && kindOf(t.Data) == want {
@@ -43,7 +43,7 @@
 	return list
 }
 
-// sends returns the attempts among actions.
+// sendActions returns the attempts among actions.
 func sends(acts []policy.Action) (list []policy.Send) {
 	for _, a := range acts {
 		if s, ok := a.(policy.Send); ok {
--- a/internal/lab/sweep/meter.go
+++ b/internal/lab/sweep/meter.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// enoughTime is the processor time after which a stopwatch has seen enough, mostBatches
-// the number of batches at which it ends in any case.
+// A measurement ends at this processor time or number of batches, whichever comes first.
 const (
 	enoughTime  = 20 * time.Millisecond
 	mostBatches = 25
 )
 
-// processorTime is what the process has used so far.
+// processorTime returns the processor time that the process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(err) // the arguments are wrong
+		panic(err) // fails only for invalid arguments
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
@@ -28,7 +27,7 @@
 	operations int
 }
 
-// run times work that does so many operations; for none it does nothing.
+// run measures work that consists of a number of operations. For 0 operations it does nothing.
 func (w *stopwatch) run(operations int, work func()) {
 	if operations == 0 {
 		return
@@ -39,13 +38,13 @@
 	w.operations += operations
 }
 
-// micros is the mean time of an operation in microseconds.
+// meanMicros returns the mean time of an operation in microseconds.
 func (w *stopwatch) micros() float64 {
 	return float64(w.spent) / float64(time.Microsecond) / float64(max(1, w.operations))
 }
 
-// timed is the time of an operation in microseconds: it is repeated until enough
-// processor time was used.
+// timeOperation returns the mean time of an operation in microseconds. It repeats the operation
+// until minTotalTime or maxBatches is reached.
 func timed(operation func()) float64 {
 	var w stopwatch
 	for i := 0; i < mostBatches && w.spent < enoughTime; i++ {
@@ -54,21 +53,21 @@
 	return w.micros()
 }
 
-// heapInUse is the memory of all that can be reached.
+// heapInUse returns the memory of all reachable objects.
 func heapInUse() float64 {
 	runtime.GC()
-	runtime.GC() // what a finalizer held
+	runtime.GC() // frees objects that finalizers held
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// heapOf is what a value holds on to, with the value.
+// heapOf returns a new value and the heap memory that it retains.
 func heapOf[T any](make func() T) (T, float64) {
 	before := heapInUse()
 	v := make()
 	after := heapInUse()
 	runtime.KeepAlive(v)
-	runtime.KeepAlive(make) // and with it what it was made of
+	runtime.KeepAlive(make) // keeps the variables that make refers to
 	return v, after - before
 }
--- a/internal/lab/sweep/module.go
+++ b/internal/lab/sweep/module.go
@@ -10,13 +10,13 @@
 	"valvering.example/valvering/policy"
 )
 
-// What the sweeps hold still while another quantity grows.
+// Quantities that stay fixed while another one grows.
 const (
-	stillTenants = 40 // in a batch of requests, and all that is known in the sweeps of servers and nodes
+	stillTenants = 40 // tenants of a batch of requests, and all tenants in the sweeps of servers and nodes
 	stillServers = TodayServers
 )
 
-// Measures of the module. What is called member or root is that edge node's part of a request.
+// Measures of package policy. "member" and "root" denote the work of this edge node for a request.
 const (
 	memberFree      = "member: a request without quota"
 	memberRate      = "member: a request under a rate"
@@ -43,10 +43,10 @@
 	bytesUnit       = "B"
 )
 
-// memberPlans are the plans whose requests are timed.
+// memberPlans are the plans whose requests are measured.
 var memberPlans = []string{planFree, planRate, planBoth}
 
-// requests measures a request by plan, at the member and at the root.
+// requests measures a request of each plan at the member and at the root.
 func (p *pair) requests(s *sweeper, x int) error {
 	for _, plan := range memberPlans {
 		cost, err := p.batches(plan, stillTenants)
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// atServers measures what grows with the list of servers, in a fleet of the planned number
-// of edge nodes.
+// measureServers measures costs that grow with the number of servers, in a fleet of the planned
+// number of edge nodes.
 func atServers(ctx context.Context, s *sweeper, servers, repetitions int) error {
 	p, err := newPair(PlannedNodes, servers, stillTenants, memberPlans...)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// mustGateway makes an edge node's module that knows so many servers; its settings are
-// this package's own.
+// mustGateway returns the policy module of an edge node with the given number of servers. It panics
+// on an error, since the settings are this package's own.
 func mustGateway(servers int) *policy.Gateway {
 	g, err := newGateway(member, PlannedNodes, serverList(servers))
 	if err != nil {
@@ -109,7 +109,7 @@
 	return g
 }
 
-// changes measures changes of the list, and the copy of it that a snapshot takes.
+// changes measures changes of the list, and the copy of the server state for a snapshot.
 func (p *pair) changes(g *policy.Gateway, list []policy.Server) []sample {
 	members := func(kind policy.MembersKind, lines []policy.Server) float64 {
 		return timed(func() {
@@ -119,7 +119,7 @@
 	}
 	change := []policy.Server{list[len(list)/2]}
 	first := timed(func() {
-		change[0].Start += time.Second // a server that has started anew, long ago
+		change[0].Start += time.Second // a server that restarted long ago
 		p.now += time.Millisecond
 		g.Handle(p.now, policy.Members{Kind: policy.Changes, Servers: change}, nil)
 	})
@@ -133,7 +133,7 @@
 	}
 }
 
-// reconfigure is the time of new settings in which one plan has another burst.
+// reconfigure returns the time to apply settings in which one plan has another burst.
 func (p *pair) reconfigure(g *policy.Gateway) float64 {
 	s := settings(member, PlannedNodes)
 	return timed(func() {
@@ -143,7 +143,7 @@
 	})
 }
 
-// atNodes measures what grows with the number of edge nodes.
+// measureNodes measures costs that grow with the number of edge nodes.
 func atNodes(ctx context.Context, s *sweeper, nodes, repetitions int) error {
 	p, err := newPair(nodes, stillServers, stillTenants, memberPlans...)
 	if err != nil {
@@ -164,7 +164,7 @@
 		g, bytes := heapOf(func() *policy.Gateway {
 			g, err := newGateway(member, nodes, serverList(stillServers))
 			if err != nil {
-				panic(err) // the settings are this package's own
+				panic(err) // the settings are valid
 			}
 			return g
 		})
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// atTenants measures what grows with the tenants that one edge node knows, as a member and
-// as their root.
+// measureTenants measures costs that grow with the tenants that one edge node knows, as a member
+// and as their root.
 func atTenants(ctx context.Context, s *sweeper, tenants, repetitions int) error {
 	p, err := newPair(PlannedNodes, stillServers, tenants, planRate)
 	if err != nil {
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// busiestRoot is how many of a number of tenants have the busiest root of a set of
-// evenSet edge nodes, against an even part.
+// busiestRoot returns the number of tenants of the busiest root in a set of setSize edge nodes,
+// relative to an equal share.
 func busiestRoot(tenants int, name func(int) string) (float64, error) {
 	const evenSet = 256
 	g, err := newGateway(member, PlannedNodes, serverList(1))
@@ -248,7 +248,7 @@
 	return float64(most) * evenSet / float64(tenants), nil
 }
 
-// meet has each tenant ask once, so that member and root know all.
+// meet sends one request of each tenant, so that member and root know all tenants.
 func (p *pair) meet() error {
 	for done := 0; done < len(p.tenants[planRate]); done += stillTenants {
 		if err := p.batch(planRate, min(stillTenants, len(p.tenants[planRate])-done), &batchCost{}); err != nil {
@@ -258,7 +258,7 @@
 	return nil
 }
 
-// tick is the time of a tick that comes before anybody is forgotten.
+// tick returns the time of a tick that comes before any tenant is forgotten.
 func (p *pair) tick(g *policy.Gateway) float64 {
 	const step = time.Millisecond
 	return timed(func() {
@@ -267,7 +267,7 @@
 	})
 }
 
-// datagrams measures the handling of one datagram by kind, at who takes it in.
+// datagrams measures the handling of one datagram of each kind at its receiver.
 func datagrams(nodes int) ([]sample, error) {
 	h := &handling{nodes: nodes}
 	watchers, err := watchersAmong(nodes)
@@ -284,7 +284,7 @@
 	return h.samples, nil
 }
 
-// handling gathers the cost of datagrams.
+// datagramCosts collects the costs of handling datagrams.
 type handling struct {
 	nodes   int
 	samples []sample
@@ -296,10 +296,11 @@
 	h.samples = append(h.samples, sample{"datagram: " + string(k), micros, us})
 }
 
-// errNoSight is a fleet in which outcomes are not told to watchers.
-var errNoSight = errors.New("an edge node told no watcher of an outcome")
+// errNoObservation reports an edge node that sends no failure observation to a health monitor.
+var errNoSight = errors.New("an edge node sent no failure observation to a health monitor")
 
-// failures has one server fail at an edge node, and returns what its watcher is told.
+// failures simulates failures of one server at an edge node and returns the observations that its
+// health monitor is sent.
 func failures(nodes int, server policy.Server, times int) ([]policy.Tell, error) {
 	g, err := newGateway(member, nodes, []policy.Server{server})
 	if err != nil {
@@ -311,7 +312,7 @@
 		now += time.Millisecond
 		out := sends(g.Handle(now, request(policy.RequestID(i+1), "tenant", planFree), nil))
 		if len(out) != 1 {
-			return nil, fmt.Errorf("%d attempts for one request", len(out))
+			return nil, fmt.Errorf("%d attempts for one request, want 1", len(out))
 		}
 		told = append(told, tells(g.Handle(now, policy.Outcome{ID: out[0].ID, Server: out[0].Server, Code: policy.Error,
 			Latency: latency, Over: true}, nil), kindSight)...)
@@ -319,7 +320,7 @@
 	return told, nil
 }
 
-// watchersAmong counts the edge nodes that are told of outcomes at any of many servers.
+// countMonitors counts the edge nodes that receive failure observations of any of many servers.
 func watchersAmong(nodes int) (int, error) {
 	const every = 10
 	found := map[int]bool{}
@@ -338,8 +339,8 @@
 	return len(found), nil
 }
 
-// verdictsTold counts what the watcher of a server that fails all tells in a minute, in a
-// fleet of the planned number of edge nodes.
+// countVerdicts counts the health verdicts that the health monitor of a server sends in a minute in
+// which every attempt fails, in a fleet of the planned number of edge nodes.
 func verdictsTold(servers int) (float64, error) {
 	list := serverList(servers)
 	sights, err := failures(PlannedNodes, list[0], 1)
@@ -361,7 +362,8 @@
 	return float64(told), nil
 }
 
-// sights has a server fail at an edge node until its watcher tells of it.
+// observations measures failure observations at the health monitor of a server, which then sends a
+// health verdict.
 func (h *handling) sights() error {
 	told, err := failures(h.nodes, serverList(1)[0], 64)
 	if err != nil {
@@ -386,14 +388,14 @@
 	})
 	verdicts := tells(acts, kindVerdict)
 	if len(verdicts) == 0 {
-		return fmt.Errorf("the watcher of a server that fails told of no verdict")
+		return fmt.Errorf("the health monitor of a failing server sent no health verdict")
 	}
 	h.verdict = verdicts[0]
 	h.add(kindSight, w.micros())
 	return nil
 }
 
-// verdicts has an edge node hear a verdict.
+// verdicts measures health verdicts at an edge node that receives them.
 func (h *handling) verdicts() error {
 	g, err := newGateway(member, h.nodes, serverList(stillServers))
 	if err != nil {
@@ -410,7 +412,7 @@
 	return nil
 }
 
-// reports has two roots of one tenant report to each other.
+// reports measures the reports between two roots of one tenant.
 func (h *handling) reports() error {
 	list := serverList(stillServers)
 	from, err := newGateway(member, h.nodes, list)
@@ -430,7 +432,7 @@
 		told = append(told, tells(from.Handle(now, policy.Timer{Token: "tick"}, nil), kindReport)...)
 	}
 	if len(told) == 0 {
-		return fmt.Errorf("two roots of one tenant told each other nothing")
+		return fmt.Errorf("two roots of one tenant sent no reports to each other")
 	}
 	var w stopwatch
 	w.run(len(told), func() {
--- a/internal/lab/sweep/pair.go
+++ b/internal/lab/sweep/pair.go
@@ -7,33 +7,31 @@
 	"valvering.example/valvering/policy"
 )
 
-// The two edge nodes of a pair: one that takes in requests, and the root of all their
-// tenants.
+// The edge nodes of a pair.
 const (
-	member = 0
-	root   = 1
+	member = 0 // receives the requests
+	root   = 1 // of all tenants
 	pairs  = 2 // edge nodes of each tenant
 )
 
-// tickEvery is the module's tick in a fleet of the planned size.
+// tickInterval is the module's tick in a fleet of the planned size.
 const tickEvery = 250 * time.Millisecond
 
-// leastServed is the part of the requests of a batch that must be sent on: else what was
-// timed is not what the measure is named after.
+// minSentShare is the share of requests that must be sent to a server. With fewer, the time would
+// not be that of admitted requests.
 const leastServed = 0.9
 
-// pair drives a member and the root of its tenants, with no time between a message and its
-// arrival.
+// pair runs a member and the root of its tenants. Messages between them arrive without delay.
 type pair struct {
 	now     time.Duration
 	member  *policy.Gateway
 	root    *policy.Gateway
-	tenants map[string][]string // by plan: a tenant keeps the plan it was first met under
+	tenants map[string][]string // by plan; a tenant keeps the plan of its first request
 	next    policy.RequestID
-	quick   bool // no time for servers and no ticks: nobody is forgotten meanwhile
+	quick   bool // no service time and no ticks, so that no tenant is forgotten
 }
 
-// newPair makes a pair in a fleet of a size, with so many tenants on each of the plans.
+// newPair makes a pair in a fleet of the given size, with the given number of tenants on each plan.
 func newPair(nodes, servers, tenants int, plans ...string) (*pair, error) {
 	list := serverList(servers)
 	m, err := newGateway(member, nodes, list)
@@ -55,8 +53,7 @@
 	return p, nil
 }
 
-// tenantsOf finds names of tenants whose counts the root sums, by asking a member that is
-// thrown away.
+// tenantsOf finds names of n tenants whose counts are summed by root. It uses a temporary member.
 func tenantsOf(nodes, n int) ([]string, error) {
 	probe, err := newGateway(member, nodes, serverList(1))
 	if err != nil {
@@ -65,7 +62,7 @@
 	var names []string
 	for i := 0; len(names) < n; i++ {
 		if i > 10*n+100 {
-			return nil, fmt.Errorf("%d of %d tenants ask the root", len(names), n)
+			return nil, fmt.Errorf("found only %d of %d tenants with the wanted root", len(names), n)
 		}
 		name := tenantName(i)
 		acts := probe.Handle(epoch, request(policy.RequestID(i+1), name, planRate), nil)
@@ -76,27 +73,27 @@
 	return names, nil
 }
 
-// request is one of a tenant, of one unit.
+// request returns a request of a tenant for one unit.
 func request(id policy.RequestID, tenant, plan string) policy.Request {
 	return policy.Request{ID: id, Customer: tenant, Plan: plan, Class: class, Units: 1, Remaining: time.Second, First: 0, Spread: pairs}
 }
 
-// batchCost is the processor time of the steps of requests that go on together.
+// batchCost is the processor time of the steps of a batch of requests.
 type batchCost struct {
 	request, answer, outcome stopwatch // at the member
 	ask, ended               stopwatch // at the root
-	tick                     stopwatch // of the member, with these requests a tick
+	tick                     stopwatch // at the member, with one batch a tick
 }
 
-// memberMicros is a request's whole time at the member.
+// memberMicros returns the time of a request at the member in microseconds.
 func (c *batchCost) memberMicros() float64 {
 	return c.request.micros() + c.answer.micros() + c.outcome.micros()
 }
 
-// rootMicros is its time at the root.
+// rootMicros returns the time of a request at the root in microseconds.
 func (c *batchCost) rootMicros() float64 { return c.ask.micros() + c.ended.micros() }
 
-// batch plays n requests of as many tenants under a plan, step by step.
+// batch runs n requests of as many tenants under a plan, one step for all requests at a time.
 func (p *pair) batch(plan string, n int, cost *batchCost) error {
 	var asks, answers, ends []policy.Tell
 	var out []policy.Send
@@ -125,11 +122,11 @@
 	feed(&cost.request, p.member, events)
 	feed(&cost.ask, p.root, messages(member, asks))
 	if plan != planFree && float64(len(asks)) < leastServed*float64(n) {
-		return fmt.Errorf("plan %s: the root was asked for %d of %d requests", plan, len(asks), n)
+		return fmt.Errorf("plan %s: the root was asked for only %d of %d requests", plan, len(asks), n)
 	}
 	feed(&cost.answer, p.member, messages(root, answers))
 	if float64(len(out)) < leastServed*float64(n) {
-		return fmt.Errorf("plan %s: %d of %d requests were sent on", plan, len(out), n)
+		return fmt.Errorf("plan %s: only %d of %d requests were sent to a server", plan, len(out), n)
 	}
 	events = nil
 	for _, s := range out {
@@ -149,7 +146,7 @@
 	return nil
 }
 
-// messages are datagrams as they come in from an edge node.
+// messages returns the events of datagrams received from an edge node.
 func messages(from int, list []policy.Tell) (events []policy.Event) {
 	for _, t := range list {
 		events = append(events, policy.PeerMessage{From: from, Data: t.Data})
@@ -157,7 +154,7 @@
 	return events
 }
 
-// batches plays batches until enough time was used.
+// batches runs batches until minTotalTime or maxBatches is reached.
 func (p *pair) batches(plan string, n int) (*batchCost, error) {
 	cost := &batchCost{}
 	for i := 0; i < mostBatches && cost.request.spent+cost.answer.spent+cost.outcome.spent < enoughTime; i++ {
@@ -168,7 +165,7 @@
 	return cost, nil
 }
 
-// rest is the time of a tick of an edge node without requests.
+// rest returns the time of a tick of an edge node without requests.
 func (p *pair) rest(g *policy.Gateway) float64 {
 	return timed(func() {
 		p.now += tickEvery
--- a/internal/lab/sweep/parts.go
+++ b/internal/lab/sweep/parts.go
@@ -21,12 +21,12 @@
 	"valvering.example/valvering/policy"
 )
 
-// exchangeLimit bounds the wait for datagrams and answers on loopback.
+// exchangeLimit is the timeout for datagrams and responses on loopback.
 const exchangeLimit = 10 * time.Second
 
-// What lies beside the module, each measured alone.
+// The functions below measure parts of an edge node outside package policy, each on its own.
 
-// partsOfServers measures what is done with a list: decoding, and a snapshot of it.
+// partsOfServers measures the decoding of a list and its encoding in a snapshot.
 func partsOfServers(servers int, memory policy.Memory) ([]sample, error) {
 	text := listText(servers)
 	var err error
@@ -37,7 +37,7 @@
 		return l
 	})
 	if err != nil || len(list.Targets) != servers {
-		return nil, fmt.Errorf("%d of %d lines decoded: %w", len(list.Targets), servers, err)
+		return nil, fmt.Errorf("decoded only %d of %d lines: %w", len(list.Targets), servers, err)
 	}
 	state := &snapshot.State{Name: "n0", List: list, Memory: memory}
 	var file []byte
@@ -54,7 +54,7 @@
 	}, nil
 }
 
-// listText is a list in discovery's form.
+// listText returns a list in discovery's encoding.
 func listText(servers int) []byte {
 	l := roster.List{Rev: 1, All: true}
 	for i := range servers {
@@ -63,12 +63,12 @@
 	}
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // the fields always encode
 	}
 	return text
 }
 
-// partsOfNodes measures what grows with the table of peers.
+// partsOfNodes measures costs that grow with the number of peers.
 func partsOfNodes(nodes int) ([]sample, error) {
 	text := []byte(fileText(nodes))
 	source := config.Source{Getenv: func(string) string { return "" }}
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	parsed, fileHeap := heapOf(func() *config.File {
-		f, _ := source.Parse(text) // as it was a moment ago
+		f, _ := source.Parse(text) // parsed without error above
 		return f
 	})
 	table, tableHeap := heapOf(func() map[netip.AddrPort]int { return addressTable(file.Peers) })
@@ -110,7 +110,8 @@
 	}, nil
 }
 
-// addressTable is the table by which datagrams are told apart, as the edge node keeps it.
+// addressTable returns a table of peers by address, which an edge node uses to identify the sender
+// of a datagram.
 func addressTable(peers []netip.AddrPort) map[netip.AddrPort]int {
 	table := make(map[netip.AddrPort]int, len(peers))
 	for i, a := range peers {
@@ -119,7 +120,7 @@
 	return table
 }
 
-// fileText is a configuration of so many edge nodes.
+// fileText returns the configuration of an edge node with the given number of peers.
 func fileText(nodes int) string {
 	var peers []string
 	for i := range nodes {
@@ -133,12 +134,12 @@
 "plans":[{"name":"dasar","rate":10,"store_size":50}]}}`, strings.Join(peers, ","), nodes)
 }
 
-// leaseMessage is the time that a voter spends on a candidate's question.
+// leaseMessage returns the time of a voter for a candidate's prepare message in microseconds.
 func leaseMessage(nodes int) (float64, error) {
 	const term = 3 * time.Second
 	voters := lease.Voters("nightly", nodes)
 	if len(voters) < 2 {
-		return 0, fmt.Errorf("%d voters", len(voters))
+		return 0, fmt.Errorf("the lease has %d voters, want at least 2", len(voters))
 	}
 	now, ballot := time.Duration(0), uint64(0)
 	d := lease.New(lease.Settings{Name: "nightly", Term: term, Drift: 0.01}, voters[0], voters, 1, now, 1)
@@ -155,8 +156,8 @@
 	return w.micros(), nil
 }
 
-// exchangeTime is the processor time of a datagram between two sockets on loopback, both
-// ends together, without what is made of it.
+// exchangeTime returns the processor time of sending and receiving a datagram on loopback in
+// microseconds, without its handling.
 func exchangeTime() (float64, error) {
 	const times, size = 200, 32
 	here := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}
@@ -185,7 +186,7 @@
 	return w.micros(), err
 }
 
-// operated answers operators with a fixed status.
+// stubNode implements admin's interface to an edge node with a fixed status.
 type operated struct{}
 
 func (operated) Status() node.Status {
@@ -196,8 +197,8 @@
 func (operated) RollBack(context.Context) error { return nil }
 func (operated) Stay(context.Context) error     { return nil }
 
-// statusTime is the processor time of a question for the status over loopback, the
-// client's included.
+// statusTime returns the processor time of a status request over loopback in microseconds,
+// including the client.
 func statusTime() (float64, error) {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -223,8 +224,8 @@
 	return us, err
 }
 
-// routeHeap is the memory of a table of so many entries by name, each with a small record:
-// what routes and services would cost, had the settings a field for them.
+// routeHeap returns the memory of a map with the given number of small records by name. This
+// estimates the cost of routes and services, for which the settings have no field.
 func routeHeap(entries int) float64 {
 	type route struct{ service, plan, class string }
 	table, heap := heapOf(func() map[string]*route {
--- a/internal/lab/sweep/report.go
+++ b/internal/lab/sweep/report.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Files of a folder of results.
+// Files in the directory of a result.
 const (
 	resultFile = "sweep.json"
 	tableFile  = "sweep.md"
@@ -22,8 +22,8 @@
 
 const plotWidth, plotHeight = 6 * vg.Inch, 3 * vg.Inch
 
-// WriteTable writes one table a quantity, as Markdown: the median at each size and the
-// slope with its interval.
+// WriteTable writes a Markdown table for each quantity, with the median at each size and the slope
+// with its confidence interval.
 func (r *Result) WriteTable(w io.Writer) error {
 	var last Quantity
 	for _, s := range r.Series {
@@ -55,7 +55,7 @@
 	return err
 }
 
-// figure is a number with three digits or, from 1,000 on, as a whole.
+// figure formats a number with three digits, or from 1,000 on as an integer.
 func figure(v float64) string {
 	if v >= 1000 || v <= -1000 {
 		return fmt.Sprintf("%.0f", v)
@@ -63,8 +63,8 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// Write keeps the result in a folder that is made where it is missing: as JSON, as tables
-// and as a plot a measure.
+// Write writes the result as JSON, tables and one plot for each measure to a directory, which it
+// creates if needed.
 func (r *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// plot draws all values and the line.
+// plot draws all values and the fitted line.
 func (s *Series) plot(path string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = s.Measure, string(s.Quantity), s.Unit
--- a/internal/lab/sweep/settings.go
+++ b/internal/lab/sweep/settings.go
@@ -7,13 +7,13 @@
 	"valvering.example/valvering/policy"
 )
 
-// The plans by what they limit.
+// The plans, by their limits.
 const (
-	planFree  = "free" // neither
+	planFree  = "free" // none
 	planRate  = "rate" // units a second
-	planOpen  = "cap"  // attempts out at once
+	planOpen  = "cap"  // attempts in flight
 	planBoth  = "both"
-	planWide  = "wide"  // a rate that takes several roots
+	planWide  = "wide"  // a rate that needs several roots
 	planTight = "tight" // a rate with a small burst
 )
 
@@ -22,17 +22,16 @@
 // tightRate is the rate of a tenant on the tight plan, in units a second.
 const tightRate = 6.0
 
-// Figures of the fleet that the plan of the users leaves open: docs/CAPACITY.md names them
-// as assumptions.
+// Assumptions about the planned fleet, listed in docs/CAPACITY.md.
 const (
-	datagramsPerSecond = 100 // that an edge node takes in
+	datagramsPerSecond = 100 // datagram budget of an edge node's receiver
 	zones              = 18
 	serversPerCell     = 4
 	latency            = 30 * time.Millisecond
-	epoch              = time.Hour // when a sweep begins, by the module's clock
+	epoch              = time.Hour // start of a sweep on the module's clock
 )
 
-// settings are those of one edge node of a fleet.
+// settings returns the settings of one edge node of a fleet.
 func settings(me, nodes int) policy.Settings {
 	return policy.Settings{Me: me, Gateways: nodes, Zone: zone(me), Resolution: 2 * time.Millisecond, MaxAttempts: 6,
 		CanCancel: true, CanTell: true, DatagramsPerSecond: datagramsPerSecond, LargestUnits: 3, MaxRetryAfter: time.Second,
@@ -54,7 +53,7 @@
 
 func zone(i int) string { return fmt.Sprintf("zone-%02d", i%zones) }
 
-// serverList is a list of warm servers.
+// serverList returns a list of servers that are past their slow start.
 func serverList(n int) []policy.Server {
 	list := make([]policy.Server, n)
 	for i := range list {
@@ -64,7 +63,7 @@
 	return list
 }
 
-// newGateway makes an edge node's module that has been told a list.
+// newGateway returns the policy module of an edge node that has received a list of servers.
 func newGateway(me, nodes int, list []policy.Server) (*policy.Gateway, error) {
 	g, err := policy.New(settings(me, nodes), uint64(me)+1)
 	if err != nil {
@@ -74,9 +73,9 @@
 	return g, nil
 }
 
-// tenantName is a name that differs from others in its first characters too: names that
-// differ in their last ones alone share roots, which is measured by itself.
+// tenantName returns a name that differs from the others also in its first characters. Names that
+// differ only in their last characters share roots, which is a separate measure.
 func tenantName(i int) string { return fmt.Sprintf("%016x", uint64(i+1)*0x9e3779b97f4a7c15) }
 
-// numberedName is one of names that differ in their last characters alone.
+// numberedName returns a name that differs from the others only in its last characters.
 func numberedName(i int) string { return fmt.Sprintf("library-%06d", i) }
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -1,14 +1,14 @@
-// Package sweep measures, in one process, what the parts of an edge node cost as one
-// quantity of the plan grows and all others stay: processor time, memory, datagrams and
-// bytes. A straight line is fitted to the medians of each measure, so that the cost at the
-// planned size rests on a measured slope (docs/CAPACITY.md).
+// Package sweep measures, in one process, the costs of the parts of an edge node as one quantity of
+// the planned fleet grows and all others stay fixed: processor time, memory, datagrams and bytes.
+// It fits a straight line to the medians of each measure, so that the cost at the planned size is
+// derived from a measured slope (docs/CAPACITY.md).
 //
-// The decision module is driven through its exported interface: events go in, and the
-// actions that come out are answered as a network and lending servers without faults would.
-// Nothing opens a socket but the measure of the operators' address, on loopback.
+// Package policy, called the module here, is used through its exported API: the sweeps pass events
+// to it and perform its actions as a network and servers without faults would. Only the measures of
+// a datagram and of the operators' address open sockets, on loopback.
 //
-// Processor time is that of the whole process with one processor for Go code, so garbage
-// collection counts. Times are in microseconds, memory and messages in bytes.
+// Processor time is that of the whole process with one processor for Go code, so it includes
+// garbage collection. Times are in microseconds, memory and messages in bytes.
 package sweep
 
 import (
@@ -20,44 +20,44 @@
 	"valvering.example/valvering/internal/lab/stats"
 )
 
-// Quantity is what grows in a sweep.
+// Quantity is a quantity that grows in a sweep.
 type Quantity string
 
 // The quantities.
 const (
-	Servers Quantity = "servers" // lending servers in the list
+	Servers Quantity = "servers" // servers in the list
 	Nodes   Quantity = "nodes"   // edge nodes in the fleet
 	Tenants Quantity = "tenants" // tenants that one edge node knows
-	Rate    Quantity = "rate"    // requests a second that come in at one edge node
-	Cut     Quantity = "cut"     // seconds for which two halves of a tenant's edge nodes don't hear each other
+	Rate    Quantity = "rate"    // requests a second to one edge node
+	Cut     Quantity = "cut"     // seconds of a network partition between two halves of a tenant's edge nodes
 )
 
-// Quantities are all of them, in the order of a report.
+// Quantities lists all quantities in the order of a report.
 var Quantities = []Quantity{Servers, Nodes, Tenants, Rate, Cut}
 
-// The planned size, and today's.
+// The planned and the current size of the fleet.
 const (
 	PlannedNodes   = 6200
 	PlannedServers = 56000
 	PlannedTenants = 300000
-	PlannedRate    = 127 // requests a second and edge node: 790,000 over all
+	PlannedRate    = 127 // requests a second and edge node: 790,000 over all edge nodes
 	TodayNodes     = 300
 	TodayServers   = 200
 )
 
-// Options say what is swept, and how often each point is measured.
+// Options configures the sweeps.
 type Options struct {
 	What        []Quantity
-	Repetitions int
+	Repetitions int   // of each point
 	Servers     []int // points of each quantity
 	Nodes       []int
 	Tenants     []int
 	Rate        []int
 	Cut         []int
-	Seconds     int // of simulated time behind each point of the rate
+	Seconds     int // simulated time of each point of Rate
 }
 
-// Defaults are the sweeps behind docs/CAPACITY.md.
+// Defaults returns the options of the sweeps in docs/CAPACITY.md.
 func Defaults() Options {
 	return Options{What: Quantities, Repetitions: 3, Seconds: 4,
 		Servers: []int{TodayServers, 2000, 8000, 20000, PlannedServers},
@@ -67,10 +67,10 @@
 		Cut:     []int{10, 20, 40}}
 }
 
-// Point is a measure at one size.
+// Point holds the values of a measure at one size.
 type Point struct {
 	X      int       `json:"x"`
-	Values []float64 `json:"values"` // one a repetition
+	Values []float64 `json:"values"` // one for each repetition
 	Median float64   `json:"median"`
 }
 
@@ -83,13 +83,13 @@
 	Fit      Fit      `json:"fit"`
 }
 
-// Result is what was measured.
+// Result holds the measurements of all sweeps.
 type Result struct {
 	Repetitions int      `json:"repetitions"`
-	Processors  int      `json:"processors"` // for Go code, while it was measured
+	Processors  int      `json:"processors"` // for Go code during the measurement
 	Go          string   `json:"go"`
 	Series      []Series `json:"series"`
-	Partial     bool     `json:"partial"` // it was ended before all was measured
+	Partial     bool     `json:"partial"` // interrupted before the end
 }
 
 // sample is one value of one measure.
@@ -98,7 +98,7 @@
 	value         float64
 }
 
-// sweeper gathers the samples of one sweep.
+// sweeper collects the samples of one sweep.
 type sweeper struct {
 	quantity Quantity
 	index    map[string]int
@@ -107,7 +107,7 @@
 
 func newSweeper(q Quantity) *sweeper { return &sweeper{quantity: q, index: map[string]int{}} }
 
-// add takes samples at a size into their series.
+// add adds samples at a size to their series.
 func (s *sweeper) add(x int, samples ...sample) {
 	for _, v := range samples {
 		i, known := s.index[v.measure]
@@ -125,7 +125,7 @@
 	}
 }
 
-// finish takes the medians and fits the lines.
+// finish computes the medians and fits the lines.
 func (s *sweeper) finish() []Series {
 	for i := range s.series {
 		line := &s.series[i]
@@ -140,10 +140,10 @@
 	return s.series
 }
 
-// measureAt is a sweep's work at one size: it adds the samples of all repetitions.
+// measureFunc adds the samples of all repetitions at one size.
 type measureAt func(ctx context.Context, s *sweeper, x, repetitions int) error
 
-// Run plays the sweeps. When ctx ends it returns what was measured, marked as partial.
+// Run runs the sweeps. When ctx ends it returns the measurements so far, marked as partial.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	before := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(before)
@@ -168,7 +168,7 @@
 	return r, nil
 }
 
-// plan gives the points of a quantity and what is measured at each.
+// sweepOf returns the points of a quantity and the function that measures them.
 func (o *Options) plan(q Quantity) ([]int, measureAt) {
 	switch q {
 	case Servers:
@@ -183,7 +183,7 @@
 	return o.Rate, atRate(o.Seconds)
 }
 
-// Find returns a series by quantity and measure; nil: it was not measured.
+// Find returns a series by quantity and measure, or nil if it was not measured.
 func (r *Result) Find(q Quantity, measure string) *Series {
 	for i := range r.Series {
 		if s := &r.Series[i]; s.Quantity == q && s.Measure == measure {
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -14,7 +14,7 @@
 	"valvering.example/valvering/policy"
 )
 
-// small is a sweep of few and small points.
+// small returns sweeps with few and small points.
 func small(what ...Quantity) Options {
 	return Options{What: what, Repetitions: 2, Seconds: 1,
 		Servers: []int{40, 80, 120}, Nodes: []int{300, 400, 500}, Tenants: []int{80, 120, 160}, Rate: []int{4, 8, 12}, Cut: []int{2, 4, 6}}
@@ -29,8 +29,8 @@
 	return r
 }
 
-// Each measure has a value a repetition at each size, and all that the page on capacity
-// rests on are there.
+// Each measure has a value for each repetition at each size, and all measures used by the capacity
+// page exist.
 func TestAllMeasures(t *testing.T) {
 	r := played(t, Quantities...)
 	want := map[Quantity][]string{
@@ -44,12 +44,12 @@
 		Rate:    {"plan free: sight", "plan rate: ask", "plan rate: answer", "plan cap: ended", "plan cap: all kinds", "plan cap: payload"},
 		Cut:     {"root and deputy on two sides: admitted", "root and deputy on one side: admitted"},
 	}
-	once := []string{heapRoot, heapMember, busiestMixed, busiestNumbered} // heaps when all else is done
+	once := []string{heapRoot, heapMember, busiestMixed, busiestNumbered} // measured once at the end
 	for q, names := range want {
 		for _, name := range names {
 			s := r.Find(q, name)
 			if s == nil {
-				t.Errorf("%s: no %q", q, name)
+				t.Errorf("%s: no series %q", q, name)
 				continue
 			}
 			for _, p := range s.Points {
@@ -63,11 +63,11 @@
 		}
 	}
 	if r.Partial || r.Find(Servers, "no such measure") != nil {
-		t.Error("partial, or a measure that is none")
+		t.Error("the result is partial, or has a series for an unknown measure")
 	}
 }
 
-// What is counted in simulated time comes out alike each time, and adds up.
+// Counts in simulated time are reproducible, and the kinds add up to the total.
 func TestDatagramsAreCounted(t *testing.T) {
 	a, b := played(t, Rate), played(t, Rate)
 	for _, s := range a.Series {
@@ -77,7 +77,7 @@
 		other := b.Find(Rate, s.Measure)
 		for i, p := range s.Points {
 			if !slices.Equal(p.Values, other.Points[i].Values) {
-				t.Errorf("%s: %v, then %v", s.Measure, p.Values, other.Points[i].Values)
+				t.Errorf("%s: %v in the first run, %v in the second", s.Measure, p.Values, other.Points[i].Values)
 			}
 		}
 	}
@@ -94,29 +94,30 @@
 			t.Errorf("%v datagrams by kind, %v in all", sum, all)
 		}
 		if value("plan cap: ended", i) == 0 || value("plan rate: ended", i) != 0 {
-			t.Error("ends are told under a cap, and not under a rate")
+			t.Error("no datagrams on the end of attempts under a cap, or some under a rate")
 		}
 	}
 }
 
-// A cut lets each tenant have its quota twice at the most: at its root and at its deputy.
+// During a partition each tenant gets at most twice its quota: at its root and at its deputy.
 func TestCutGrantsTwiceAtMost(t *testing.T) {
 	r := played(t, Cut)
 	for _, h := range halves {
 		for _, p := range r.Find(Cut, h.name+": admitted").Points {
 			for _, v := range p.Values {
 				if burst := 2 * 12 / tightRate; v > 2*float64(p.X)+burst {
-					t.Errorf("%s: %v s of the quota in %d s", h.name, v, p.X)
+					t.Errorf("%s: admitted %v s of the quota in %d s", h.name, v, p.X)
 				}
 			}
 		}
 	}
 	if two := r.Find(Cut, halves[0].name+": admitted").Fit.Slope; two < 1.5 {
-		t.Errorf("%v of the quota: neither side asked for enough", two)
+		t.Errorf("admitted %v times the quota: the demand on the two sides is too low", two)
 	}
 }
 
-// While a root is gone some of its tenants' requests wait for its deputy, and none does else.
+// After a root has crashed, some requests of its tenants wait for its deputy. Without a crash none
+// does.
 func TestGoneRootIsWaitedFor(t *testing.T) {
 	list, err := rootGone(300, 1)
 	if err != nil {
@@ -124,11 +125,11 @@
 	}
 	most, part, wait := list[0].value, list[1].value, list[2].value
 	if trip := 2 * float64(travel/time.Millisecond); most < trip || part <= 0 || part > 0.5 || wait <= most {
-		t.Errorf("at most %v ms with all there; %v of the requests %v ms with a root gone", most, part, wait)
+		t.Errorf("waits of at most %v ms without a crash; with a crashed root a part of %v waits %v ms", most, part, wait)
 	}
 }
 
-// A sweep that is ended says so, and has measured nothing after that.
+// An interrupted run is marked as partial and measures nothing after the interruption.
 func TestEndedSweepIsPartial(t *testing.T) {
 	ctx, end := context.WithCancel(context.Background())
 	end()
@@ -141,9 +142,9 @@
 func TestFitLine(t *testing.T) {
 	f := fitLine([]float64{0, 1, 2, 3}, []float64{1, 3, 5, 7})
 	if math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.Intercept-1) > 1e-9 || math.Abs(f.High-f.Low) > 1e-6 || math.Abs(f.At(10)-21) > 1e-9 {
-		t.Errorf("a line: %+v", f)
+		t.Errorf("points on a line: %+v", f)
 	}
-	// Worked by hand: slope 1.4, residuals 0.2 over 2 degrees of freedom, spread 5, t 4.303.
+	// Computed by hand: slope 1.4, residuals 0.2 over 2 degrees of freedom, spread 5, t 4.303.
 	f = fitLine([]float64{1, 2, 3, 4}, []float64{1, 3, 4, 5.4})
 	residuals := 0.0
 	for i, y := range []float64{1, 3, 4, 5.4} {
@@ -154,7 +155,7 @@
 		t.Errorf("interval %+v, want a margin of %v", f, margin)
 	}
 	if f := fitLine([]float64{1, 2}, []float64{1, 1}); f.Slope != 0 || f.Low != 0 || f.High != 0 || f.R2 != 0 {
-		t.Errorf("two points alike: %+v", f)
+		t.Errorf("two points with equal values: %+v", f)
 	}
 	if f := fitLine([]float64{1}, []float64{1}); f != (Fit{}) {
 		t.Errorf("one point: %+v", f)
@@ -173,7 +174,7 @@
 	}
 }
 
-// The datagrams' kinds are read as the module writes them: an ask is one to the module too.
+// The kinds match the encoding of package policy, which also reads the ask.
 func TestKindsAreTheModules(t *testing.T) {
 	names, err := tenantsOf(300, 1)
 	if err != nil {
@@ -185,14 +186,14 @@
 	}
 	asks := tells(g.Handle(epoch, request(1, names[0], planRate), nil), kindAsk)
 	if len(asks) != 1 {
-		t.Fatalf("%d asks", len(asks))
+		t.Fatalf("%d asks, want 1", len(asks))
 	}
 	if _, ok := policy.ReadAsk(asks[0].Data); !ok {
-		t.Error("no ask to the module")
+		t.Error("package policy does not read the datagram as an ask")
 	}
 }
 
-// A folder holds the result, its tables and a plot a measure.
+// Write creates a directory with the result, its tables and a plot for each measure.
 func TestWrite(t *testing.T) {
 	r, dir := played(t, Rate), filepath.Join(t.TempDir(), "new")
 	if err := r.Write(dir); err != nil {
@@ -207,7 +208,7 @@
 		t.Errorf("%d series of %d, %v", len(back.Series), len(r.Series), err)
 	}
 	table, err := os.ReadFile(filepath.Join(dir, tableFile))
-	if err != nil || strings.Count(string(table), "\n| ") != len(r.Series)+2 { // a head and its rule
+	if err != nil || strings.Count(string(table), "\n| ") != len(r.Series)+2 { // plus the header and the rule
 		t.Errorf("%v:\n%s", err, table)
 	}
 	if plots, err := filepath.Glob(filepath.Join(dir, "*.svg")); err != nil || len(plots) != len(r.Series) {
