--- a/internal/lab/scale/clients_test.go
+++ b/internal/lab/scale/clients_test.go
@@ -13,21 +13,21 @@
 
 // A client derives the outcome of a request from the response, and the statistics keep the error of
 // the first lost request.
-func TestEndings(t *testing.T) {
-	c := small()
-	f := &fleet{Config: c, world: describe(&c), realLoad: newLoadBook()}
-	f.lender = &lender{model: latencyModel{f.world}, held: map[string]time.Duration{}}
+func TestRequestOutcomes(t *testing.T) {
+	c := smallConfig()
+	f := &fleet{Config: c, world: plannedWorld(&c), realLoad: newLoadStats()}
+	f.stubServers = &stubServers{model: latencyModel{f.world}, serviceTimes: map[string]time.Duration{}}
 	var asked atomic.Int64
 	answer := func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Request-Id")
 		switch asked.Load() {
 		case 0:
-			f.lender.mu.Lock()
-			f.lender.held[id] = time.Microsecond
-			f.lender.mu.Unlock()
-			_, _ = w.Write([]byte(loanOf(id)))
+			f.stubServers.mu.Lock()
+			f.stubServers.serviceTimes[id] = time.Microsecond
+			f.stubServers.mu.Unlock()
+			_, _ = w.Write([]byte(loanBody(id)))
 		case 1:
-			_, _ = w.Write([]byte(loanOf(id))) // the request reached no server
+			_, _ = w.Write([]byte(loanBody(id))) // the request reached no server
 		case 2:
 			_, _ = w.Write([]byte("something else"))
 		case 3:
@@ -46,13 +46,13 @@
 	base := strings.TrimPrefix(srv.URL, "http://")
 	person := &world.Person{Key: "00000000000000ff", Spread: 1}
 	for range 7 {
-		how, err := f.clients.do(t.Context(), base, "0123456789abcdef", &f.world.Classes[0], person, 1)
-		f.clients.close("0123456789abcdef", how, err, unixNow())
+		outcome, err := f.clients.do(t.Context(), base, "0123456789abcdef", &f.world.Classes[0], person, 1)
+		f.clients.close("0123456789abcdef", outcome, err, unixNow())
 		asked.Add(1)
 	}
 	got := f.realLoad.takePhase()
-	want := [endings]int{endServed: 1, endRefused: 2, endFailed: 1, endLost: 3}
-	if got.ends != want || got.lostWhy != errForeign || got.added.TotalCount() != 1 {
-		t.Errorf("%v, want %v; lost: %v", got.ends, want, got.lostWhy)
+	want := [outcomeCount]int{outcomeServed: 1, outcomeRefused: 2, outcomeFailed: 1, outcomeLost: 3}
+	if got.outcomes != want || got.lossCause != errForeignResponse || got.added.TotalCount() != 1 {
+		t.Errorf("%v, want %v; lost: %v", got.outcomes, want, got.lossCause)
 	}
 }
--- a/internal/lab/scale/clock.go
+++ b/internal/lab/scale/clock.go
@@ -10,13 +10,15 @@
 
 // processStart anchors the clock of all edge nodes, which is monotonic and counts from the Unix
 // epoch.
-var begun = time.Now()
+var processStart = time.Now()
 
-func unixNow() time.Duration { return time.Duration(begun.UnixNano()) + time.Since(begun) }
+func unixNow() time.Duration {
+	return time.Duration(processStart.UnixNano()) + time.Since(processStart)
+}
 
 // threadTime returns the processor time that a function takes on its thread. The function must not
 // start goroutines that work for it.
-func onThread(do func()) time.Duration {
+func threadTime(do func()) time.Duration {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	before := clockTime(unix.CLOCK_THREAD_CPUTIME_ID)
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -13,27 +13,28 @@
 	"valvering.example/valvering/internal/roster"
 )
 
-const mostWatch = time.Minute // a watch gets a response by then
+const maxWatch = time.Minute // a watch gets a response by then
 
 // discovery serves one list of servers to all edge nodes and pushes its changes.
 type discovery struct {
-	mu      sync.Mutex
-	rev     int64
-	list    *serverList
-	revs    []int64          // by line: the version of its last change
-	texts   map[int64][]byte // responses of the current version, by the version that the edge node has
-	news    chan struct{}    // closed and replaced at each change
-	servers []*http.Server
-	takes   *takes
+	mu        sync.Mutex
+	rev       int64
+	list      *serverList
+	lineRevs  []int64          // by line: the version of its last change
+	responses map[int64][]byte // responses of the current version, by the version that the edge node has
+	changed   chan struct{}    // closed and replaced at each change
+	servers   []*http.Server
+	applied   *appliedVersions
 }
 
 // firstRev is the version of the list with which edge nodes start.
 const firstRev = 1
 
-func newDiscovery(list *serverList, takes *takes) *discovery {
-	d := &discovery{rev: firstRev, list: list, revs: make([]int64, len(list.lines)), texts: map[int64][]byte{}, news: make(chan struct{}), takes: takes}
-	for i := range d.revs {
-		d.revs[i] = firstRev
+func newDiscovery(list *serverList, applied *appliedVersions) *discovery {
+	d := &discovery{rev: firstRev, list: list, lineRevs: make([]int64, len(list.lines)),
+		responses: map[int64][]byte{}, changed: make(chan struct{}), applied: applied}
+	for i := range d.lineRevs {
+		d.lineRevs[i] = firstRev
 	}
 	return d
 }
@@ -49,7 +50,7 @@
 	mux.HandleFunc("GET /v1/servers", func(w http.ResponseWriter, r *http.Request) { d.serve(no, w, r) })
 	srv := &http.Server{Handler: mux}
 	d.servers = append(d.servers, srv)
-	go func() { _ = srv.Serve(ln) }() // ends with close
+	go func() { _ = srv.Serve(ln) }() // returns after close
 	return ln.Addr().String(), nil
 }
 
@@ -57,13 +58,13 @@
 	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	if no >= 0 && since > 0 {
-		d.takes.note(no, since, time.Now())
+		d.applied.record(no, since, time.Now())
 	}
-	limit := min(time.Duration(wait)*time.Millisecond, mostWatch)
-	if since > 0 && !d.await(r.Context(), since, limit) {
+	limit := min(time.Duration(wait)*time.Millisecond, maxWatch)
+	if since > 0 && !d.waitForChange(r.Context(), since, limit) {
 		return
 	}
-	text, err := d.answer(since)
+	text, err := d.response(since)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -75,19 +76,19 @@
 
 // waitForChange waits until the list is newer than a version or the time limit is over. It returns
 // false when the request is cancelled.
-func (d *discovery) await(ctx context.Context, since int64, limit time.Duration) bool {
-	over := time.NewTimer(limit)
-	defer over.Stop()
+func (d *discovery) waitForChange(ctx context.Context, since int64, limit time.Duration) bool {
+	timeout := time.NewTimer(limit)
+	defer timeout.Stop()
 	for {
 		d.mu.Lock()
-		news, fresh := d.news, d.rev > since
+		changed, newer := d.changed, d.rev > since
 		d.mu.Unlock()
-		if fresh {
+		if newer {
 			return true
 		}
 		select {
-		case <-news:
-		case <-over.C:
+		case <-changed:
+		case <-timeout.C:
 			return true
 		case <-ctx.Done():
 			return false
@@ -96,26 +97,26 @@
 }
 
 // response returns the encoded whole list, or the changes after a version. Each is encoded once.
-func (d *discovery) answer(since int64) ([]byte, error) {
+func (d *discovery) response(since int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	since = max(0, since)
-	if text := d.texts[since]; text != nil {
+	if text := d.responses[since]; text != nil {
 		return text, nil
 	}
-	text, err := json.Marshal(d.pick(since))
+	text, err := json.Marshal(d.listSince(since))
 	if err == nil {
-		d.texts[since] = text
+		d.responses[since] = text
 	}
 	return text, err
 }
 
 // listSince collects the lines of a response. The caller holds the lock.
-func (d *discovery) pick(since int64) roster.List {
+func (d *discovery) listSince(since int64) roster.List {
 	l := roster.List{Rev: d.rev, All: since == 0, Targets: []roster.Target{}}
 	for i := range d.list.lines {
 		whole := since == 0 && d.list.lines[i].State != roster.Removed
-		if whole || since > 0 && d.revs[i] > since {
+		if whole || since > 0 && d.lineRevs[i] > since {
 			l.Targets = append(l.Targets, d.list.lines[i])
 		}
 	}
@@ -123,10 +124,10 @@
 }
 
 // initialList returns the list that edge nodes have in their configuration.
-func (d *discovery) known() roster.List {
+func (d *discovery) initialList() roster.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.pick(0)
+	return d.listSince(0)
 }
 
 // change changes some lines in one version of the list and returns this version.
@@ -136,12 +137,12 @@
 	d.rev++
 	for _, i := range lines {
 		edit(&d.list.lines[i])
-		d.revs[i] = d.rev
+		d.lineRevs[i] = d.rev
 	}
-	clear(d.texts)
-	d.takes.begin(d.rev, time.Now())
-	close(d.news)
-	d.news = make(chan struct{})
+	clear(d.responses)
+	d.applied.start(d.rev, time.Now())
+	close(d.changed)
+	d.changed = make(chan struct{})
 	return d.rev
 }
 
@@ -152,39 +153,39 @@
 }
 
 // appliedVersions records when each edge node has applied a version of the list.
-type takes struct {
-	mu    sync.Mutex
-	begun map[int64]time.Time
-	took  map[int64]map[int]time.Duration // by version and edge node: the time since the change
+type appliedVersions struct {
+	mu        sync.Mutex
+	changedAt map[int64]time.Time
+	latency   map[int64]map[int]time.Duration // by version and edge node: the time since the change
 }
 
-func newTakes() *takes {
-	return &takes{begun: map[int64]time.Time{}, took: map[int64]map[int]time.Duration{}}
+func newAppliedVersions() *appliedVersions {
+	return &appliedVersions{changedAt: map[int64]time.Time{}, latency: map[int64]map[int]time.Duration{}}
 }
 
-func (t *takes) begin(rev int64, now time.Time) {
+func (t *appliedVersions) start(rev int64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.begun[rev], t.took[rev] = now, map[int]time.Duration{}
+	t.changedAt[rev], t.latency[rev] = now, map[int]time.Duration{}
 }
 
 // record notes that an edge node has applied a version, and with it all earlier versions.
-func (t *takes) note(no int, rev int64, now time.Time) {
+func (t *appliedVersions) record(no int, rev int64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for r, begun := range t.begun {
-		if _, already := t.took[r][no]; r <= rev && !already {
-			t.took[r][no] = now.Sub(begun)
+	for r, changedAt := range t.changedAt {
+		if _, recorded := t.latency[r][no]; r <= rev && !recorded {
+			t.latency[r][no] = now.Sub(changedAt)
 		}
 	}
 }
 
-// delays returns how long each edge node that has applied a version took.
-func (t *takes) of(rev int64) map[int]time.Duration {
+// latencies returns how long each edge node that has applied a version took.
+func (t *appliedVersions) latencies(rev int64) map[int]time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	copied := make(map[int]time.Duration, len(t.took[rev]))
-	for no, d := range t.took[rev] {
+	copied := make(map[int]time.Duration, len(t.latency[rev]))
+	for no, d := range t.latency[rev] {
 		copied[no] = d
 	}
 	return copied
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -15,7 +15,7 @@
 // applied.
 func TestDiscovery(t *testing.T) {
 	c := &Config{Servers: 100}
-	d := newDiscovery(drawList(c, nil), newTakes())
+	d := newDiscovery(drawList(c, nil), newAppliedVersions())
 	defer d.close()
 	const no = 7
 	addr, err := d.listen(no)
@@ -45,54 +45,56 @@
 	if l := get("?since=1&timeout_ms=0"); l.all || len(l.servers) != 0 || l.rev != firstRev {
 		t.Errorf("watch without changes: %d lines, version %d", len(l.servers), l.rev)
 	}
-	answered := make(chan *decodedList, 1)
+	watched := make(chan *decodedList, 1)
 	go func() {
 		resp, err := http.Get("http://" + addr + "/v1/servers?since=1&timeout_ms=60000")
 		if err != nil {
-			answered <- nil
+			watched <- nil
 			return
 		}
 		defer resp.Body.Close()
 		body, _ := io.ReadAll(resp.Body)
 		l, _ := decodeList(body)
-		answered <- l
+		watched <- l
 	}()
-	rev := d.change([]int{3, 4}, removed)
-	if l := <-answered; l == nil || l.all || l.rev != rev || len(l.servers) != 2 || l.servers[0].State != policy.Removed {
+	rev := d.change([]int{3, 4}, markRemoved)
+	if l := <-watched; l == nil || l.all || l.rev != rev || len(l.servers) != 2 ||
+		l.servers[0].State != policy.Removed {
 		t.Errorf("watch: %+v", l)
 	}
-	if took := d.takes.of(rev); len(took) != 0 {
-		t.Errorf("applied before a watch from this version: %v", took)
+	if latencies := d.applied.latencies(rev); len(latencies) != 0 {
+		t.Errorf("applied before a watch from this version: %v", latencies)
 	}
 	get("?since=2&timeout_ms=0")
-	if took := d.takes.of(rev); len(took) != 1 || took[no] <= 0 {
-		t.Errorf("applied: %v", took)
+	if latencies := d.applied.latencies(rev); len(latencies) != 1 || latencies[no] <= 0 {
+		t.Errorf("applied: %v", latencies)
 	}
 	if l := get(""); len(l.servers) != c.Servers-2 {
 		t.Errorf("whole list without removed servers: %d lines", len(l.servers))
 	}
-	if rev = d.change([]int{3}, restarted); rev != 3 {
+	if rev = d.change([]int{3}, markRestarted); rev != 3 {
 		t.Errorf("version %d, want 3", rev)
 	}
-	if l := get("?since=1&timeout_ms=0"); len(l.servers) != 2 || !l.servers[0].HasStart && !l.servers[1].HasStart {
+	if l := get("?since=1&timeout_ms=0"); len(l.servers) != 2 ||
+		!l.servers[0].HasStart && !l.servers[1].HasStart {
 		t.Errorf("two changes: %+v", l.servers)
 	}
 }
 
 // An edge node that has applied a version has applied all earlier ones, and the first report of a
 // version counts.
-func TestTakes(t *testing.T) {
-	takes, now := newTakes(), time.Now()
-	takes.begin(2, now)
-	takes.begin(3, now.Add(time.Second))
-	takes.note(1, 1, now.Add(2*time.Second))
-	if len(takes.of(2)) != 0 {
+func TestAppliedVersions(t *testing.T) {
+	applied, now := newAppliedVersions(), time.Now()
+	applied.start(2, now)
+	applied.start(3, now.Add(time.Second))
+	applied.record(1, 1, now.Add(2*time.Second))
+	if len(applied.latencies(2)) != 0 {
 		t.Error("a version counts as applied after a report of an older one")
 	}
-	takes.note(1, 3, now.Add(3*time.Second))
-	takes.note(1, 3, now.Add(9*time.Second))
-	if takes.of(2)[1] != 3*time.Second || takes.of(3)[1] != 2*time.Second {
-		t.Errorf("%v, %v", takes.of(2), takes.of(3))
+	applied.record(1, 3, now.Add(3*time.Second))
+	applied.record(1, 3, now.Add(9*time.Second))
+	if applied.latencies(2)[1] != 3*time.Second || applied.latencies(3)[1] != 2*time.Second {
+		t.Errorf("%v, %v", applied.latencies(2), applied.latencies(3))
 	}
 }
 
@@ -110,18 +112,18 @@
 func TestDecoderSharesLists(t *testing.T) {
 	var d decoder
 	body := []byte(`{"rev":1,"all":true,"targets":[{"uid":"s-00000001","endpoint":"127.0.0.1:1","az":"a","state":"SERVING"}]}`)
-	first, err := d.take(body)
+	first, err := d.decode(body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := d.take(append([]byte(nil), body...)); err != nil || again != first {
+	if second, err := d.decode(append([]byte(nil), body...)); err != nil || second != first {
 		t.Errorf("decoded twice: %v", err)
 	}
 	if cost := d.cost(); cost.Bytes != len(body) {
 		t.Errorf("%+v", cost)
 	}
-	d.drop()
-	if again, err := d.take(body); err != nil || again == first {
+	d.dropCache()
+	if second, err := d.decode(body); err != nil || second == first {
 		t.Errorf("list still cached after the cache was dropped: %v", err)
 	}
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -19,49 +19,49 @@
 // measurements.
 type fleet struct {
 	Config
-	world     *world.World
-	list      *serverList
-	need      memoryNeed
-	dir       string
-	takes     *takes
-	network   *network
-	discovery *discovery
-	lender    *lender
-	clients   *clients
-	tenants   *tenants
-	reals     []*process
-	hollows   []*hollow
+	world       *world.World
+	list        *serverList
+	need        memoryNeed
+	dir         string
+	applied     *appliedVersions
+	network     *network
+	discovery   *discovery
+	stubServers *stubServers
+	clients     *clients
+	tenants     *tenants
+	reals       []*process
+	hollows     []*hollow
 
 	// Shared by the hollow edge nodes.
-	hollowDiscovery string
-	decoder         decoder
-	http            *http.Client
-	listSlots       chan struct{}
-	discoveryErrors atomic.Int64
+	hollowDiscoveryAddr string
+	decoder             decoder
+	http                *http.Client
+	listSlots           chan struct{}
+	discoveryErrors     atomic.Int64
 
-	realLoad, hollowLoad *loadBook
-	end                  context.CancelFunc // stops the hollow edge nodes
-	measured             measured
+	realLoad, hollowLoad *loadStats
+	stopHollows          context.CancelFunc // stops the hollow edge nodes
+	measured             measurements
 }
 
 // measurements holds what the phases measured. A nil field belongs to a phase that was not reached.
-type measured struct {
-	phases      []Phase // that ran to their end
-	interrupted bool
-	rest        *span
-	lines       *span
-	lineRevs    []int64
-	load        *span
-	loadCounts  [sorts]loadCount
-	traffic     *traffic
-	zoneCounts  [sorts]loadCount
-	lost, back  *zoneChange
-	flood       *span
-	flooded     int         // datagrams sent to each real edge node
-	heap        [2]float64  // of the lab, in bytes: without and with the hollow edge nodes
-	resident    [][]float64 // of real edge nodes, in MB: current, peak, live heap
-	windows     []Window
-	begun       time.Time
+type measurements struct {
+	phases                    []Phase // that ran to their end
+	interrupted               bool
+	rest                      *span
+	lines                     *span
+	lineRevs                  []int64
+	load                      *span
+	loadCounts                [nodeKinds]loadCount
+	traffic                   *traffic
+	zoneCounts                [nodeKinds]loadCount
+	zoneRemoved, zoneRestored *zoneChange
+	flood                     *span
+	flooded                   int         // datagrams sent to each real edge node
+	heap                      [2]float64  // of the lab, in bytes: without and with the hollow edge nodes
+	resident                  [][]float64 // of real edge nodes, in MB: current, peak, live heap
+	windows                   []Window
+	startedAt                 time.Time
 }
 
 // zoneChange is a change of all servers of a zone in one version of the list.
@@ -86,28 +86,29 @@
 
 // The kinds of edge node.
 const (
-	sortReal = iota
-	sortHollow
-	sorts
+	realNode = iota
+	hollowNode
+	nodeKinds
 )
 
 // open opens the sockets of the stubs and prepares the edge nodes.
 func (f *fleet) open() error {
 	var err error
-	if f.lender, err = newLender(f.world, f.Seed); err != nil {
+	if f.stubServers, err = newStubServers(f.world, f.Seed); err != nil {
 		return err
 	}
-	f.list = drawList(&f.Config, f.lender.addrs)
-	f.takes = newTakes()
-	f.discovery = newDiscovery(f.list, f.takes)
-	if f.hollowDiscovery, err = f.discovery.listen(-1); err != nil {
+	f.list = drawList(&f.Config, f.stubServers.addrs)
+	f.applied = newAppliedVersions()
+	f.discovery = newDiscovery(f.list, f.applied)
+	if f.hollowDiscoveryAddr, err = f.discovery.listen(-1); err != nil {
 		return err
 	}
 	f.tenants = drawTenants(&f.Config, f.world)
 	f.clients = newClients(f)
-	f.realLoad, f.hollowLoad = newLoadBook(), newLoadBook()
-	f.listSlots = make(chan struct{}, listsAtOnce)
-	f.http = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: f.Hollow + 1}}
+	f.realLoad, f.hollowLoad = newLoadStats(), newLoadStats()
+	f.listSlots = make(chan struct{}, maxListFetches)
+	f.http = &http.Client{Transport: &http.Transport{DisableCompression: true,
+		MaxIdleConnsPerHost: f.Hollow + 1}}
 	addrs, err := f.openReals()
 	if err != nil {
 		return err
@@ -115,7 +116,7 @@
 	if f.network, err = newNetwork(&f.Config, addrs); err != nil {
 		return err
 	}
-	f.network.run()
+	f.network.startReaders()
 	return nil
 }
 
@@ -123,16 +124,16 @@
 func (f *fleet) openReals() ([]netip.AddrPort, error) {
 	var addrs []netip.AddrPort
 	for i := range f.Real {
-		p := &process{no: f.firstReal() + i}
+		p := &process{number: f.firstReal() + i}
 		f.reals = append(f.reals, p)
 		var err error
-		if p.at, err = loopback.Reserve(); err != nil {
+		if p.address, err = loopback.Reserve(); err != nil {
 			return nil, err
 		}
-		if p.discovery, err = f.discovery.listen(p.no); err != nil {
+		if p.discovery, err = f.discovery.listen(p.number); err != nil {
 			return nil, err
 		}
-		addr, err := netip.ParseAddrPort(p.at.String())
+		addr, err := netip.ParseAddrPort(p.address.String())
 		if err != nil {
 			return nil, err
 		}
@@ -142,27 +143,28 @@
 }
 
 // runPhases runs the phases in order until ctx ends.
-func (f *fleet) play(ctx context.Context) error {
-	f.measured.begun = time.Now()
-	inner, end := context.WithCancel(context.Background())
-	f.end = end
+func (f *fleet) runPhases(ctx context.Context) error {
+	f.measured.startedAt = time.Now()
+	hollowCtx, stop := context.WithCancel(context.Background())
+	f.stopHollows = stop
 	var phase atomic.Value
 	phase.Store(PhaseStart)
 	var sampling sync.WaitGroup
 	defer sampling.Wait()
-	defer end()
+	defer stop()
 	for _, p := range []struct {
 		name Phase
 		do   func(ctx context.Context) error
 	}{
 		{PhaseStart, func(ctx context.Context) error {
-			if err := f.start(ctx, inner); err != nil {
+			if err := f.start(ctx, hollowCtx); err != nil {
 				return err
 			}
-			sampling.Go(func() { f.sampleSeconds(inner, &phase) })
+			sampling.Go(func() { f.sampleSeconds(hollowCtx, &phase) })
 			return nil
 		}},
-		{PhaseRest, f.rest}, {PhaseLines, f.changeLines}, {PhaseLoad, f.underFullLoad}, {PhaseZone, f.changeZone}, {PhaseDatagrams, f.floodDatagrams},
+		{PhaseRest, f.measureRest}, {PhaseLines, f.measureLineChanges}, {PhaseLoad, f.measureLoad},
+		{PhaseZone, f.measureZoneChange}, {PhaseDatagrams, f.measureDatagramFlood},
 	} {
 		phase.Store(p.name)
 		if f.Step != nil {
@@ -172,7 +174,7 @@
 			return err
 		}
 		for _, r := range f.reals {
-			if err := r.ended(); err != nil {
+			if err := r.exitError(); err != nil {
 				return err
 			}
 		}
@@ -187,15 +189,15 @@
 }
 
 // start starts all edge nodes and waits at most readyTimeout until they are ready.
-func (f *fleet) start(ctx, inner context.Context) error {
-	if _, err := f.discovery.answer(0); err != nil { // encodes the whole list before the first request for it
+func (f *fleet) start(ctx, hollowCtx context.Context) error {
+	if _, err := f.discovery.response(0); err != nil { // encodes the list before the first request
 		return err
 	}
 	f.measured.heap[0] = heapLive()
-	ctx, stop := context.WithTimeout(ctx, readyWithin)
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
-	var awaited sync.WaitGroup
-	if err := f.startReals(ctx, &awaited); err != nil {
+	var starting sync.WaitGroup
+	if err := f.startReals(ctx, &starting); err != nil {
 		return err
 	}
 	for no := range f.existing() {
@@ -207,23 +209,23 @@
 			return err
 		}
 		f.hollows = append(f.hollows, h)
-		h.start(inner)
+		h.start(hollowCtx)
 	}
-	awaited.Wait()
+	starting.Wait()
 	f.awaitHollows(ctx)
-	f.decoder.drop()
+	f.decoder.dropCache()
 	f.measured.heap[1] = heapLive()
 	return nil
 }
 
 // startReals starts the processes. Their configuration holds the list.
-func (f *fleet) startReals(ctx context.Context, awaited *sync.WaitGroup) error {
-	known := f.discovery.known()
+func (f *fleet) startReals(ctx context.Context, starting *sync.WaitGroup) error {
+	initialList := f.discovery.initialList()
 	for _, p := range f.reals {
-		if err := p.start(f, known); err != nil {
+		if err := p.start(f, initialList); err != nil {
 			return err
 		}
-		awaited.Go(func() { p.await(ctx) })
+		starting.Go(func() { p.awaitReady(ctx) })
 	}
 	return nil
 }
@@ -231,10 +233,10 @@
 func (f *fleet) awaitHollows(ctx context.Context) {
 	for _, h := range f.hollows {
 		for {
-			if _, ready, _ := h.reading(); ready > 0 {
+			if _, ready, _ := h.stats(); ready > 0 {
 				break
 			}
-			if !pause(ctx, pollReady) {
+			if !sleep(ctx, pollInterval) {
 				return
 			}
 		}
@@ -242,7 +244,7 @@
 }
 
 // sleep waits for a duration. It returns false when ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -252,35 +254,37 @@
 }
 
 // measureRest measures edge nodes without requests.
-func (f *fleet) rest(ctx context.Context) error {
-	pause(ctx, settleFor)
-	before := f.read()
-	pause(ctx, f.restFor())
-	f.measured.rest = f.read().since(before)
+func (f *fleet) measureRest(ctx context.Context) error {
+	sleep(ctx, settleTime)
+	before := f.readCPU()
+	sleep(ctx, f.restDuration())
+	f.measured.rest = f.readCPU().since(before)
 	return nil
 }
 
 // measureLineChanges restarts single servers one after another.
-func (f *fleet) changeLines(ctx context.Context) error {
-	before := f.read()
-	for i := range lineChanges {
-		line := i * len(f.list.lines) / lineChanges
-		f.measured.lineRevs = append(f.measured.lineRevs, f.discovery.change([]int{line}, restarted))
-		if !pause(ctx, lineEvery) {
+func (f *fleet) measureLineChanges(ctx context.Context) error {
+	before := f.readCPU()
+	for i := range lineChangeCount {
+		line := i * len(f.list.lines) / lineChangeCount
+		f.measured.lineRevs = append(f.measured.lineRevs, f.discovery.change([]int{line}, markRestarted))
+		if !sleep(ctx, lineChangeInterval) {
 			break
 		}
 	}
-	f.awaitTakes(ctx, f.measured.lineRevs[len(f.measured.lineRevs)-1], f.everyone())
-	f.measured.lines = f.read().since(before)
+	f.awaitApplied(ctx, f.measured.lineRevs[len(f.measured.lineRevs)-1], f.allNodes())
+	f.measured.lines = f.readCPU().since(before)
 	return nil
 }
 
 // markRestarted changes the line of a server that has just started.
-func restarted(t *roster.Target) { t.State, t.BootMS = stateServing, float64(time.Now().UnixMilli()) }
+func markRestarted(t *roster.Target) {
+	t.State, t.BootMS = stateServing, float64(time.Now().UnixMilli())
+}
 
-func removed(t *roster.Target) { t.State = roster.Removed }
+func markRemoved(t *roster.Target) { t.State = roster.Removed }
 
-func (f *fleet) everyone() []int {
+func (f *fleet) allNodes() []int {
 	list := make([]int, f.existing())
 	for i := range list {
 		list[i] = i
@@ -289,47 +293,48 @@
 }
 
 // awaitApplied waits at most listTimeout until the given edge nodes have applied a version.
-func (f *fleet) awaitTakes(ctx context.Context, rev int64, awaited []int) {
-	for end := time.Now().Add(listWait); time.Now().Before(end); {
-		took, missing := f.takes.of(rev), 0
-		for _, no := range awaited {
-			if _, have := took[no]; !have {
+func (f *fleet) awaitApplied(ctx context.Context, rev int64, nodes []int) {
+	for end := time.Now().Add(listTimeout); time.Now().Before(end); {
+		latencies, missing := f.applied.latencies(rev), 0
+		for _, no := range nodes {
+			if _, applied := latencies[no]; !applied {
 				missing++
 			}
 		}
-		if missing == 0 || !pause(ctx, pollReady) {
+		if missing == 0 || !sleep(ctx, pollInterval) {
 			return
 		}
 	}
 }
 
 // runUnderLoad sends the load to all edge nodes while a function runs, and returns the counts.
-func (f *fleet) underLoad(ctx context.Context, do func(ctx context.Context)) (counts [sorts]loadCount) {
+func (f *fleet) runUnderLoad(ctx context.Context,
+	do func(ctx context.Context)) (counts [nodeKinds]loadCount) {
 	f.realLoad.takePhase()
 	f.hollowLoad.takePhase()
-	asking, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	var sources sync.WaitGroup
 	for _, p := range f.reals {
-		sources.Go(func() { f.clients.ask(asking, p) })
+		sources.Go(func() { f.clients.generateLoad(loadCtx, p) })
 	}
 	for _, h := range f.hollows {
-		sources.Go(func() { h.ask(asking) })
+		sources.Go(func() { h.generateLoad(loadCtx) })
 	}
 	do(ctx)
 	stop()
 	sources.Wait()
 	f.clients.drain()
-	counts[sortReal], counts[sortHollow] = f.realLoad.takePhase(), f.hollowLoad.takePhase()
+	counts[realNode], counts[hollowNode] = f.realLoad.takePhase(), f.hollowLoad.takePhase()
 	return counts
 }
 
 // measureLoad measures the edge nodes under load.
-func (f *fleet) underFullLoad(ctx context.Context) error {
+func (f *fleet) measureLoad(ctx context.Context) error {
 	f.network.startCount()
-	f.measured.loadCounts = f.underLoad(ctx, func(ctx context.Context) {
-		before := f.read()
-		pause(ctx, f.For)
-		f.measured.load = f.read().since(before)
+	f.measured.loadCounts = f.runUnderLoad(ctx, func(ctx context.Context) {
+		before := f.readCPU()
+		sleep(ctx, f.For)
+		f.measured.load = f.readCPU().since(before)
 		f.measured.traffic = f.readTraffic(f.measured.load.length)
 	})
 	return nil
@@ -337,57 +342,58 @@
 
 // measureZoneChange removes and restores all servers of a zone under load, each in one change of
 // the list.
-func (f *fleet) changeZone(ctx context.Context) error {
+func (f *fleet) measureZoneChange(ctx context.Context) error {
 	var lines []int
 	for i := range f.list.lines {
 		if i%zones == 0 {
 			lines = append(lines, i)
 		}
 	}
-	var able []int // edge nodes that refused the first change are not waited for again
-	for no := range f.takes.of(f.measured.lineRevs[0]) {
-		able = append(able, no)
+	var capable []int // edge nodes that refused the first change are not waited for again
+	for no := range f.applied.latencies(f.measured.lineRevs[0]) {
+		capable = append(capable, no)
 	}
-	f.measured.zoneCounts = f.underLoad(ctx, func(ctx context.Context) {
-		pause(ctx, settleFor)
-		f.measured.lost = f.changeAtOnce(ctx, lines, removed, able)
-		f.measured.back = f.changeAtOnce(ctx, lines, restarted, able)
+	f.measured.zoneCounts = f.runUnderLoad(ctx, func(ctx context.Context) {
+		sleep(ctx, settleTime)
+		f.measured.zoneRemoved = f.applyZoneChange(ctx, lines, markRemoved, capable)
+		f.measured.zoneRestored = f.applyZoneChange(ctx, lines, markRestarted, capable)
 	})
 	return nil
 }
 
-func (f *fleet) changeAtOnce(ctx context.Context, lines []int, edit func(*roster.Target), able []int) *zoneChange {
+func (f *fleet) applyZoneChange(ctx context.Context, lines []int, edit func(*roster.Target),
+	capable []int) *zoneChange {
 	if ctx.Err() != nil {
 		return nil
 	}
-	before := f.read()
+	before := f.readCPU()
 	z := &zoneChange{rev: f.discovery.change(lines, edit), lines: len(lines)}
-	f.awaitTakes(ctx, z.rev, able)
-	pause(ctx, settleFor)
-	z.span = f.read().since(before)
+	f.awaitApplied(ctx, z.rev, capable)
+	sleep(ctx, settleTime)
+	z.span = f.readCPU().since(before)
 	return z
 }
 
 // measureDatagramFlood sends many copies of a datagram from the load to the real edge nodes.
-func (f *fleet) floodDatagrams(ctx context.Context) error {
-	seen := f.network.sample.Load()
-	if seen == nil || f.Real == 0 || f.existing() < 2 {
+func (f *fleet) measureDatagramFlood(ctx context.Context) error {
+	captured := f.network.sample.Load()
+	if captured == nil || f.Real == 0 || f.existing() < 2 {
 		return nil
 	}
-	before := f.read()
-	every := time.NewTicker(pollReady)
-	defer every.Stop()
-	due := 0.0
-	for end := before.at.Add(floodFor); time.Now().Before(end) && ctx.Err() == nil; {
-		<-every.C
-		for due += floodRate * pollReady.Seconds(); due >= 1; due-- {
+	before := f.readCPU()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	pending := 0.0
+	for end := before.at.Add(floodDuration); time.Now().Before(end) && ctx.Err() == nil; {
+		<-ticker.C
+		for pending += floodRate * pollInterval.Seconds(); pending >= 1; pending-- {
 			for _, p := range f.reals {
-				f.network.deliver((p.no+1)%f.existing(), p.no, seen.data)
+				f.network.deliver((p.number+1)%f.existing(), p.number, captured.data)
 			}
 			f.measured.flooded++
 		}
 	}
-	f.measured.flood = f.read().since(before)
+	f.measured.flood = f.readCPU().since(before)
 	return nil
 }
 
@@ -401,26 +407,26 @@
 
 // close stops the edge nodes and stubs, closes all sockets and removes the directory.
 func (f *fleet) close() {
-	if f.end != nil {
-		f.end()
+	if f.stopHollows != nil {
+		f.stopHollows()
 	}
-	var ending sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, p := range f.reals {
-		ending.Go(p.stop)
+		stopping.Go(p.stop)
 	}
-	ending.Wait()
+	stopping.Wait()
 	if f.network != nil {
 		f.network.close()
 	}
 	if f.discovery != nil {
 		f.discovery.close()
 	}
-	if f.lender != nil {
-		f.lender.close()
+	if f.stubServers != nil {
+		f.stubServers.close()
 	}
 	for _, p := range f.reals {
-		if p.at != nil {
-			p.at.Close()
+		if p.address != nil {
+			p.address.Close()
 		}
 	}
 	if f.http != nil {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -16,17 +16,17 @@
 
 // Limits of the loop, as in a real edge node.
 const (
-	eventQueue   = 4096
-	answerMargin = 10 * time.Millisecond // time before a client's deadline at which its response is decided
+	eventQueueSize = 4096
+	responseMargin = 10 * time.Millisecond // time before a client's deadline at which its response is decided
 )
 
 // Limits of the calls to discovery.
 const (
-	watchWait   = 20 * time.Second
-	callLimit   = 30 * time.Second // a watch may take watchTimeout longer
-	callPause   = 100 * time.Millisecond
-	mostList    = 64 << 20 // bytes
-	listsAtOnce = 4        // whole lists that are fetched in parallel
+	watchTimeout    = 20 * time.Second
+	fetchTimeout    = 30 * time.Second // a watch may take watchTimeout longer
+	fetchRetryDelay = 100 * time.Millisecond
+	maxListBytes    = 64 << 20 // bytes
+	maxListFetches  = 4        // whole lists that are fetched in parallel
 )
 
 // cause is the kind of event for which the policy module runs.
@@ -39,22 +39,23 @@
 	causeTimer
 	causeDatagram
 	causeList
-	causeGone
-	causes
+	causeExpired
+	causeCount
 )
 
-var causeNames = [causes]string{"request", "outcome", "tick", "other timer", "datagram", "list", "request given up"}
+var causeNames = [causeCount]string{"request", "outcome", "tick", "other timer", "datagram", "list",
+	"request given up"}
 
 // tickToken is the token of the module's periodic timer.
 const tickToken = "tick"
 
 // moduleUsage sums the processor time of the policy module by cause.
-type spending struct {
-	count [causes]int64
-	time  [causes]time.Duration
+type moduleUsage struct {
+	count [causeCount]int64
+	time  [causeCount]time.Duration
 }
 
-func (s *spending) total() (sum time.Duration) {
+func (s *moduleUsage) total() (sum time.Duration) {
 	for _, t := range s.time {
 		sum += t
 	}
@@ -62,7 +63,7 @@
 }
 
 // minus returns the usage since an earlier reading.
-func (s spending) minus(before spending) spending {
+func (s moduleUsage) minus(before moduleUsage) moduleUsage {
 	for i := range s.count {
 		s.count[i] -= before.count[i]
 		s.time[i] -= before.time[i]
@@ -73,14 +74,14 @@
 // Events of a hollow edge node's loop, besides policy.PeerMessage.
 type (
 	arrival struct {
-		at      time.Duration // scheduled time
-		tenant  *world.Person
-		class   int
-		units   int
-		latency time.Duration // of each attempt, drawn from the model of the server
-		spent   time.Duration // processor time of this edge node's module at the arrival
+		scheduledAt time.Duration // scheduled time
+		tenant      *world.Person
+		class       int
+		units       int
+		latency     time.Duration // of each attempt, drawn from the model of the server
+		moduleTime  time.Duration // processor time of this edge node's module at the arrival
 	}
-	listing struct {
+	listUpdate struct {
 		list *decodedList
 		kind policy.UpdateKind
 	}
@@ -91,7 +92,7 @@
 	at      time.Duration
 	token   string
 	outcome *policy.Outcome
-	overdue policy.RequestID
+	expired policy.RequestID
 }
 
 type hollowTimers []hollowTimer
@@ -115,32 +116,32 @@
 // hollowRequest is an open request.
 type hollowRequest struct {
 	arrival
-	due      time.Duration
+	deadline time.Duration
 	attempts int
-	out      bool
-	sent     time.Duration // start of the attempt in flight
+	inFlight bool
+	sentAt   time.Duration // start of the attempt in flight
 	class    *world.Class
 }
 
 // hollow is an edge node without client and server sockets. Its loop owns the policy module and the
 // requests.
 type hollow struct {
-	no      int
-	fleet   *fleet
-	gateway *policy.Gateway
-	events  chan any
-	over    chan struct{} // closed when the loop returns
-	timers  hollowTimers
-	open    map[policy.RequestID]*hollowRequest
-	nextID  policy.RequestID
-	queue   []policy.Event
-	acts    []policy.Action
-
-	mu      sync.Mutex
-	spent   spending
-	began   time.Time
-	ready   time.Duration // time from the start until a whole list is in force; 0: not yet
-	dropped int64         // datagrams dropped because the event queue was full
+	number   int
+	fleet    *fleet
+	gateway  *policy.Gateway
+	events   chan any
+	done     chan struct{} // closed when the loop returns
+	timers   hollowTimers
+	requests map[policy.RequestID]*hollowRequest
+	nextID   policy.RequestID
+	pending  []policy.Event
+	actions  []policy.Action
+
+	mu         sync.Mutex
+	usage      moduleUsage
+	startedAt  time.Time
+	readyAfter time.Duration // time from the start until a whole list is in force; 0: not yet
+	dropped    int64         // datagrams dropped because the event queue was full
 }
 
 func newHollow(f *fleet, no int) (*hollow, error) {
@@ -152,26 +153,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("invalid settings of edge node %d: %w", no, err)
 	}
-	return &hollow{no: no, fleet: f, gateway: g, events: make(chan any, eventQueue), over: make(chan struct{}), open: map[policy.RequestID]*hollowRequest{}}, nil
+	return &hollow{number: no, fleet: f, gateway: g, events: make(chan any, eventQueueSize),
+		done: make(chan struct{}), requests: map[policy.RequestID]*hollowRequest{}}, nil
 }
 
 // start starts the loop, the reader of the peers' datagrams and the watch of discovery.
 func (h *hollow) start(ctx context.Context) {
 	h.mu.Lock()
-	h.began = time.Now()
+	h.startedAt = time.Now()
 	h.mu.Unlock()
 	go h.run(ctx)
-	go h.fleet.network.read(h.fleet.network.conns[h.no], h.hear)
-	go h.follow(ctx)
+	go h.fleet.network.read(h.fleet.network.conns[h.number], h.receive)
+	go h.followDiscovery(ctx)
 }
 
 // receive queues a datagram, or drops it if the queue is full.
-func (h *hollow) hear(from sender, data []byte) {
+func (h *hollow) receive(from sender, data []byte) {
 	n := h.fleet.network
-	n.noteIn(h.no, data)
-	n.noteFirst(from, data)
+	n.countIn(h.number, data)
+	n.countFirst(from, data)
 	select {
-	case h.events <- policy.PeerMessage{From: from.no, Data: append([]byte(nil), data...)}:
+	case h.events <- policy.PeerMessage{From: from.number, Data: append([]byte(nil), data...)}:
 	default:
 		h.mu.Lock()
 		h.dropped++
@@ -184,13 +186,13 @@
 	select {
 	case h.events <- ev:
 		return true
-	case <-h.over:
+	case <-h.done:
 		return false
 	}
 }
 
 func (h *hollow) run(ctx context.Context) {
-	defer close(h.over)
+	defer close(h.done)
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
 	for {
@@ -204,22 +206,22 @@
 			h.handle(ev)
 		case <-wake.C:
 		}
-		h.fire()
+		h.runTimers()
 	}
 }
 
-func (h *hollow) fire() {
+func (h *hollow) runTimers() {
 	for now := unixNow(); len(h.timers) > 0 && h.timers[0].at <= now; {
 		t := heap.Pop(&h.timers).(hollowTimer)
 		switch {
 		case t.outcome != nil:
-			h.end(*t.outcome)
-		case t.overdue != 0:
-			h.giveUp(t.overdue)
+			h.finishAttempt(*t.outcome)
+		case t.expired != 0:
+			h.expire(t.expired)
 		case t.token == tickToken:
-			h.decide(causeTick, policy.Timer{Token: t.token})
+			h.dispatch(causeTick, policy.Timer{Token: t.token})
 		default:
-			h.decide(causeTimer, policy.Timer{Token: t.token})
+			h.dispatch(causeTimer, policy.Timer{Token: t.token})
 		}
 	}
 }
@@ -227,125 +229,128 @@
 func (h *hollow) handle(ev any) {
 	switch ev := ev.(type) {
 	case arrival:
-		h.arrive(ev)
+		h.startRequest(ev)
 	case policy.PeerMessage:
-		h.decide(causeDatagram, ev)
-	case listing:
-		h.takeList(ev)
+		h.dispatch(causeDatagram, ev)
+	case listUpdate:
+		h.applyList(ev)
 	}
 }
 
-func (h *hollow) arrive(a arrival) {
+func (h *hollow) startRequest(a arrival) {
 	w := h.fleet.world
 	h.nextID++
 	class := &w.Classes[a.class]
-	r := &hollowRequest{arrival: a, class: class, due: a.at + class.Deadline.D() - answerMargin}
+	r := &hollowRequest{arrival: a, class: class,
+		deadline: a.scheduledAt + class.Deadline.D() - responseMargin}
 	now := unixNow()
-	h.fleet.hollowLoad.handled(now-a.at, h.spentTime()-a.spent)
-	h.open[h.nextID] = r
-	heap.Push(&h.timers, hollowTimer{at: r.due, overdue: h.nextID})
-	h.decide(causeRequest, policy.Request{ID: h.nextID, Customer: a.tenant.Key, Plan: w.Plans[a.tenant.Plan].Name, Class: class.Name,
-		Units: float64(a.units), Remaining: max(0, r.due-now), First: a.tenant.First, Spread: a.tenant.Spread})
+	h.fleet.hollowLoad.addWait(now-a.scheduledAt, h.moduleTime()-a.moduleTime)
+	h.requests[h.nextID] = r
+	heap.Push(&h.timers, hollowTimer{at: r.deadline, expired: h.nextID})
+	h.dispatch(causeRequest, policy.Request{ID: h.nextID, Customer: a.tenant.Key,
+		Plan: w.Plans[a.tenant.Plan].Name, Class: class.Name,
+		Units: float64(a.units), Remaining: max(0, r.deadline-now),
+		First: a.tenant.First, Spread: a.tenant.Spread})
 }
 
 // applyList passes a list to the module and records when it is in force.
-func (h *hollow) takeList(l listing) {
-	h.decide(causeList, policy.ServerListUpdate{Kind: l.kind, Servers: l.list.servers})
-	h.fleet.takes.note(h.no, l.list.rev, time.Now())
+func (h *hollow) applyList(l listUpdate) {
+	h.dispatch(causeList, policy.ServerListUpdate{Kind: l.kind, Servers: l.list.servers})
+	h.fleet.applied.record(h.number, l.list.rev, time.Now())
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ready == 0 && l.kind == policy.FullList {
-		h.ready = time.Since(h.began)
+	if h.readyAfter == 0 && l.kind == policy.FullList {
+		h.readyAfter = time.Since(h.startedAt)
 	}
 }
 
 // finishAttempt reports the outcome of an attempt to the module. A successful attempt serves the
 // request.
-func (h *hollow) end(o policy.Outcome) {
-	r := h.open[o.ID]
+func (h *hollow) finishAttempt(o policy.Outcome) {
+	r := h.requests[o.ID]
 	if r != nil {
-		r.out = false
-		o.Latency = unixNow() - r.sent
+		r.inFlight = false
+		o.Latency = unixNow() - r.sentAt
 		if o.Code == policy.OK {
-			h.close(o.ID, endServed, r.sent-r.at)
+			h.close(o.ID, outcomeServed, r.sentAt-r.scheduledAt)
 		}
 	}
-	o.Answered = h.open[o.ID] == nil
-	h.decide(causeOutcome, o)
+	o.Answered = h.requests[o.ID] == nil
+	h.dispatch(causeOutcome, o)
 }
 
 // expire fails a request at its deadline.
-func (h *hollow) giveUp(id policy.RequestID) {
-	if h.open[id] == nil {
+func (h *hollow) expire(id policy.RequestID) {
+	if h.requests[id] == nil {
 		return
 	}
-	h.close(id, endFailed, 0)
-	h.decide(causeGone, policy.ClientDisconnected{ID: id})
+	h.close(id, outcomeFailed, 0)
+	h.dispatch(causeExpired, policy.ClientDisconnected{ID: id})
 }
 
-func (h *hollow) close(id policy.RequestID, how ending, added time.Duration) {
-	delete(h.open, id)
-	h.fleet.hollowLoad.end(how, added)
+func (h *hollow) close(id policy.RequestID, outcome requestOutcome, added time.Duration) {
+	delete(h.requests, id)
+	h.fleet.hollowLoad.addOutcome(outcome, added)
 }
 
 // dispatch passes an event to the module and performs the resulting actions.
-func (h *hollow) decide(why cause, ev policy.Event) {
-	h.queue = append(h.queue[:0], ev)
-	for i := 0; i < len(h.queue); i++ {
-		spent := onThread(func() { h.acts = h.gateway.Handle(unixNow(), h.queue[i], h.acts[:0]) })
+func (h *hollow) dispatch(reason cause, ev policy.Event) {
+	h.pending = append(h.pending[:0], ev)
+	for i := 0; i < len(h.pending); i++ {
+		spent := threadTime(func() { h.actions = h.gateway.Handle(unixNow(), h.pending[i], h.actions[:0]) })
 		h.mu.Lock()
-		h.spent.count[why]++
-		h.spent.time[why] += spent
+		h.usage.count[reason]++
+		h.usage.time[reason] += spent
 		h.mu.Unlock()
-		for _, a := range h.acts {
-			h.act(a)
+		for _, a := range h.actions {
+			h.perform(a)
 		}
-		why = causeOutcome // events that an action causes at once
+		reason = causeOutcome // events that an action causes at once
 	}
 }
 
-func (h *hollow) act(a policy.Action) {
+func (h *hollow) perform(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
-		h.send(a)
+		h.startAttempt(a)
 	case policy.Cancel:
-		h.cancel(a)
+		h.cancelAttempt(a)
 	case policy.Refuse:
-		h.final(a.ID, endRefused)
+		h.reject(a.ID, outcomeRefused)
 	case policy.Fail:
-		h.final(a.ID, endFailed)
+		h.reject(a.ID, outcomeFailed)
 	case policy.SetTimer:
 		heap.Push(&h.timers, hollowTimer{at: unixNow() + max(time.Microsecond, a.After), token: a.Token})
 	case policy.SendMessage:
-		h.fleet.network.tell(h.no, a.To, a.Data)
+		h.fleet.network.send(h.number, a.To, a.Data)
 	}
 }
 
 // startAttempt starts an attempt. The model of the server serves every attempt.
-func (h *hollow) send(s policy.Send) {
-	r := h.open[s.ID]
+func (h *hollow) startAttempt(s policy.Send) {
+	r := h.requests[s.ID]
 	outcome := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NotSent, Answered: r == nil}
 	if r != nil {
 		outcome.Attempt = r.attempts
 		r.attempts++
 	}
-	if r == nil || r.out {
-		h.queue = append(h.queue, outcome)
+	if r == nil || r.inFlight {
+		h.pending = append(h.pending, outcome)
 		return
 	}
-	r.out, r.sent = true, unixNow()
+	r.inFlight, r.sentAt = true, unixNow()
 	latency := r.latency
 	outcome.Code = policy.OK
 	if s.Timeout > 0 && latency > s.Timeout {
 		latency, outcome.Code = s.Timeout, policy.TimedOut
 	}
-	heap.Push(&h.timers, hollowTimer{at: r.sent + latency, outcome: &outcome})
+	heap.Push(&h.timers, hollowTimer{at: r.sentAt + latency, outcome: &outcome})
 }
 
 // cancelAttempt ends an attempt in flight.
-func (h *hollow) cancel(c policy.Cancel) {
-	r := h.open[c.ID]
-	if r == nil || !r.out || r.attempts-1 != c.Attempt {
+func (h *hollow) cancelAttempt(c policy.Cancel) {
+	r := h.requests[c.ID]
+	if r == nil || !r.inFlight || r.attempts-1 != c.Attempt {
 		return
 	}
 	for i := range h.timers {
@@ -359,42 +364,42 @@
 }
 
 // reject ends a request that is refused or has failed.
-func (h *hollow) final(id policy.RequestID, how ending) {
-	if h.open[id] != nil {
-		h.close(id, how, 0)
+func (h *hollow) reject(id policy.RequestID, outcome requestOutcome) {
+	if h.requests[id] != nil {
+		h.close(id, outcome, 0)
 	}
 }
 
 // followDiscovery fetches the whole list and watches it until ctx ends.
-func (h *hollow) follow(ctx context.Context) {
-	rev, have := int64(0), false
+func (h *hollow) followDiscovery(ctx context.Context) {
+	rev, hasList := int64(0), false
 	for ctx.Err() == nil {
-		list, err := h.fetch(ctx, rev, have)
+		list, err := h.fetchList(ctx, rev, hasList)
 		if err != nil {
 			h.fleet.discoveryErrors.Add(1)
 			select {
-			case <-time.After(callPause):
+			case <-time.After(fetchRetryDelay):
 			case <-ctx.Done():
 			}
 			continue
 		}
 		kind := policy.Changes
-		if list.all || !have {
+		if list.all || !hasList {
 			kind = policy.FullList
 		}
-		if (kind == policy.FullList || len(list.servers) > 0) && !h.post(listing{list, kind}) {
+		if (kind == policy.FullList || len(list.servers) > 0) && !h.post(listUpdate{list, kind}) {
 			return
 		}
-		rev, have = list.rev, true
+		rev, hasList = list.rev, true
 	}
 }
 
 // fetchList requests the whole list, or waits for changes after a version.
-func (h *hollow) fetch(ctx context.Context, rev int64, have bool) (*decodedList, error) {
-	url, limit := "http://"+h.fleet.hollowDiscovery+"/v1/servers", callLimit
-	if have {
-		url += fmt.Sprintf("?since=%d&timeout_ms=%d", rev, watchWait.Milliseconds())
-		limit += watchWait
+func (h *hollow) fetchList(ctx context.Context, rev int64, hasList bool) (*decodedList, error) {
+	url, limit := "http://"+h.fleet.hollowDiscoveryAddr+"/v1/servers", fetchTimeout
+	if hasList {
+		url += fmt.Sprintf("?since=%d&timeout_ms=%d", rev, watchTimeout.Milliseconds())
+		limit += watchTimeout
 	} else {
 		h.fleet.listSlots <- struct{}{}
 		defer func() { <-h.fleet.listSlots }()
@@ -413,35 +418,37 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("discovery responded with status %d", resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostList))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, err
 	}
-	return h.fleet.decoder.take(body)
+	return h.fleet.decoder.decode(body)
 }
 
 // generateLoad creates requests in an open loop until ctx ends.
-func (h *hollow) ask(ctx context.Context) {
-	w, rng := h.fleet.world, rand.New(rand.NewPCG(h.fleet.Seed, uint64(h.no)+1))
+func (h *hollow) generateLoad(ctx context.Context) {
+	w, rng := h.fleet.world, rand.New(rand.NewPCG(h.fleet.Seed, uint64(h.number)+1))
 	model := latencyModel{w}
-	h.fleet.openLoop(ctx, h.no, func(at time.Duration) {
+	h.fleet.openLoop(ctx, h.number, func(at time.Duration) {
 		class := w.ClassOf(rng)
-		a := arrival{at: at, tenant: h.fleet.tenants.at(h.no, rng), class: class, units: 1 + rng.IntN(max(1, w.Load.Units)), latency: model.draw(class, rng), spent: h.spentTime()}
+		a := arrival{scheduledAt: at, tenant: h.fleet.tenants.pick(h.number, rng), class: class,
+			units: 1 + rng.IntN(max(1, w.Load.Units)), latency: model.draw(class, rng),
+			moduleTime: h.moduleTime()}
 		h.post(a)
-		h.fleet.hollowLoad.asked(unixNow() - at)
+		h.fleet.hollowLoad.addRequest(unixNow() - at)
 	})
 }
 
 // moduleTime returns the processor time that the module has used.
-func (h *hollow) spentTime() time.Duration {
+func (h *hollow) moduleTime() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.spent.total()
+	return h.usage.total()
 }
 
 // stats returns the usage, the time until ready and the number of dropped datagrams.
-func (h *hollow) reading() (spent spending, ready time.Duration, dropped int64) {
+func (h *hollow) stats() (usage moduleUsage, readyAfter time.Duration, dropped int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.spent, h.ready, h.dropped
+	return h.usage, h.readyAfter, h.dropped
 }
--- a/internal/lab/scale/lending.go
+++ b/internal/lab/scale/lending.go
@@ -26,17 +26,18 @@
 }
 
 // stubServers stand in for all servers of the real edge nodes.
-type lender struct {
-	model   latencyModel
-	servers []*http.Server
-	addrs   []string
-	mu      sync.Mutex
-	rng     *rand.Rand
-	held    map[string]time.Duration // by request: the service time
+type stubServers struct {
+	model        latencyModel
+	servers      []*http.Server
+	addrs        []string
+	mu           sync.Mutex
+	rng          *rand.Rand
+	serviceTimes map[string]time.Duration // by request: the service time
 }
 
-func newLender(w *world.World, seed uint64) (*lender, error) {
-	l := &lender{model: latencyModel{w}, rng: world.Stream(seed, world.StreamWork), held: map[string]time.Duration{}}
+func newStubServers(w *world.World, seed uint64) (*stubServers, error) {
+	l := &stubServers{model: latencyModel{w}, rng: world.Stream(seed, world.StreamWork),
+		serviceTimes: map[string]time.Duration{}}
 	for range endpointCount {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -44,13 +45,13 @@
 		}
 		srv := &http.Server{Handler: l}
 		l.servers, l.addrs = append(l.servers, srv), append(l.addrs, ln.Addr().String())
-		go func() { _ = srv.Serve(ln) }() // ends with close
+		go func() { _ = srv.Serve(ln) }() // returns after close
 	}
 	return l, nil
 }
 
 // ServeHTTP responds after a service time that it draws.
-func (l *lender) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *stubServers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	id := r.Header.Get("X-Request-Id")
 	class := l.classOf(strings.TrimPrefix(r.URL.Path, "/"))
@@ -63,12 +64,12 @@
 	l.mu.Unlock()
 	time.Sleep(latency)
 	l.mu.Lock()
-	l.held[id] = time.Since(began)
+	l.serviceTimes[id] = time.Since(began)
 	l.mu.Unlock()
-	_, _ = w.Write([]byte(loanOf(id))) // the edge node may have cancelled the attempt
+	_, _ = w.Write([]byte(loanBody(id))) // the edge node may have cancelled the attempt
 }
 
-func (l *lender) classOf(name string) int {
+func (l *stubServers) classOf(name string) int {
 	for i := range l.model.world.Classes {
 		if l.model.world.Classes[i].Name == name {
 			return i
@@ -78,19 +79,19 @@
 }
 
 // takeServiceTime returns the service time of a request and removes the entry.
-func (l *lender) took(id string) (time.Duration, bool) {
+func (l *stubServers) takeServiceTime(id string) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d, known := l.held[id]
-	delete(l.held, id)
+	d, known := l.serviceTimes[id]
+	delete(l.serviceTimes, id)
 	return d, known
 }
 
-func (l *lender) close() {
+func (l *stubServers) close() {
 	for _, srv := range l.servers {
 		srv.Close()
 	}
 }
 
 // loanBody returns the response body for a request.
-func loanOf(id string) string { return `{"loan":"` + id + `"}` }
+func loanBody(id string) string { return `{"loan":"` + id + `"}` }
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -33,8 +33,10 @@
 			name = rng.Uint32()
 		}
 		drawn[name] = true
-		l.lines = append(l.lines, roster.Target{UID: fmt.Sprintf("s-%08x", name), Endpoint: endpoints[i%len(endpoints)],
-			Zone: world.ZoneName(zone), Cell: zone*100_000 + i/zones/serversPerCell, State: stateServing, Weight: 1})
+		l.lines = append(l.lines, roster.Target{UID: fmt.Sprintf("s-%08x", name),
+			Endpoint: endpoints[i%len(endpoints)],
+			Zone:     world.ZoneName(zone), Cell: zone*100_000 + i/zones/serversPerCell, State: stateServing,
+			Weight: 1})
 	}
 	return l
 }
@@ -42,9 +44,9 @@
 const stateServing = "SERVING" // state of a line, besides roster.Removed
 
 // policyServers returns the list in the form of package policy.
-func (l *serverList) module() []policy.Server { return moduleServers(l.lines) }
+func (l *serverList) policyServers() []policy.Server { return toPolicyServers(l.lines) }
 
-func moduleServers(lines []roster.Target) []policy.Server {
+func toPolicyServers(lines []roster.Target) []policy.Server {
 	servers := make([]policy.Server, len(lines))
 	for i := range lines {
 		servers[i] = lines[i].Server()
@@ -70,51 +72,51 @@
 	if l.Invalid > 0 {
 		return nil, fmt.Errorf("%w: %w", errBadLines, l.InvalidErr)
 	}
-	return &decodedList{l.Rev, l.All, moduleServers(l.Targets)}, nil
+	return &decodedList{l.Rev, l.All, toPolicyServers(l.Targets)}, nil
 }
 
 // decoder decodes each distinct response of discovery once for all hollow edge nodes. A real edge
 // node decodes its own; decoder measures the cost.
 type decoder struct {
-	mu     sync.Mutex
-	held   map[uint64]*decoding
-	decode DecodeCost // of the largest response
+	mu      sync.Mutex
+	cache   map[uint64]*cacheEntry
+	largest DecodeCost // of the largest response
 }
 
-type decoding struct {
+type cacheEntry struct {
 	once sync.Once
 	list *decodedList
 	err  error
 }
 
 // maxCachedLists is the number of decoded responses in the cache.
-const mostHeld = 16
+const maxCachedLists = 16
 
 // decode returns the decoded form of a response.
-func (d *decoder) take(body []byte) (*decodedList, error) {
+func (d *decoder) decode(body []byte) (*decodedList, error) {
 	key := xxhash.Sum64(body)
 	d.mu.Lock()
-	if d.held == nil || len(d.held) >= mostHeld {
-		d.held = map[uint64]*decoding{}
+	if d.cache == nil || len(d.cache) >= maxCachedLists {
+		d.cache = map[uint64]*cacheEntry{}
 	}
-	e := d.held[key]
+	e := d.cache[key]
 	if e == nil {
-		e = &decoding{}
-		d.held[key] = e
+		e = &cacheEntry{}
+		d.cache[key] = e
 	}
 	d.mu.Unlock()
 	e.once.Do(func() {
-		spent := onThread(func() { e.list, e.err = decodeList(body) })
-		d.note(len(body), spent)
+		spent := threadTime(func() { e.list, e.err = decodeList(body) })
+		d.recordCost(len(body), spent)
 	})
 	return e.list, e.err
 }
 
-func (d *decoder) note(bytes int, spent time.Duration) {
+func (d *decoder) recordCost(bytes int, spent time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if bytes >= d.decode.Bytes {
-		d.decode = DecodeCost{Bytes: bytes, MS: milliseconds(spent)}
+	if bytes >= d.largest.Bytes {
+		d.largest = DecodeCost{Bytes: bytes, MS: milliseconds(spent)}
 	}
 }
 
@@ -122,12 +124,12 @@
 func (d *decoder) cost() DecodeCost {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.decode
+	return d.largest
 }
 
 // dropCache releases the decoded lists.
-func (d *decoder) drop() {
+func (d *decoder) dropCache() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.held = nil
+	d.cache = nil
 }
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -13,13 +13,13 @@
 
 // A run is unsound when more than maxLateShare of its requests are later than lateThreshold.
 const (
-	lateBy   = 50 * time.Millisecond
-	mostLate = 0.01
+	lateThreshold = 50 * time.Millisecond
+	maxLateShare  = 0.01
 )
 
 // openLoop calls onArrival at each arrival of an edge node's own Poisson process, on the clock of
 // unixNow, until ctx ends. It does not wait for the outcome of a request.
-func (f *fleet) openLoop(ctx context.Context, no int, come func(at time.Duration)) {
+func (f *fleet) openLoop(ctx context.Context, no int, onArrival func(at time.Duration)) {
 	source, err := load.New(&world.Load{Rate: f.Rate, Shape: "poisson"}, f.Seed<<16+uint64(no), nil)
 	if err != nil {
 		panic(err) // only a load read from a trace can fail
@@ -41,34 +41,34 @@
 		if ctx.Err() != nil {
 			return
 		}
-		come(at)
+		onArrival(at)
 	}
 }
 
 // requestOutcome is the outcome of a request.
-type ending int
+type requestOutcome int
 
 const (
-	endServed ending = iota
-	endRefused
-	endFailed
-	endLost // no response, or one that no server made
-	endings
+	outcomeServed requestOutcome = iota
+	outcomeRefused
+	outcomeFailed
+	outcomeLost // no response, or one that no server made
+	outcomeCount
 )
 
 // Range and precision of the histograms of added time.
 const (
-	leastAdded  = 1           // microseconds
-	mostAdded   = 120_000_000 // microseconds
-	addedDigits = 3           // significant decimal digits
+	minAddedMicros = 1           // microseconds
+	maxAddedMicros = 120_000_000 // microseconds
+	addedDigits    = 3           // significant decimal digits
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastAdded, mostAdded, addedDigits)
+	return hdrhistogram.New(minAddedMicros, maxAddedMicros, addedDigits)
 }
 
 // loadStats counts the requests of one kind of edge node, for the phase and for the current second.
-type loadBook struct {
+type loadStats struct {
 	mu     sync.Mutex
 	phase  loadCount
 	second loadCount
@@ -78,22 +78,22 @@
 type loadCount struct {
 	asked, late          int
 	handledLate, starved int
-	ends                 [endings]int
-	lostWhy              error                   // error of the first lost request
+	outcomes             [outcomeCount]int
+	lossCause            error                   // error of the first lost request
 	added                *hdrhistogram.Histogram // microseconds
 }
 
 func newLoadCount() loadCount { return loadCount{added: newHistogram()} }
 
-func newLoadBook() *loadBook { return &loadBook{phase: newLoadCount(), second: newLoadCount()} }
+func newLoadStats() *loadStats { return &loadStats{phase: newLoadCount(), second: newLoadCount()} }
 
 // addRequest counts a request that was made late by the given time.
-func (b *loadBook) asked(late time.Duration) {
+func (b *loadStats) addRequest(late time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.phase.asked++
 	b.second.asked++
-	if late > lateBy {
+	if late > lateThreshold {
 		b.phase.late++
 	}
 }
@@ -101,41 +101,42 @@
 // addWait counts how long a request waited for the loop of a hollow edge node, and how much of this
 // wait the policy module of that edge node was at work. The rest of a long wait is due to the
 // machine.
-func (b *loadBook) handled(wait, work time.Duration) {
-	if wait <= lateBy {
+func (b *loadStats) addWait(wait, work time.Duration) {
+	if wait <= lateThreshold {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.phase.handledLate++
-	if wait-work > lateBy {
+	if wait-work > lateThreshold {
 		b.phase.starved++
 	}
 }
 
 // addOutcome counts an outcome. For a served request, added is the time above the service time.
-func (b *loadBook) end(how ending, added time.Duration) {
+func (b *loadStats) addOutcome(outcome requestOutcome, added time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range []*loadCount{&b.phase, &b.second} {
-		c.ends[how]++
-		if how == endServed {
-			_ = c.added.RecordValue(min(mostAdded, max(leastAdded, added.Microseconds()))) // the value is in range
+		c.outcomes[outcome]++
+		if outcome == outcomeServed {
+			// The value is in range, so there is no error.
+			_ = c.added.RecordValue(min(maxAddedMicros, max(minAddedMicros, added.Microseconds())))
 		}
 	}
 }
 
 // addLoss records why a request was lost, if it is the first of the phase.
-func (b *loadBook) lost(why error) {
+func (b *loadStats) addLoss(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.phase.lostWhy == nil {
-		b.phase.lostWhy = why
+	if b.phase.lossCause == nil {
+		b.phase.lossCause = err
 	}
 }
 
 // takePhase returns the counts since the last call.
-func (b *loadBook) takePhase() loadCount {
+func (b *loadStats) takePhase() loadCount {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.phase
@@ -144,7 +145,7 @@
 }
 
 // takeSecond returns the counts since the last call of takeSecond.
-func (b *loadBook) takeSecond() loadCount {
+func (b *loadStats) takeSecond() loadCount {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.second
--- a/internal/lab/scale/memory.go
+++ b/internal/lab/scale/memory.go
@@ -35,11 +35,11 @@
 	if err != nil {
 		return memoryNeed{}, err
 	}
-	garbage := 1 + gcPercent/100.0
+	gcFactor := 1 + gcPercent/100.0
 	return memoryNeed{
 		lab:    labBase + labPerServer*float64(f.Servers) + labPerNode*float64(f.Nodes),
 		real:   realBase + realPerServer*float64(f.Servers),
-		hollow: (hollowBase + state) * garbage,
+		hollow: (hollowBase + state) * gcFactor,
 	}, nil
 }
 
@@ -49,7 +49,7 @@
 	if err != nil {
 		return 0, err
 	}
-	servers := f.list.module()
+	servers := f.list.policyServers()
 	before := heapLive()
 	g, err := policy.New(settings, f.Seed)
 	if err != nil {
@@ -78,16 +78,16 @@
 		return err
 	}
 	fixed := n.lab + n.real*float64(c.Real)
-	need, bound := fixed+n.hollow*float64(c.Hollow), machine/2
-	if need <= bound {
+	need, limit := fixed+n.hollow*float64(c.Hollow), machine/2
+	if need <= limit {
 		return nil
 	}
-	field, fit := "hollow", max(0, int((bound-fixed)/n.hollow))
-	if fixed > bound {
+	field, fit := "hollow", max(0, int((limit-fixed)/n.hollow))
+	if fixed > limit {
 		field = "real"
 	}
 	return Problem{field, fmt.Sprintf("%d real and %d hollow edge nodes are reckoned to need %.0f MB, %.0f MB is half of the machine's memory: %d hollow ones fit beside %d real ones",
-		c.Real, c.Hollow, need/megabyte, bound/megabyte, fit, c.Real)}
+		c.Real, c.Hollow, need/megabyte, limit/megabyte, fit, c.Real)}
 }
 
 const megabyte = 1 << 20
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-const mostDatagram = 256 // bytes, the platform's limit
+const maxDatagramBytes = 256 // bytes, the platform's limit
 
 // network carries the datagrams between edge nodes. Each hollow edge node and the relay of each
 // real one has a socket, whose address is in the list of peers of all edge nodes. An edge node that
 // does not exist has a sink socket. Each datagram is written to a socket of its receiver from the
 // address that the receiver's list of peers has for the sender.
 type network struct {
-	config  *Config
-	peers   []string               // the list of peers of all edge nodes
-	conns   []*net.UDPConn         // by existing edge node: the socket of a hollow one, or the relay of a real one
-	targets []netip.AddrPort       // by existing edge node: the destination of its datagrams
-	from    map[netip.AddrPort]int // edge node by its own source address
-	relayed map[netip.AddrPort]int // real edge node by the address of its relay
-	sinks   []*net.UDPConn
-	sinkTo  []netip.AddrPort // by edge node that does not exist, starting with the first
-	all     *net.UDPConn     // broadcasts the datagrams of real edge nodes
-	ledgers []*ledger        // by existing edge node
-	sunk    ledger           // datagrams to edge nodes that don't exist
-	sample  atomic.Pointer[sample]
-	long    atomic.Int64 // datagrams over maxDatagramBytes
+	config      *Config
+	peers       []string               // the list of peers of all edge nodes
+	conns       []*net.UDPConn         // by existing edge node: socket of a hollow one, relay of a real one
+	targets     []netip.AddrPort       // by existing edge node: the destination of its datagrams
+	nodeByAddr  map[netip.AddrPort]int // edge node by its own source address
+	nodeByRelay map[netip.AddrPort]int // real edge node by the address of its relay
+	sinks       []*net.UDPConn
+	sinkAddrs   []netip.AddrPort   // by edge node that does not exist, starting with the first
+	broadcast   *net.UDPConn       // broadcasts the datagrams of real edge nodes
+	counters    []*datagramCounter // by existing edge node
+	sinkCounter datagramCounter    // datagrams to edge nodes that don't exist
+	sample      atomic.Pointer[sample]
+	oversized   atomic.Int64 // datagrams over maxDatagramBytes
 }
 
 // sample is a datagram of the load, kept for the flood.
@@ -37,7 +37,7 @@
 
 // newNetwork opens all sockets except those of the real edge nodes.
 func newNetwork(c *Config, real []netip.AddrPort) (*network, error) {
-	n := &network{config: c, from: map[netip.AddrPort]int{}, relayed: map[netip.AddrPort]int{}}
+	n := &network{config: c, nodeByAddr: map[netip.AddrPort]int{}, nodeByRelay: map[netip.AddrPort]int{}}
 	for no := range c.existing() {
 		if err := n.addNode(no, real); err != nil {
 			return n, err
@@ -47,7 +47,7 @@
 		return n, err
 	}
 	var err error
-	n.all, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	n.broadcast, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	return n, err
 }
 
@@ -56,15 +56,16 @@
 	if err != nil {
 		return fmt.Errorf("opening the socket of edge node %d: %w", no, err)
 	}
-	told := conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	target := told
+	peerAddr := conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	target := peerAddr
 	if n.config.isReal(no) {
 		target = real[no-n.config.firstReal()]
-		n.relayed[told] = no
+		n.nodeByRelay[peerAddr] = no
 	}
-	n.conns, n.peers, n.targets = append(n.conns, conn), append(n.peers, told.String()), append(n.targets, target)
-	n.from[target] = no
-	n.ledgers = append(n.ledgers, &ledger{})
+	n.conns, n.peers, n.targets = append(n.conns, conn), append(n.peers, peerAddr.String()),
+		append(n.targets, target)
+	n.nodeByAddr[target] = no
+	n.counters = append(n.counters, &datagramCounter{})
 	return nil
 }
 
@@ -79,94 +80,96 @@
 		}
 		addr := conn.LocalAddr().(*net.UDPAddr).AddrPort()
 		port = int(addr.Port())
-		n.sinks, n.sinkTo, n.peers = append(n.sinks, conn), append(n.sinkTo, addr), append(n.peers, addr.String())
+		n.sinks, n.sinkAddrs, n.peers = append(n.sinks, conn), append(n.sinkAddrs, addr),
+			append(n.peers, addr.String())
 	}
 	return nil
 }
 
-// run starts the readers of all sockets except those of hollow edge nodes.
-func (n *network) run() {
+// startReaders starts the readers of all sockets except those of hollow edge nodes.
+func (n *network) startReaders() {
 	for no := range n.conns {
 		if n.config.isReal(no) {
 			go n.read(n.conns[no], func(from sender, data []byte) {
-				n.noteOut(from.no, data)
-				n.deliver(from.no, no, data)
+				n.countOut(from.number, data)
+				n.deliver(from.number, no, data)
 			})
 		}
 	}
 	for _, conn := range n.sinks {
 		go n.read(conn, func(from sender, data []byte) {
-			n.sunk.note(directionIn, data)
-			n.noteFirst(from, data)
+			n.sinkCounter.count(directionIn, data)
+			n.countFirst(from, data)
 		})
 	}
-	go n.read(n.all, func(from sender, data []byte) {
-		n.noteOut(from.no, data)
-		n.deliverAll(from.no, data)
+	go n.read(n.broadcast, func(from sender, data []byte) {
+		n.countOut(from.number, data)
+		n.deliverAll(from.number, data)
 	})
 }
 
 // sender is the edge node that sent a datagram.
 type sender struct {
-	no      int
+	number  int
 	relayed bool // came through the lab, which has counted it as sent
 }
 
 // senderAt returns the sender with a source address.
 func (n *network) senderAt(addr netip.AddrPort) (from sender, known bool) {
-	if no, own := n.from[addr]; own {
-		return sender{no: no}, true
+	if no, own := n.nodeByAddr[addr]; own {
+		return sender{number: no}, true
 	}
-	no, known := n.relayed[addr]
+	no, known := n.nodeByRelay[addr]
 	return sender{no, true}, known
 }
 
 // read passes the datagrams that existing edge nodes send to a socket to a function, until the
 // socket is closed. The data is valid until the function returns.
-func (n *network) read(conn *net.UDPConn, take func(from sender, data []byte)) {
-	buf := make([]byte, mostDatagram+1)
+func (n *network) read(conn *net.UDPConn, handle func(from sender, data []byte)) {
+	buf := make([]byte, maxDatagramBytes+1)
 	for {
 		size, addr, err := conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(readPause)
+			time.Sleep(readRetryDelay)
 			continue
 		}
 		from, known := n.senderAt(netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()))
 		if !known {
 			continue
 		}
-		if size > mostDatagram {
-			n.long.Add(1)
+		if size > maxDatagramBytes {
+			n.oversized.Add(1)
 			continue
 		}
-		take(from, buf[:size])
+		handle(from, buf[:size])
 	}
 }
 
-const readPause = time.Millisecond // after a read error, to avoid a busy loop
+const readRetryDelay = time.Millisecond // after a read error, to avoid a busy loop
 
 // send sends a datagram of a hollow edge node to another one, or to all others if to is negative.
-func (n *network) tell(from, to int, data []byte) {
-	n.noteOut(from, data)
+func (n *network) send(from, to int, data []byte) {
+	n.countOut(from, data)
 	switch {
 	case to < 0:
 		n.deliverAll(from, data)
 	case to < len(n.conns):
 		n.deliver(from, to, data)
 	case to < n.config.Nodes:
-		_, _ = n.conns[from].WriteToUDPAddrPort(data, n.sinkTo[to-len(n.conns)]) // an error loses the datagram, as a network may
+		// An error loses the datagram, as a network may.
+		_, _ = n.conns[from].WriteToUDPAddrPort(data, n.sinkAddrs[to-len(n.conns)])
 	}
 }
 
 // deliver writes a datagram to an existing edge node.
 func (n *network) deliver(from, to int, data []byte) {
 	if n.config.isReal(to) {
-		n.noteIn(to, data) // a hollow edge node counts what it reads
+		n.countIn(to, data) // a hollow edge node counts what it reads
 	}
-	_, _ = n.conns[from].WriteToUDPAddrPort(data, n.targets[to]) // an error loses the datagram, as a network may
+	_, _ = n.conns[from].WriteToUDPAddrPort(data, n.targets[to]) // an error loses it, as a network may
 }
 
 func (n *network) deliverAll(from int, data []byte) {
@@ -177,33 +180,33 @@
 	}
 }
 
-func (n *network) noteIn(to int, data []byte) { n.ledgers[to].note(directionIn, data) }
+func (n *network) countIn(to int, data []byte) { n.counters[to].count(directionIn, data) }
 
-func (n *network) noteOut(from int, data []byte) {
-	n.ledgers[from].note(directionOut, data)
-	if k := kindOf(data); n.sample.Load() == nil && (k == kindSight || k == kindMarkedSight) {
+func (n *network) countOut(from int, data []byte) {
+	n.counters[from].count(directionOut, data)
+	if k := kindOf(data); n.sample.Load() == nil && (k == kindObservation || k == kindMarkedObservation) {
 		n.sample.CompareAndSwap(nil, &sample{append([]byte(nil), data...)})
 	}
 }
 
 // countFirst counts a datagram of a real edge node as sent where the lab first receives it.
 // Datagrams of hollow edge nodes are counted by send.
-func (n *network) noteFirst(from sender, data []byte) {
-	if !from.relayed && n.config.isReal(from.no) {
-		n.noteOut(from.no, data)
+func (n *network) countFirst(from sender, data []byte) {
+	if !from.relayed && n.config.isReal(from.number) {
+		n.countOut(from.number, data)
 	}
 }
 
 // startCount resets all counters.
 func (n *network) startCount() {
-	for _, l := range n.ledgers {
+	for _, l := range n.counters {
 		l.reset()
 	}
-	n.sunk.reset()
+	n.sinkCounter.reset()
 }
 
 func (n *network) close() {
-	for _, conn := range append(append([]*net.UDPConn{n.all}, n.conns...), n.sinks...) {
+	for _, conn := range append(append([]*net.UDPConn{n.broadcast}, n.conns...), n.sinks...) {
 		if conn != nil {
 			conn.Close()
 		}
@@ -216,13 +219,14 @@
 
 // Failure observations, which edge nodes send to a server's health monitor.
 const (
-	kindSight       kind = 3
-	kindMarkedSight kind = 6
+	kindObservation       kind = 3
+	kindMarkedObservation kind = 6
 )
 
 // kindNames are the kinds of datagram of package policy, and a last one for reports and unknown
 // datagrams.
-var kindNames = [...]string{"ask", "answer", "ended", "sight", "verdict", "tables", "marked sight", "marked verdict",
+var kindNames = [...]string{"ask", "answer", "ended", "sight", "verdict", "tables", "marked sight",
+	"marked verdict",
 	"leave", "handed", "took", "judged", "ended for", "still out", "report or other"}
 
 const (
@@ -250,15 +254,15 @@
 type flow struct{ datagrams, bytes int64 }
 
 // datagramCounter counts the datagrams of one edge node.
-type ledger struct {
-	mu     sync.Mutex
-	flows  [directions][len(kindNames)]flow
-	second int64 // Unix time of the current second
-	within int   // datagrams received in the current second
-	peak   int   // most datagrams received in a second
+type datagramCounter struct {
+	mu            sync.Mutex
+	flows         [directions][len(kindNames)]flow
+	currentSecond int64 // Unix time of the current second
+	inSecond      int   // datagrams received in the current second
+	peak          int   // most datagrams received in a second
 }
 
-func (l *ledger) note(d direction, data []byte) {
+func (l *datagramCounter) count(d direction, data []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := &l.flows[d][kindOf(data)]
@@ -267,21 +271,21 @@
 	if d != directionIn {
 		return
 	}
-	if now := time.Now().Unix(); now != l.second {
-		l.second, l.within = now, 0
+	if now := time.Now().Unix(); now != l.currentSecond {
+		l.currentSecond, l.inSecond = now, 0
 	}
-	l.within++
-	l.peak = max(l.peak, l.within)
+	l.inSecond++
+	l.peak = max(l.peak, l.inSecond)
 }
 
-func (l *ledger) reset() {
+func (l *datagramCounter) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.flows, l.peak, l.within = [directions][len(kindNames)]flow{}, 0, 0
+	l.flows, l.peak, l.inSecond = [directions][len(kindNames)]flow{}, 0, 0
 }
 
 // read returns the counts and the peak.
-func (l *ledger) read() (flows [directions][len(kindNames)]flow, peak int) {
+func (l *datagramCounter) read() (flows [directions][len(kindNames)]flow, peak int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.flows, l.peak
--- a/internal/lab/scale/network_test.go
+++ b/internal/lab/scale/network_test.go
@@ -29,10 +29,10 @@
 		t.Fatal(err)
 	}
 	defer n.close()
-	n.run()
+	n.startReaders()
 	go n.read(n.conns[hollow], func(from sender, data []byte) {
-		n.noteIn(hollow, data)
-		n.noteFirst(from, data)
+		n.countIn(hollow, data)
+		n.countFirst(from, data)
 	})
 	ask, verdict := []byte{shortVersion, 0, 1, 2}, []byte{shortVersion, 4, 1}
 	send := func(from *net.UDPConn, to string, data []byte) {
@@ -45,16 +45,16 @@
 			t.Fatal(err)
 		}
 	}
-	n.tell(hollow, real, ask)                           // hollow to real
-	n.tell(hollow, 7, ask)                              // hollow to a missing one
-	send(reals[0], n.peers[hollow], ask)                // real to hollow
-	send(reals[0], n.peers[otherReal], ask)             // real to real
-	send(reals[0], n.peers[9], ask)                     // real to a missing one
-	send(reals[0], n.all.LocalAddr().String(), verdict) // real to all
+	n.send(hollow, real, ask)                                 // hollow to real
+	n.send(hollow, 7, ask)                                    // hollow to a missing one
+	send(reals[0], n.peers[hollow], ask)                      // real to hollow
+	send(reals[0], n.peers[otherReal], ask)                   // real to real
+	send(reals[0], n.peers[9], ask)                           // real to a missing one
+	send(reals[0], n.broadcast.LocalAddr().String(), verdict) // real to all
 	check := func(no int, d direction, k kind, want, bytes int64) {
 		t.Helper()
 		testkit.Eventually(t, kindNames[k], func() bool {
-			flows, _ := n.ledgers[no].read()
+			flows, _ := n.counters[no].read()
 			return flows[d][k] == flow{want, bytes}
 		})
 	}
@@ -67,11 +67,12 @@
 	check(otherReal, directionIn, 0, 1, 4)
 	check(otherReal, directionIn, 4, 1, 3)
 	testkit.Eventually(t, "two datagrams in the sinks", func() bool {
-		flows, _ := n.sunk.read()
+		flows, _ := n.sinkCounter.read()
 		return flows[directionIn][0] == flow{2, 8}
 	})
-	for _, want := range []string{n.peers[hollow], n.peers[otherReal]} { // each comes from the address in the list of peers
-		buf := make([]byte, mostDatagram)
+	// Each datagram comes from the address in the list of peers.
+	for _, want := range []string{n.peers[hollow], n.peers[otherReal]} {
+		buf := make([]byte, maxDatagramBytes)
 		conn := reals[0]
 		if want == n.peers[otherReal] {
 			n.deliver(otherReal, real, ask)
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -52,10 +52,14 @@
 		}
 	}
 	return []chart{
-		{"Processor time of an edge node: a real one's process, a hollow one's module", "% of a core", both(func(w *WindowOf) float64 { return w.CPUPercent })},
-		{"Time over what the server took, 99th percentile of each second", "ms", both(func(w *WindowOf) float64 { return w.P99MS })},
-		{"Time over what the server took, median of each second", "ms", both(func(w *WindowOf) float64 { return w.P50MS })},
-		{"Requests, of all edge nodes of a sort", "a second", both(func(w *WindowOf) float64 { return float64(w.Requests) })},
+		{"Processor time of an edge node: a real one's process, a hollow one's module", "% of a core",
+			both(func(w *WindowOf) float64 { return w.CPUPercent })},
+		{"Time over what the server took, 99th percentile of each second", "ms",
+			both(func(w *WindowOf) float64 { return w.P99MS })},
+		{"Time over what the server took, median of each second", "ms",
+			both(func(w *WindowOf) float64 { return w.P50MS })},
+		{"Requests, of all edge nodes of a sort", "a second",
+			both(func(w *WindowOf) float64 { return float64(w.Requests) })},
 	}
 }
 
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -22,105 +22,110 @@
 
 // Limits in the configuration of a real edge node.
 const (
-	toldMemoryMB = 512
-	toldSockets  = 4096
+	configuredMemoryMB = 512
+	configuredSockets  = 4096
 )
 
 const (
-	pollReady  = 10 * time.Millisecond // between two checks while waiting
-	stopWithin = 8 * time.Second       // until a process that is asked to stop is killed
+	pollInterval = 10 * time.Millisecond // between two checks while waiting
+	stopTimeout  = 8 * time.Second       // until a process that is asked to stop is killed
 )
 
 // process is the process of a real edge node.
 type process struct {
-	no        int
-	at        *loopback.Address
+	number    int
+	address   *loopback.Address
 	discovery string
 	cmd       *exec.Cmd
-	over      chan struct{} // closed when the process has ended
-	began     time.Time
+	done      chan struct{} // closed when the process has ended
+	startedAt time.Time
 
-	mu    sync.Mutex
-	ready time.Duration // time from the start until ready; 0: not yet
-	heap  float64       // live heap after the last garbage collection, in MB
-	lines []string      // last lines of its standard error
+	mu         sync.Mutex
+	readyAfter time.Duration // time from the start until ready; 0: not yet
+	heap       float64       // live heap after the last garbage collection, in MB
+	lastLines  []string      // last lines of its standard error
 }
 
 // start writes the configuration and starts the program.
-func (p *process) start(f *fleet, known any) error {
-	settings := f.world.Facts(p.no)
+func (p *process) start(f *fleet, initialList any) error {
+	settings := f.world.Facts(p.number)
 	config := map[string]any{
-		"name": fmt.Sprintf("n%d", p.no), "listen": p.at.String(), "discovery": p.discovery, "seed": fmt.Sprintf("%016x", f.Seed<<20+uint64(p.no)),
-		"limits":      map[string]any{"cores": 1.0, "memory_mb": toldMemoryMB, "sockets": toldSockets},
-		"peer_listen": p.at.String(), "peers": f.network.peers, "peers_all": f.network.all.LocalAddr().String(),
-		"known": known, "settings": settings,
+		"name": fmt.Sprintf("n%d", p.number), "listen": p.address.String(), "discovery": p.discovery,
+		"seed": fmt.Sprintf("%016x", f.Seed<<20+uint64(p.number)),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": configuredMemoryMB,
+			"sockets": configuredSockets},
+		"peer_listen": p.address.String(), "peers": f.network.peers,
+		"peers_all": f.network.broadcast.LocalAddr().String(),
+		"known":     initialList, "settings": settings,
 	}
 	data, err := json.Marshal(config)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(f.dir, fmt.Sprintf("n%d.json", p.no))
+	path := filepath.Join(f.dir, fmt.Sprintf("n%d.json", p.number))
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return err
 	}
 	p.cmd = exec.Command(f.Program)
-	p.cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", "GOMAXPROCS=1", "GODEBUG=gctrace=1")
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // the terminal's Ctrl-C reaches only the lab
-	said, err := p.cmd.StderrPipe()
+	p.cmd.Env = append(os.Environ(), "GW_CONFIG="+path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=",
+		"GOMAXPROCS=1", "GODEBUG=gctrace=1")
+	// In its own process group the edge node does not receive the terminal's Ctrl-C.
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
+	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
-	p.began = time.Now()
+	p.startedAt = time.Now()
 	if err := p.cmd.Start(); err != nil {
-		return fmt.Errorf("starting edge node %d: %w", p.no, err)
+		return fmt.Errorf("starting edge node %d: %w", p.number, err)
 	}
-	p.over = make(chan struct{})
+	p.done = make(chan struct{})
 	go func() {
-		p.listen(said)
+		p.readStderr(stderr)
 		_ = p.cmd.Wait() // exitError reports the state and the last lines of output
-		close(p.over)
+		close(p.done)
 	}()
 	return nil
 }
 
 // gcTraceLine matches a line of the garbage collector's trace. The third heap size is the live heap
 // in MB.
-var collection = regexp.MustCompile(`^gc \d+ @.* (\d+)->(\d+)->(\d+) MB`)
+var gcTraceLine = regexp.MustCompile(`^gc \d+ @.* (\d+)->(\d+)->(\d+) MB`)
 
-const mostLines = 3 // of a process's standard error that are kept
+const maxLastLines = 3 // of a process's standard error that are kept
 
 // readStderr reads the standard error of the process until it is closed.
-func (p *process) listen(said io.Reader) {
-	lines := bufio.NewScanner(said)
+func (p *process) readStderr(stderr io.Reader) {
+	lines := bufio.NewScanner(stderr)
 	for lines.Scan() {
 		text := lines.Text()
 		p.mu.Lock()
-		if m := collection.FindStringSubmatch(text); m != nil {
+		if m := gcTraceLine.FindStringSubmatch(text); m != nil {
 			p.heap, _ = strconv.ParseFloat(m[3], 64)
 		} else {
-			p.lines = append(p.lines[max(0, len(p.lines)-mostLines+1):], text)
+			p.lastLines = append(p.lastLines[max(0, len(p.lastLines)-maxLastLines+1):], text)
 		}
 		p.mu.Unlock()
 	}
-	_, _ = io.Copy(io.Discard, said) // after an overlong line, so that the process does not block
+	_, _ = io.Copy(io.Discard, stderr) // after an overlong line, so that the process does not block
 }
 
 // awaitReady polls the process until it is ready or has ended, or ctx ends.
-func (p *process) await(ctx context.Context) {
+func (p *process) awaitReady(ctx context.Context) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		if resp, err := client.Get("http://" + p.at.String() + "/healthz"); err == nil {
+		if resp, err := client.Get("http://" + p.address.String() + "/healthz"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				p.mu.Lock()
-				p.ready = time.Since(p.began)
+				p.readyAfter = time.Since(p.startedAt)
 				p.mu.Unlock()
 				return
 			}
 		}
 		select {
-		case <-time.After(pollReady):
-		case <-p.over:
+		case <-time.After(pollInterval):
+		case <-p.done:
 			return
 		case <-ctx.Done():
 			return
@@ -131,23 +136,24 @@
 func (p *process) readiness() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ready
+	return p.readyAfter
 }
 
 // exitError returns an error if the process has ended by itself.
-func (p *process) ended() error {
+func (p *process) exitError() error {
 	select {
-	case <-p.over:
+	case <-p.done:
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return fmt.Errorf("edge node %d exited unexpectedly: %v: %s", p.no, p.cmd.ProcessState, strings.Join(p.lines, " | "))
+		return fmt.Errorf("edge node %d exited unexpectedly: %v: %s", p.number, p.cmd.ProcessState,
+			strings.Join(p.lastLines, " | "))
 	default:
 		return nil
 	}
 }
 
 // cpuTime returns the processor time that the process has used.
-func (p *process) time() time.Duration {
+func (p *process) cpuTime() time.Duration {
 	t, err := processTime(p.cmd.Process.Pid)
 	if err != nil {
 		return 0
@@ -167,14 +173,14 @@
 
 // stop asks the process to stop and kills it after stopTimeout.
 func (p *process) stop() {
-	if p.cmd == nil || p.cmd.Process == nil || p.over == nil {
+	if p.cmd == nil || p.cmd.Process == nil || p.done == nil {
 		return
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has already ended
 	select {
-	case <-p.over:
-	case <-time.After(stopWithin):
+	case <-p.done:
+	case <-time.After(stopTimeout):
 		_ = p.cmd.Process.Kill()
-		<-p.over
+		<-p.done
 	}
 }
--- a/internal/lab/scale/reading.go
+++ b/internal/lab/scale/reading.go
@@ -11,7 +11,7 @@
 	at     time.Time
 	lab    time.Duration
 	real   []time.Duration
-	hollow []spending
+	hollow []moduleUsage
 }
 
 // span is the processor time used during an interval.
@@ -19,16 +19,16 @@
 	length time.Duration
 	lab    time.Duration
 	real   []time.Duration
-	hollow []spending
+	hollow []moduleUsage
 }
 
-func (f *fleet) read() reading {
+func (f *fleet) readCPU() reading {
 	r := reading{at: time.Now(), lab: ownTime()}
 	for _, p := range f.reals {
-		r.real = append(r.real, p.time())
+		r.real = append(r.real, p.cpuTime())
 	}
 	for _, h := range f.hollows {
-		spent, _, _ := h.reading()
+		spent, _, _ := h.stats()
 		r.hollow = append(r.hollow, spent)
 	}
 	return r
@@ -62,7 +62,7 @@
 }
 
 // byCause sums the usage of all hollow edge nodes by cause.
-func (s *span) byCause() (sum spending) {
+func (s *span) byCause() (sum moduleUsage) {
 	for i := range s.hollow {
 		for c := range sum.count {
 			sum.count[c] += s.hollow[i].count[c]
@@ -75,29 +75,29 @@
 // traffic holds the datagrams of an interval by kind of edge node.
 type traffic struct {
 	length time.Duration
-	flows  [sorts][directions][len(kindNames)]flow
-	peak   [sorts]int
-	sunk   flow
+	flows  [nodeKinds][directions][len(kindNames)]flow
+	peak   [nodeKinds]int
+	sink   flow
 }
 
 func (f *fleet) readTraffic(length time.Duration) *traffic {
 	t := &traffic{length: length}
-	sunk, _ := f.network.sunk.read()
-	for _, kind := range sunk[directionIn] {
-		t.sunk.datagrams += kind.datagrams
-		t.sunk.bytes += kind.bytes
+	sinkFlows, _ := f.network.sinkCounter.read()
+	for _, kind := range sinkFlows[directionIn] {
+		t.sink.datagrams += kind.datagrams
+		t.sink.bytes += kind.bytes
 	}
-	for no, l := range f.network.ledgers {
-		sort := sortHollow
+	for no, l := range f.network.counters {
+		nodeKind := hollowNode
 		if f.isReal(no) {
-			sort = sortReal
+			nodeKind = realNode
 		}
 		flows, peak := l.read()
-		t.peak[sort] = max(t.peak[sort], peak)
+		t.peak[nodeKind] = max(t.peak[nodeKind], peak)
 		for d := range flows {
 			for k := range flows[d] {
-				t.flows[sort][d][k].datagrams += flows[d][k].datagrams
-				t.flows[sort][d][k].bytes += flows[d][k].bytes
+				t.flows[nodeKind][d][k].datagrams += flows[d][k].datagrams
+				t.flows[nodeKind][d][k].bytes += flows[d][k].bytes
 			}
 		}
 	}
@@ -106,16 +106,16 @@
 
 // sampleSeconds appends a window each second until ctx ends.
 func (f *fleet) sampleSeconds(ctx context.Context, phase *atomic.Value) {
-	every := time.NewTicker(time.Second)
-	defer every.Stop()
-	before, first := f.read(), time.Now()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	before, first := f.readCPU(), time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
-		now := f.read()
+		now := f.readCPU()
 		s := now.since(before)
 		before = now
 		w := Window{Second: time.Since(first).Seconds(), Phase: phase.Load().(Phase)}
@@ -129,5 +129,6 @@
 	if nodes == 0 {
 		return WindowOf{}
 	}
-	return WindowOf{Requests: c.asked, CPUPercent: 100 * spent.Seconds() / length.Seconds() / float64(nodes), P50MS: c.addedMS(50), P99MS: c.addedMS(99)}
+	return WindowOf{Requests: c.asked, CPUPercent: 100 * spent.Seconds() / length.Seconds() / float64(nodes),
+		P50MS: c.addedMS(50), P99MS: c.addedMS(99)}
 }
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -28,14 +28,14 @@
 	Unsound     string   `json:"unsound,omitempty"`
 	Scaled      []string `json:"scaled"` // notes on figures that are extrapolated or simplified
 
-	TenantsHere    int        `json:"tenants_here"`     // tenants whose sets lie among the existing edge nodes
+	TenantsHere    int        `json:"tenants_here"`     // with sets among the existing edge nodes
 	TenantsPerNode float64    `json:"tenants_per_node"` // mean number of tenants of an edge node
 	Real           Group      `json:"real"`
 	Hollow         Group      `json:"hollow"`
 	Changes        []Change   `json:"changes"`
-	Sink           Flow       `json:"sink"` // datagrams a second from all edge nodes to those that don't exist
+	Sink           Flow       `json:"sink"` // datagrams a second to edge nodes that don't exist
 	Decode         DecodeCost `json:"decode"`
-	LabRest        float64    `json:"lab_rest_percent"` // processor time of the lab and all hollow edge nodes, of a core
+	LabRest        float64    `json:"lab_rest_percent"` // of a core: the lab and all hollow edge nodes
 	LabLoad        float64    `json:"lab_load_percent"`
 	NeedMB         float64    `json:"need_mb"` // estimated before the run
 	MachineMB      float64    `json:"machine_mb"`
@@ -188,9 +188,12 @@
 // result builds the result from the measurements.
 func (f *fleet) result() *Result {
 	m := &f.measured
-	r := &Result{Nodes: f.Nodes, Servers: f.Servers, Tenants: f.Tenants, Rate: f.Rate, ForS: f.For.Seconds(), Seed: f.Seed, CPUs: runtime.NumCPU(),
-		LoadAverage: loadAverage(), TookS: time.Since(m.begun).Seconds(), Phases: m.phases, Interrupted: m.interrupted, TenantsHere: len(f.tenants.people),
-		Decode: f.decoder.cost(), LongDatagrams: f.network.long.Load(), CallErrors: f.discoveryErrors.Load(), Windows: m.windows}
+	r := &Result{Nodes: f.Nodes, Servers: f.Servers, Tenants: f.Tenants, Rate: f.Rate, ForS: f.For.Seconds(),
+		Seed: f.Seed, CPUs: runtime.NumCPU(),
+		LoadAverage: loadAverage(), TookS: time.Since(m.startedAt).Seconds(), Phases: m.phases,
+		Interrupted: m.interrupted, TenantsHere: len(f.tenants.people),
+		Decode: f.decoder.cost(), LongDatagrams: f.network.oversized.Load(),
+		CallErrors: f.discoveryErrors.Load(), Windows: m.windows}
 	r.NeedMB = (f.need.lab + f.need.real*float64(f.Real) + f.need.hollow*float64(f.Hollow)) / megabyte
 	if machine, err := machineMemory(); err == nil {
 		r.MachineMB = machine / megabyte
@@ -199,16 +202,17 @@
 		r.TenantsPerNode += float64(f.tenants.count(no)) / float64(f.existing())
 	}
 	lab := func(s *span) time.Duration { return s.lab }
-	r.LabRest, r.LabLoad = share(m.rest, lab, 1), share(m.load, lab, 1)
+	r.LabRest, r.LabLoad = cpuPercent(m.rest, lab, 1), cpuPercent(m.load, lab, 1)
 	r.Scaled = f.scaled()
 	f.realGroup(&r.Real)
 	f.hollowGroup(&r.Hollow)
-	for sort, g := range []*Group{sortReal: &r.Real, sortHollow: &r.Hollow} {
-		f.fillLoad(g, sort)
-		f.fillDatagrams(g, sort)
+	for nodeKind, g := range []*Group{realNode: &r.Real, hollowNode: &r.Hollow} {
+		f.fillLoad(g, nodeKind)
+		f.fillDatagrams(g, nodeKind)
 	}
 	if t := m.traffic; t != nil && t.length > 0 {
-		r.Sink = Flow{float64(t.sunk.datagrams) / t.length.Seconds(), float64(t.sunk.bytes) / t.length.Seconds()}
+		r.Sink = Flow{float64(t.sink.datagrams) / t.length.Seconds(),
+			float64(t.sink.bytes) / t.length.Seconds()}
 	}
 	r.Changes = f.changes()
 	r.Unsound = f.unsound(r)
@@ -228,7 +232,7 @@
 
 // aboveBaseline returns the processor time of an edge node in a span above the rate of a baseline
 // span.
-func above(s, base *span, sum func(*span) time.Duration, nodes int) time.Duration {
+func aboveBaseline(s, base *span, sum func(*span) time.Duration, nodes int) time.Duration {
 	if s == nil || nodes == 0 {
 		return 0
 	}
@@ -239,7 +243,7 @@
 	return total / time.Duration(nodes)
 }
 
-func share(s *span, sum func(*span) time.Duration, nodes int) float64 {
+func cpuPercent(s *span, sum func(*span) time.Duration, nodes int) float64 {
 	if s == nil || nodes == 0 || s.length <= 0 {
 		return 0
 	}
@@ -247,28 +251,28 @@
 }
 
 // fillCPU sets the processor times that both kinds of edge node have.
-func (f *fleet) fillCPU(g *Group, sum func(*span) time.Duration, sort int) {
+func (f *fleet) fillCPU(g *Group, sum func(*span) time.Duration, nodeKind int) {
 	m, n := &f.measured, g.Count
-	g.CPU.RestPercent, g.CPU.LoadPercent = share(m.rest, sum, n), share(m.load, sum, n)
-	if asked := m.loadCounts[sort].asked; asked > 0 && n > 0 {
-		g.CPU.RequestUS = microseconds(above(m.load, m.rest, sum, n)) * float64(n) / float64(asked)
+	g.CPU.RestPercent, g.CPU.LoadPercent = cpuPercent(m.rest, sum, n), cpuPercent(m.load, sum, n)
+	if asked := m.loadCounts[nodeKind].asked; asked > 0 && n > 0 {
+		g.CPU.RequestUS = microseconds(aboveBaseline(m.load, m.rest, sum, n)) * float64(n) / float64(asked)
 	}
-	if len(m.lineRevs) > 0 && f.anyTook(m.lineRevs[0], sort) {
-		g.CPU.LineChangeMS = milliseconds(above(m.lines, m.rest, sum, n)) / float64(len(m.lineRevs))
+	if len(m.lineRevs) > 0 && f.anyApplied(m.lineRevs[0], nodeKind) {
+		g.CPU.LineChangeMS = milliseconds(aboveBaseline(m.lines, m.rest, sum, n)) / float64(len(m.lineRevs))
 	}
-	if m.lost != nil && f.anyTook(m.lost.rev, sort) {
-		g.CPU.ZoneLostMS = milliseconds(above(m.lost.span, m.load, sum, n))
+	if m.zoneRemoved != nil && f.anyApplied(m.zoneRemoved.rev, nodeKind) {
+		g.CPU.ZoneLostMS = milliseconds(aboveBaseline(m.zoneRemoved.span, m.load, sum, n))
 	}
-	if m.back != nil && f.anyTook(m.back.rev, sort) {
-		g.CPU.ZoneBackMS = milliseconds(above(m.back.span, m.load, sum, n))
+	if m.zoneRestored != nil && f.anyApplied(m.zoneRestored.rev, nodeKind) {
+		g.CPU.ZoneBackMS = milliseconds(aboveBaseline(m.zoneRestored.span, m.load, sum, n))
 	}
 }
 
 // anyApplied reports whether an edge node of a kind has applied a version. Otherwise the cost of
 // the version is unknown.
-func (f *fleet) anyTook(rev int64, sort int) bool {
-	for no := range f.takes.of(rev) {
-		if f.isReal(no) == (sort == sortReal) {
+func (f *fleet) anyApplied(rev int64, nodeKind int) bool {
+	for no := range f.applied.latencies(rev) {
+		if f.isReal(no) == (nodeKind == realNode) {
 			return true
 		}
 	}
@@ -278,15 +282,16 @@
 func (f *fleet) realGroup(g *Group) {
 	m := &f.measured
 	g.Count = f.Real
-	f.fillCPU(g, (*span).realTime, sortReal)
+	f.fillCPU(g, (*span).realTime, realNode)
 	if m.flood != nil && m.flooded > 0 {
-		g.CPU.DatagramUS = microseconds(above(m.flood, m.rest, (*span).realTime, f.Real)) / float64(m.flooded)
+		g.CPU.DatagramUS = microseconds(aboveBaseline(m.flood, m.rest, (*span).realTime, f.Real)) /
+			float64(m.flooded)
 	}
 	var ready []time.Duration
 	for _, p := range f.reals {
 		ready = append(ready, p.readiness())
 	}
-	g.Ready = readyOf(ready)
+	g.Ready = readyStats(ready)
 	if len(m.resident) > 0 {
 		column := func(i int) (list []float64) {
 			for _, row := range m.resident {
@@ -302,12 +307,13 @@
 func (f *fleet) hollowGroup(g *Group) {
 	m := &f.measured
 	g.Count = f.Hollow
-	f.fillCPU(g, (*span).hollowTime, sortHollow)
+	f.fillCPU(g, (*span).hollowTime, hollowNode)
 	if m.load != nil {
 		sum := m.load.byCause()
 		for c := range sum.count {
 			if n := sum.count[c]; n > 0 {
-				g.CPU.Causes = append(g.CPU.Causes, CauseCost{causeNames[c], n, microseconds(sum.time[c]) / float64(n)})
+				g.CPU.Causes = append(g.CPU.Causes, CauseCost{causeNames[c], n,
+					microseconds(sum.time[c]) / float64(n)})
 			}
 		}
 		if n := sum.count[causeDatagram]; n > 0 {
@@ -316,17 +322,17 @@
 	}
 	var ready []time.Duration
 	for _, h := range f.hollows {
-		_, at, dropped := h.reading()
+		_, at, dropped := h.stats()
 		ready = append(ready, at)
 		g.Datagrams.DroppedFull += dropped
 	}
-	g.Ready = readyOf(ready)
+	g.Ready = readyStats(ready)
 	if f.Hollow > 0 {
 		g.Memory.HeapMB = max(0, m.heap[1]-m.heap[0]) / megabyte / float64(f.Hollow)
 	}
 }
 
-func readyOf(times []time.Duration) (r Ready) {
+func readyStats(times []time.Duration) (r Ready) {
 	var list []float64
 	for _, t := range times {
 		if t > 0 {
@@ -344,25 +350,27 @@
 // median returns the median of a sorted list that is not empty.
 func median(sorted []float64) float64 { return stat.Quantile(0.5, stat.Empirical, sorted, nil) }
 
-func (f *fleet) fillLoad(g *Group, sort int) {
-	c := &f.measured.loadCounts[sort]
-	g.Requests = Requests{Asked: c.asked, Late: c.late, HandledLate: c.handledLate, Starved: c.starved, Served: c.ends[endServed], Refused: c.ends[endRefused],
-		Failed: c.ends[endFailed], Lost: c.ends[endLost]}
-	if c.lostWhy != nil {
-		g.Requests.LostWhy = c.lostWhy.Error()
+func (f *fleet) fillLoad(g *Group, nodeKind int) {
+	c := &f.measured.loadCounts[nodeKind]
+	g.Requests = Requests{Asked: c.asked, Late: c.late, HandledLate: c.handledLate, Starved: c.starved,
+		Served: c.outcomes[outcomeServed], Refused: c.outcomes[outcomeRefused],
+		Failed: c.outcomes[outcomeFailed], Lost: c.outcomes[outcomeLost]}
+	if c.lossCause != nil {
+		g.Requests.LostWhy = c.lossCause.Error()
 	}
-	g.Added = addedOf(c)
-	g.ZoneAdded = addedOf(&f.measured.zoneCounts[sort])
+	g.Added = addedStats(c)
+	g.ZoneAdded = addedStats(&f.measured.zoneCounts[nodeKind])
 }
 
-func addedOf(c *loadCount) Added {
+func addedStats(c *loadCount) Added {
 	if c.added == nil {
 		return Added{}
 	}
-	return Added{c.added.TotalCount(), c.addedMS(50), c.addedMS(99), c.addedMS(99.9), float64(c.added.Max()) / 1000}
+	return Added{c.added.TotalCount(), c.addedMS(50), c.addedMS(99), c.addedMS(99.9),
+		float64(c.added.Max()) / 1000}
 }
 
-func (f *fleet) fillDatagrams(g *Group, sort int) {
+func (f *fleet) fillDatagrams(g *Group, nodeKind int) {
 	t := f.measured.traffic
 	if t == nil || g.Count == 0 || t.length <= 0 {
 		return
@@ -370,15 +378,17 @@
 	d := &g.Datagrams
 	per := func(v int64) float64 { return float64(v) / t.length.Seconds() / float64(g.Count) }
 	for k, name := range kindNames {
-		in, out := t.flows[sort][directionIn][k], t.flows[sort][directionOut][k]
+		in, out := t.flows[nodeKind][directionIn][k], t.flows[nodeKind][directionOut][k]
 		if in.datagrams+out.datagrams == 0 {
 			continue
 		}
-		row := KindFlow{name, Flow{per(in.datagrams), per(in.bytes)}, Flow{per(out.datagrams), per(out.bytes)}}
+		row := KindFlow{name, Flow{per(in.datagrams), per(in.bytes)},
+			Flow{per(out.datagrams), per(out.bytes)}}
 		d.Kinds = append(d.Kinds, row)
-		d.In, d.Out, d.InScaled = d.In.plus(row.In, 1), d.Out.plus(row.Out, 1), d.InScaled.plus(f.scaledIn(name, row), 1)
+		d.In, d.Out, d.InScaled = d.In.plus(row.In, 1), d.Out.plus(row.Out, 1),
+			d.InScaled.plus(f.scaledIn(name, row), 1)
 	}
-	d.InPeak = t.peak[sort]
+	d.InPeak = t.peak[nodeKind]
 	d.BoundPart, d.BytesPart = d.InScaled.Datagrams/BoundDatagrams, d.InScaled.Bytes/BoundBytes
 	if rate := float64(g.Requests.Asked) / t.length.Seconds() / float64(g.Count); rate > 0 {
 		d.PerRequestIn, d.PerRequest = d.In.Datagrams/rate, d.Out.Datagrams/rate
@@ -389,14 +399,15 @@
 // and health verdicts come from all edge nodes equally, of which only a part exists. The other
 // kinds come from the sets of tenants, all of whose edge nodes exist.
 func (f *fleet) scaledIn(name string, row KindFlow) Flow {
-	if others := f.existing() - 1; others > 0 && (strings.Contains(name, "sight") || strings.Contains(name, "verdict")) {
+	if others := f.existing() - 1; others > 0 &&
+		(strings.Contains(name, "sight") || strings.Contains(name, "verdict")) {
 		return Flow{}.plus(row.In, float64(f.Nodes-1)/float64(others))
 	}
 	return row.In
 }
 
-func (v Flow) plus(other Flow, times float64) Flow {
-	return Flow{v.Datagrams + times*other.Datagrams, v.Bytes + times*other.Bytes}
+func (v Flow) plus(other Flow, factor float64) Flow {
+	return Flow{v.Datagrams + factor*other.Datagrams, v.Bytes + factor*other.Bytes}
 }
 
 func (f *fleet) changes() (list []Change) {
@@ -407,7 +418,7 @@
 	for _, z := range []struct {
 		what string
 		zone *zoneChange
-	}{{"a zone's lines leave", m.lost}, {"a zone's lines come back", m.back}} {
+	}{{"a zone's lines leave", m.zoneRemoved}, {"a zone's lines come back", m.zoneRestored}} {
 		if z.zone != nil {
 			list = append(list, f.changeOf(z.what, z.zone.lines, []int64{z.zone.rev}))
 		}
@@ -417,22 +428,23 @@
 
 func (f *fleet) changeOf(what string, lines int, revs []int64) Change {
 	c := Change{What: what, Lines: lines, Count: len(revs)}
-	var times [sorts][]float64
+	var times [nodeKinds][]float64
 	for _, rev := range revs {
-		for no, d := range f.takes.of(rev) {
-			sort := sortHollow
+		for no, d := range f.applied.latencies(rev) {
+			nodeKind := hollowNode
 			if f.isReal(no) {
-				sort = sortReal
+				nodeKind = realNode
 			}
-			times[sort] = append(times[sort], milliseconds(d))
+			times[nodeKind] = append(times[nodeKind], milliseconds(d))
 		}
 	}
-	c.Real, c.Hollow = takenOf(times[sortReal], f.Real*len(revs)), takenOf(times[sortHollow], f.Hollow*len(revs))
+	c.Real, c.Hollow = takenTime(times[realNode], f.Real*len(revs)),
+		takenTime(times[hollowNode], f.Hollow*len(revs))
 	return c
 }
 
-func takenOf(times []float64, of int) TakenTime {
-	t := TakenTime{Taken: len(times), Of: of}
+func takenTime(times []float64, total int) TakenTime {
+	t := TakenTime{Taken: len(times), Of: total}
 	if len(times) > 0 {
 		slices.Sort(times)
 		t.P50MS, t.MostMS = median(times), times[len(times)-1]
@@ -446,7 +458,7 @@
 		return "it was ended before its load was played"
 	}
 	if n := r.Real.Ready.Count + r.Hollow.Ready.Count; n < f.existing() {
-		return fmt.Sprintf("%d of %d edge nodes were ready within %v", n, f.existing(), readyWithin)
+		return fmt.Sprintf("%d of %d edge nodes were ready within %v", n, f.existing(), readyTimeout)
 	}
 	for _, s := range []struct {
 		name string
@@ -455,10 +467,11 @@
 	}{
 		{"requests to real edge nodes were made", r.Real.Requests.Late, r.Real.Requests.Asked},
 		{"requests to hollow edge nodes were made", r.Hollow.Requests.Late, r.Hollow.Requests.Asked},
-		{"requests at hollow edge nodes were kept waiting by the machine", r.Hollow.Requests.Starved, r.Hollow.Requests.Asked},
+		{"requests at hollow edge nodes were kept waiting by the machine", r.Hollow.Requests.Starved,
+			r.Hollow.Requests.Asked},
 	} {
-		if part := float64(s.late) / max(1, float64(s.of)); part > mostLate {
-			return fmt.Sprintf("%.1f%% of the %s, over %v late", 100*part, s.name, lateBy)
+		if part := float64(s.late) / max(1, float64(s.of)); part > maxLateShare {
+			return fmt.Sprintf("%.1f%% of the %s, over %v late", 100*part, s.name, lateThreshold)
 		}
 	}
 	return ""
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -20,13 +20,13 @@
 
 // Limits of a configuration.
 const (
-	mostNodes     = 1 << 15 // limit of peers in an edge node's configuration
-	mostServers   = 90_000  // their list fits into an edge node's configuration file
-	mostTenants   = 10_000_000
-	mostRate      = 10_000
-	mostProcesses = 50 // including the lab
-	leastFor      = time.Second
-	mostFor       = time.Hour
+	maxNodes     = 1 << 15 // limit of peers in an edge node's configuration
+	maxServers   = 90_000  // their list fits into an edge node's configuration file
+	maxTenants   = 10_000_000
+	maxRate      = 10_000
+	maxProcesses = 50 // including the lab
+	minDuration  = time.Second
+	maxDuration  = time.Hour
 )
 
 // zones is the number of zones of the planned fleet.
@@ -54,30 +54,31 @@
 // Check returns the first Problem of the configuration, or nil. Its fields have the names of the
 // command's flags.
 func (c *Config) Check() error {
-	whole := func(field string, v, least, most int) error {
-		if v < least || v > most {
-			return Problem{field, fmt.Sprintf("%d is not from %d to %d", v, least, most)}
+	checkRange := func(field string, v, low, high int) error {
+		if v < low || v > high {
+			return Problem{field, fmt.Sprintf("%d is not from %d to %d", v, low, high)}
 		}
 		return nil
 	}
 	for _, err := range []error{
-		whole("nodes", c.Nodes, 1, mostNodes),
-		whole("servers", c.Servers, 1, mostServers),
-		whole("tenants", c.Tenants, 1, mostTenants),
-		whole("real", c.Real, 0, mostNodes),
-		whole("hollow", c.Hollow, 0, mostNodes),
+		checkRange("nodes", c.Nodes, 1, maxNodes),
+		checkRange("servers", c.Servers, 1, maxServers),
+		checkRange("tenants", c.Tenants, 1, maxTenants),
+		checkRange("real", c.Real, 0, maxNodes),
+		checkRange("hollow", c.Hollow, 0, maxNodes),
 	} {
 		if err != nil {
 			return err
 		}
 	}
 	switch {
-	case !(c.Rate > 0 && c.Rate <= mostRate):
-		return Problem{"rate", fmt.Sprintf("%g is not above 0 and up to %d", c.Rate, mostRate)}
-	case c.For < leastFor || c.For > mostFor:
-		return Problem{"for", fmt.Sprintf("%v is not from %v to %v", c.For, leastFor, mostFor)}
-	case c.Real+1 > mostProcesses:
-		return Problem{"real", fmt.Sprintf("%d edge nodes and the lab are %d processes, %d at most", c.Real, c.Real+1, mostProcesses)}
+	case !(c.Rate > 0 && c.Rate <= maxRate):
+		return Problem{"rate", fmt.Sprintf("%g is not above 0 and up to %d", c.Rate, maxRate)}
+	case c.For < minDuration || c.For > maxDuration:
+		return Problem{"for", fmt.Sprintf("%v is not from %v to %v", c.For, minDuration, maxDuration)}
+	case c.Real+1 > maxProcesses:
+		return Problem{"real", fmt.Sprintf("%d edge nodes and the lab are %d processes, %d at most", c.Real,
+			c.Real+1, maxProcesses)}
 	case c.Real+c.Hollow < 1:
 		return Problem{"hollow", "there is no edge node, real or hollow"}
 	case c.Real+c.Hollow > c.Nodes:
@@ -97,19 +98,19 @@
 
 // Durations and counts of a run.
 const (
-	readyWithin = 60 * time.Second
-	settleFor   = 500 * time.Millisecond
-	mostRest    = 10 * time.Second
-	leastRest   = time.Second
-	listWait    = 10 * time.Second // for all edge nodes to apply a change
-	lineChanges = 8                // number of changes of one line
-	lineEvery   = 250 * time.Millisecond
-	floodFor    = 2 * time.Second
-	floodRate   = 1000.0 // datagrams a second to each real edge node
-	gcPercent   = 50     // garbage collection target of the lab
+	readyTimeout       = 60 * time.Second
+	settleTime         = 500 * time.Millisecond
+	maxRest            = 10 * time.Second
+	minRest            = time.Second
+	listTimeout        = 10 * time.Second // for all edge nodes to apply a change
+	lineChangeCount    = 8                // number of changes of one line
+	lineChangeInterval = 250 * time.Millisecond
+	floodDuration      = 2 * time.Second
+	floodRate          = 1000.0 // datagrams a second to each real edge node
+	gcPercent          = 50     // garbage collection target of the lab
 )
 
-func (c *Config) restFor() time.Duration { return max(leastRest, min(mostRest, c.For/2)) }
+func (c *Config) restDuration() time.Duration { return max(minRest, min(maxRest, c.For/2)) }
 
 // Play runs the measurement. If ctx ends early, the result holds what was measured until then. The
 // error is a Problem for a configuration that can't be run.
@@ -126,7 +127,7 @@
 	if err := f.open(); err != nil {
 		return nil, err
 	}
-	if err := f.play(ctx); err != nil {
+	if err := f.runPhases(ctx); err != nil {
 		return nil, err
 	}
 	return f.result(), nil
@@ -134,7 +135,7 @@
 
 // newFleet returns a fleet without open sockets and checks that it fits into the machine's memory.
 func newFleet(c Config) (*fleet, error) {
-	f := &fleet{Config: c, world: describe(&c), list: drawList(&c, nil)}
+	f := &fleet{Config: c, world: plannedWorld(&c), list: drawList(&c, nil)}
 	need, err := f.memoryNeed()
 	if err != nil {
 		return nil, err
@@ -150,17 +151,17 @@
 // plannedWorld returns the platform as all edge nodes are configured for it. Classes, rules and
 // network are the lab's defaults. The quotas of the plans are scaled so that the tenants' demand is
 // about their quota.
-func describe(c *Config) *world.World {
+func plannedWorld(c *Config) *world.World {
 	w := world.Default(c.Nodes, c.Servers)
 	w.Zones = min(zones, max(1, c.Nodes))
 	w.Load.Customers = c.Tenants
 	w.Load.Spread = min(8, max(2, c.Nodes/2))
 	w.Load.Rate = c.Rate * float64(c.Nodes)
-	demand, parts := 0.0, 0.0
+	demand, partSum := 0.0, 0.0
 	for _, p := range w.Plans {
-		demand, parts = demand+p.Part*w.Demand(p), parts+p.Part
+		demand, partSum = demand+p.Part*w.Demand(p), partSum+p.Part
 	}
-	scale := w.Load.Rate / float64(c.Tenants) / (demand / parts)
+	scale := w.Load.Rate / float64(c.Tenants) / (demand / partSum)
 	for i := range w.Plans {
 		p := &w.Plans[i]
 		p.Rate *= scale
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -10,28 +10,32 @@
 	"time"
 )
 
-// small returns the configuration of a run without processes that takes a few seconds.
-func small() Config {
+// smallConfig returns the configuration of a run without processes that takes a few seconds.
+func smallConfig() Config {
 	return Config{Nodes: 600, Servers: 540, Tenants: 30_000, Rate: 40, Hollow: 6, For: time.Second, Seed: 1}
 }
 
 // A run goes through all phases. Only counts are checked, so the result does not depend on the
 // machine's speed.
 func TestPlaySmall(t *testing.T) {
-	c := small()
+	c := smallConfig()
 	r, err := Play(t.Context(), c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Phases) != 6 || r.Interrupted || r.Hollow.Count != c.Hollow || r.Hollow.Ready.Count != c.Hollow || r.Real.Count != 0 {
+	if len(r.Phases) != 6 || r.Interrupted || r.Hollow.Count != c.Hollow ||
+		r.Hollow.Ready.Count != c.Hollow || r.Real.Count != 0 {
 		t.Errorf("phases %v, interrupted %v, hollow %+v", r.Phases, r.Interrupted, r.Hollow.Ready)
 	}
 	q := r.Hollow.Requests
-	if q.Asked == 0 || q.Served+q.Refused+q.Failed+q.Lost > q.Asked || r.Hollow.Added.Count != int64(q.Served) {
+	if q.Asked == 0 || q.Served+q.Refused+q.Failed+q.Lost > q.Asked ||
+		r.Hollow.Added.Count != int64(q.Served) {
 		t.Errorf("requests %+v, added %+v", q, r.Hollow.Added)
 	}
-	if r.TenantsHere != c.Tenants*c.Hollow/c.Nodes || r.LongDatagrams != 0 || r.Sink.Datagrams == 0 || r.Hollow.Memory.HeapMB <= 0 {
-		t.Errorf("tenants %d, long %d, sink %+v, memory %+v", r.TenantsHere, r.LongDatagrams, r.Sink, r.Hollow.Memory)
+	if r.TenantsHere != c.Tenants*c.Hollow/c.Nodes || r.LongDatagrams != 0 || r.Sink.Datagrams == 0 ||
+		r.Hollow.Memory.HeapMB <= 0 {
+		t.Errorf("tenants %d, long %d, sink %+v, memory %+v", r.TenantsHere, r.LongDatagrams, r.Sink,
+			r.Hollow.Memory)
 	}
 	kinds := map[string]bool{}
 	for _, k := range r.Hollow.Datagrams.Kinds {
@@ -40,9 +44,11 @@
 	if !kinds["ask"] || !kinds["answer"] || !kinds["sight"] {
 		t.Errorf("kinds of datagram: %v", kinds)
 	}
-	wantLines := map[string]int{"one line": 1, "a zone's lines leave": c.Servers / zones, "a zone's lines come back": c.Servers / zones}
+	wantLines := map[string]int{"one line": 1, "a zone's lines leave": c.Servers / zones,
+		"a zone's lines come back": c.Servers / zones}
 	for _, change := range r.Changes {
-		if change.Lines != wantLines[change.What] || change.Hollow.Of != c.Hollow*change.Count || change.Hollow.Taken > change.Hollow.Of || change.Hollow.Taken == 0 {
+		if change.Lines != wantLines[change.What] || change.Hollow.Of != c.Hollow*change.Count ||
+			change.Hollow.Taken > change.Hollow.Of || change.Hollow.Taken == 0 {
 			t.Errorf("%+v", change)
 		}
 		delete(wantLines, change.What)
@@ -51,7 +57,8 @@
 		t.Errorf("changes missing: %v", wantLines)
 	}
 	var page bytes.Buffer
-	if err := WritePage(&page, r, []string{"a <command>"}); err != nil || bytes.Count(page.Bytes(), []byte("<svg")) != 4 ||
+	if err := WritePage(&page, r, []string{"a <command>"}); err != nil ||
+		bytes.Count(page.Bytes(), []byte("<svg")) != 4 ||
 		bytes.Contains(page.Bytes(), []byte("src=")) || bytes.Contains(page.Bytes(), []byte("a <command>")) {
 		t.Errorf("error %v, page of %d bytes", err, page.Len())
 	}
@@ -61,14 +68,14 @@
 }
 
 // A run that is interrupted returns what was measured until then.
-func TestPlayEnded(t *testing.T) {
+func TestPlayInterrupted(t *testing.T) {
 	for _, test := range []struct {
 		at      Phase
 		played  int
 		unsound bool
 	}{{PhaseStart, 0, true}, {PhaseLoad, 3, false}, {PhaseZone, 4, false}} {
 		ctx, end := context.WithCancel(t.Context())
-		c := small()
+		c := smallConfig()
 		c.Step = func(phase string) {
 			if Phase(phase) == test.at {
 				end()
@@ -95,26 +102,27 @@
 		edit  func(*Config)
 	}{
 		{"nodes", func(c *Config) { c.Nodes = 0 }},
-		{"nodes", func(c *Config) { c.Nodes = mostNodes + 1 }},
+		{"nodes", func(c *Config) { c.Nodes = maxNodes + 1 }},
 		{"servers", func(c *Config) { c.Servers = 0 }},
-		{"servers", func(c *Config) { c.Servers = mostServers + 1 }},
+		{"servers", func(c *Config) { c.Servers = maxServers + 1 }},
 		{"tenants", func(c *Config) { c.Tenants = -1 }},
 		{"rate", func(c *Config) { c.Rate = 0 }},
 		{"for", func(c *Config) { c.For = time.Millisecond }},
 		{"real", func(c *Config) { c.Real = -1 }},
-		{"real", func(c *Config) { c.Real = mostProcesses }},
+		{"real", func(c *Config) { c.Real = maxProcesses }},
 		{"hollow", func(c *Config) { c.Hollow = -1 }},
 		{"hollow", func(c *Config) { c.Hollow = 0 }},
 		{"hollow", func(c *Config) { c.Hollow = c.Nodes + 1 }},
 	} {
-		c := small()
+		c := smallConfig()
 		test.edit(&c)
 		var problem Problem
-		if err := c.Check(); !errors.As(err, &problem) || problem.Field != test.field || strings.Contains(err.Error(), "\n") {
+		if err := c.Check(); !errors.As(err, &problem) || problem.Field != test.field ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%+v: %v, want a problem of field %s", c, err, test.field)
 		}
 	}
-	c := small()
+	c := smallConfig()
 	if err := c.Check(); err != nil {
 		t.Error(err)
 	}
@@ -129,7 +137,9 @@
 	}
 	need := memoryNeed{lab: machine / 100, real: machine / 100, hollow: machine / 10}
 	var problem Problem
-	if err := need.check(&Config{Real: 1, Hollow: 5}); !errors.As(err, &problem) || problem.Field != "hollow" || !strings.Contains(problem.What, ": 4 hollow ones fit beside 1 real ones") {
+	if err := need.check(&Config{Real: 1, Hollow: 5}); !errors.As(err, &problem) ||
+		problem.Field != "hollow" ||
+		!strings.Contains(problem.What, ": 4 hollow ones fit beside 1 real ones") {
 		t.Error(err)
 	}
 	if err := need.check(&Config{Real: 60}); !errors.As(err, &problem) || problem.Field != "real" {
@@ -174,9 +184,9 @@
 // The sets of all tenants lie among the existing edge nodes, and each of these has tenants.
 func TestTenantsLieAmongExisting(t *testing.T) {
 	for _, hollow := range []int{1, 2, 7, 200} {
-		c := small()
+		c := smallConfig()
 		c.Hollow = hollow
-		w := describe(&c)
+		w := plannedWorld(&c)
 		drawn := drawTenants(&c, w)
 		for _, p := range drawn.people {
 			if p.First < 0 || p.Spread < 1 || p.First+p.Spread > hollow {
@@ -192,11 +202,11 @@
 }
 
 // Only the wait of a request beyond the work of its own edge node is attributed to the machine.
-func TestWaitsAreToldApart(t *testing.T) {
-	b := newLoadBook()
-	b.handled(lateBy, 0)
-	b.handled(10*lateBy, 9*lateBy+lateBy/2)
-	b.handled(10*lateBy, lateBy)
+func TestWaitForMachineIsCounted(t *testing.T) {
+	b := newLoadStats()
+	b.addWait(lateThreshold, 0)
+	b.addWait(10*lateThreshold, 9*lateThreshold+lateThreshold/2)
+	b.addWait(10*lateThreshold, lateThreshold)
 	if c := b.takePhase(); c.handledLate != 2 || c.starved != 1 {
 		t.Errorf("%d handled late, %d of them due to the machine", c.handledLate, c.starved)
 	}
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -10,13 +10,13 @@
 // tenants holds the tenants whose sets of edge nodes lie among the existing ones.
 type tenants struct {
 	people []world.Person
-	byNode []draw // by edge node
+	byNode []tenantSampler // by edge node
 }
 
 // tenantSampler draws a tenant with a probability proportional to its demand.
-type draw struct {
-	people []int
-	sums   []float64 // cumulative demand
+type tenantSampler struct {
+	people           []int
+	cumulativeDemand []float64 // cumulative demand
 }
 
 // drawTenants draws tenants in proportion to the part of the planned edge nodes that exists.
@@ -26,7 +26,7 @@
 	here.Load.Customers = max(1, c.Tenants*c.existing()/c.Nodes)
 	here.Load.Uneven = 0
 	drawn := here.Draw(c.Seed)
-	t := &tenants{people: drawn.People, byNode: make([]draw, c.existing())}
+	t := &tenants{people: drawn.People, byNode: make([]tenantSampler, c.existing())}
 	for i := range t.people {
 		p := &t.people[i]
 		p.Spread = min(p.Spread, c.existing())
@@ -48,17 +48,17 @@
 	for no := p.First; no < p.First+p.Spread; no++ {
 		d := &t.byNode[no]
 		sum := demand / float64(p.Spread)
-		if len(d.sums) > 0 {
-			sum += d.sums[len(d.sums)-1]
+		if len(d.cumulativeDemand) > 0 {
+			sum += d.cumulativeDemand[len(d.cumulativeDemand)-1]
 		}
-		d.people, d.sums = append(d.people, i), append(d.sums, sum)
+		d.people, d.cumulativeDemand = append(d.people, i), append(d.cumulativeDemand, sum)
 	}
 }
 
 // pick draws a tenant for a request at an edge node.
-func (t *tenants) at(no int, rng *rand.Rand) *world.Person {
+func (t *tenants) pick(no int, rng *rand.Rand) *world.Person {
 	d := &t.byNode[no]
-	i := sort.SearchFloat64s(d.sums, rng.Float64()*d.sums[len(d.sums)-1])
+	i := sort.SearchFloat64s(d.cumulativeDemand, rng.Float64()*d.cumulativeDemand[len(d.cumulativeDemand)-1])
 	return &t.people[d.people[min(i, len(d.people)-1)]]
 }
 
--- a/internal/lab/sweep/cut.go
+++ b/internal/lab/sweep/cut.go
@@ -11,12 +11,12 @@
 const (
 	cutTenants = 8
 	cutDemand  = 3.0 // multiple of the quota, on each side
-	cutWarm    = 5 * time.Second
+	cutWarmup  = 5 * time.Second
 )
 
 // partitions are the ways to divide a set. The numbers of a tenant's root and deputy differ by half
 // a set.
-var halves = []struct {
+var partitions = []struct {
 	name string
 	side func(node int) int
 }{
@@ -25,13 +25,13 @@
 }
 
 // measureCut measures how much a set admits during a partition of the given length.
-func atCut(ctx context.Context, s *sweeper, seconds, repetitions int) error {
+func measureCut(ctx context.Context, s *sweeper, seconds, repetitions int) error {
 	for seed := range repetitions {
-		for _, h := range halves {
+		for _, h := range partitions {
 			if ctx.Err() != nil {
 				return nil
 			}
-			list, err := playCut(h.name, h.side, seconds, uint64(seed)+1)
+			list, err := runCut(h.name, h.side, seconds, uint64(seed)+1)
 			if err != nil {
 				return err
 			}
@@ -42,21 +42,21 @@
 }
 
 // runCut simulates one partition. The tenants have used up their burst before it starts.
-func playCut(name string, side func(int) int, seconds int, seed uint64) ([]sample, error) {
+func runCut(name string, side func(int) int, seconds int, seed uint64) ([]sample, error) {
 	const rate = int(2 * cutDemand * tightRate * cutTenants / setNodes)
 	f, err := newFleet(planTight, rate, seed)
 	if err != nil {
 		return nil, err
 	}
 	f.tenants = cutTenants
-	f.play(cutWarm, rate)
+	f.advance(cutWarmup, rate)
 	quota := tightRate * cutTenants
 	f.counting = true
-	f.play(cutWarm, rate)
-	before := float64(f.traffic.sent) / quota / cutWarm.Seconds()
+	f.advance(cutWarmup, rate)
+	before := float64(f.traffic.sent) / quota / cutWarmup.Seconds()
 	f.traffic = traffic{count: map[kind]int{}}
 	f.cut = func(from, to int) bool { return side(from) != side(to) }
-	f.play(time.Duration(seconds)*time.Second, rate)
+	f.advance(time.Duration(seconds)*time.Second, rate)
 	return []sample{
 		{name + ": admitted", "s of quota", float64(f.traffic.sent) / quota},
 		{name + ": admitted before, of the quota", "part", before},
--- a/internal/lab/sweep/fleet.go
+++ b/internal/lab/sweep/fleet.go
@@ -14,12 +14,12 @@
 // sends requests to all of the set, so the set contains all roots and deputies. Health monitors of
 // servers may lie outside the set, where nothing responds. Datagrams to them are counted as sent.
 const (
-	setNodes    = 16
-	setServers  = 64
-	perTenant   = 2.63                 // requests a second of a tenant: 790,000 of 300,000 tenants
-	step        = time.Millisecond     // simulated time
-	travel      = 5 * time.Millisecond // of a datagram in the network
-	warmSeconds = 1
+	setNodes          = 16
+	setServers        = 64
+	requestsPerTenant = 2.63                 // requests a second of a tenant: 790,000 of 300,000 tenants
+	step              = time.Millisecond     // simulated time
+	networkDelay      = 5 * time.Millisecond // of a datagram in the network
+	warmupSeconds     = 1
 )
 
 // datagram is a datagram in transit.
@@ -46,21 +46,21 @@
 
 // fleet simulates a set of edge nodes.
 type fleet struct {
-	now      time.Duration
-	rng      *rand.Rand
-	nodes    []*policy.Gateway
-	plan     string
-	tenants  int
-	next     policy.RequestID
-	mail     []datagram
-	attempts []attempt
-	timers   [][]timer
-	counting bool
-	cut      func(from, to int) bool // reports whether a datagram is lost; nil: no loss
-	traffic  traffic
-	gone     int // the edge node that has crashed; negative: none
-	arrived  map[policy.RequestID]time.Duration
-	waits    []float64 // milliseconds from a request to its attempt
+	now       time.Duration
+	rng       *rand.Rand
+	nodes     []*policy.Gateway
+	plan      string
+	tenants   int
+	nextID    policy.RequestID
+	inTransit []datagram
+	attempts  []attempt
+	timers    [][]timer
+	counting  bool
+	cut       func(from, to int) bool // reports whether a datagram is lost; nil: no loss
+	traffic   traffic
+	crashed   int // the edge node that has crashed; negative: none
+	arrivedAt map[policy.RequestID]time.Duration
+	waits     []float64 // milliseconds from a request to its attempt
 }
 
 // timer is a timer set by the policy module of an edge node.
@@ -70,14 +70,16 @@
 }
 
 func newFleet(plan string, rate int, seed uint64) (*fleet, error) {
-	return newFleetOf(PlannedNodes, plan, rate, seed)
+	return newFleetOfSize(PlannedNodes, plan, rate, seed)
 }
 
 // newFleetOfSize makes a set that is configured for a fleet of the given size.
-func newFleetOf(nodes int, plan string, rate int, seed uint64) (*fleet, error) {
-	f := &fleet{now: epoch, rng: rand.New(rand.NewPCG(seed, 1)), plan: plan, timers: make([][]timer, setNodes),
-		tenants: max(1, int(float64(setNodes*rate)/perTenant)), traffic: traffic{count: map[kind]int{}},
-		gone: -1, arrived: map[policy.RequestID]time.Duration{}}
+func newFleetOfSize(nodes int, plan string, rate int, seed uint64) (*fleet, error) {
+	f := &fleet{now: startTime, rng: rand.New(rand.NewPCG(seed, 1)), plan: plan,
+		timers:  make([][]timer, setNodes),
+		tenants: max(1, int(float64(setNodes*rate)/requestsPerTenant)),
+		traffic: traffic{count: map[kind]int{}},
+		crashed: -1, arrivedAt: map[policy.RequestID]time.Duration{}}
 	list := serverList(setServers)
 	for i := range setNodes {
 		g, err := policy.New(settings(i, nodes), seed*setNodes+uint64(i))
@@ -92,21 +94,21 @@
 
 // handle passes an event to an edge node and performs the resulting actions.
 func (f *fleet) handle(i int, ev policy.Event) {
-	if i == f.gone {
+	if i == f.crashed {
 		return
 	}
 	for _, a := range f.nodes[i].Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case policy.Send:
-			f.traffic.sent += f.counted()
-			f.noteWait(a.ID)
+			f.traffic.sent += f.increment()
+			f.recordWait(a.ID)
 			f.attempts = append(f.attempts, attempt{f.now + latency, i, a})
 		case policy.Refuse, policy.Fail:
-			f.traffic.refused += f.counted()
+			f.traffic.refused += f.increment()
 		case policy.SetTimer:
 			f.timers[i] = append(f.timers[i], timer{f.now + max(step, a.After), a.Token})
 		case policy.SendMessage:
-			f.tell(i, a)
+			f.send(i, a)
 		}
 	}
 }
@@ -120,15 +122,15 @@
 }
 
 // recordWait records how long a request has waited for its attempt.
-func (f *fleet) noteWait(id policy.RequestID) {
-	if at, known := f.arrived[id]; known && f.counting {
+func (f *fleet) recordWait(id policy.RequestID) {
+	if at, known := f.arrivedAt[id]; known && f.counting {
 		f.waits = append(f.waits, float64(f.now-at)/float64(time.Millisecond))
 	}
-	delete(f.arrived, id)
+	delete(f.arrivedAt, id)
 }
 
 // increment returns 1 after the warm-up, before that 0.
-func (f *fleet) counted() int {
+func (f *fleet) increment() int {
 	if f.counting {
 		return 1
 	}
@@ -136,47 +138,48 @@
 }
 
 // send counts a datagram and puts it in transit.
-func (f *fleet) tell(from int, t policy.SendMessage) {
+func (f *fleet) send(from int, t policy.SendMessage) {
 	if t.To < 0 {
-		f.traffic.toAll += f.counted()
+		f.traffic.toAll += f.increment()
 		return
 	}
-	f.traffic.count[kindOf(t.Data)] += f.counted()
-	f.traffic.bytes += f.counted() * len(t.Data)
+	f.traffic.count[kindOf(t.Data)] += f.increment()
+	f.traffic.bytes += f.increment() * len(t.Data)
 	if t.To < len(f.nodes) && (f.cut == nil || !f.cut(from, t.To)) {
-		f.mail = append(f.mail, datagram{f.now + travel, from, t.To, t.Data})
+		f.inTransit = append(f.inTransit, datagram{f.now + networkDelay, from, t.To, t.Data})
 	}
 }
 
 // advance simulates a span of time with requests in an open loop at the given rate at each edge
 // node.
-func (f *fleet) play(d time.Duration, rate int) {
+func (f *fleet) advance(d time.Duration, rate int) {
 	for end := f.now + d; f.now < end; {
 		f.now += step
-		for len(f.mail) > 0 && f.mail[0].at <= f.now {
-			m := f.mail[0]
-			f.mail = f.mail[1:]
+		for len(f.inTransit) > 0 && f.inTransit[0].at <= f.now {
+			m := f.inTransit[0]
+			f.inTransit = f.inTransit[1:]
 			f.handle(m.to, policy.PeerMessage{From: m.from, Data: m.data})
 		}
 		for len(f.attempts) > 0 && f.attempts[0].at <= f.now {
 			a := f.attempts[0]
 			f.attempts = f.attempts[1:]
-			f.handle(a.node, policy.Outcome{ID: a.send.ID, Server: a.send.Server, Code: policy.OK, Latency: latency, Answered: true})
+			f.handle(a.node, policy.Outcome{ID: a.send.ID, Server: a.send.Server, Code: policy.OK,
+				Latency: latency, Answered: true})
 		}
 		for i := range f.nodes {
-			f.ring(i)
+			f.runTimers(i)
 			if f.rng.Float64() < float64(rate)*step.Seconds() {
-				f.arrive(i)
+				f.startRequest(i)
 			}
 		}
 	}
 }
 
 // runTimers runs the expired timers of an edge node.
-func (f *fleet) ring(i int) {
-	due := f.timers[i]
+func (f *fleet) runTimers(i int) {
+	pending := f.timers[i]
 	f.timers[i] = nil
-	for _, t := range due {
+	for _, t := range pending {
 		if t.at > f.now {
 			f.timers[i] = append(f.timers[i], t)
 			continue
@@ -186,24 +189,24 @@
 }
 
 // startRequest passes a request of a random tenant to an edge node.
-func (f *fleet) arrive(i int) {
-	f.next++
-	f.traffic.requests += f.counted()
-	r := request(f.next, tenantName(f.rng.IntN(f.tenants)), f.plan)
+func (f *fleet) startRequest(i int) {
+	f.nextID++
+	f.traffic.requests += f.increment()
+	r := request(f.nextID, tenantName(f.rng.IntN(f.tenants)), f.plan)
 	r.Spread = setNodes
-	f.arrived[r.ID] = f.now
+	f.arrivedAt[r.ID] = f.now
 	f.handle(i, r)
 }
 
 // measureRate measures the datagrams of the set by plan.
-func atRate(seconds int) measureAt {
+func measureRate(seconds int) measureFunc {
 	return func(ctx context.Context, s *sweeper, rate, repetitions int) error {
 		for seed := range repetitions {
-			for _, plan := range []string{planFree, planRate, planOpen} {
+			for _, plan := range []string{planFree, planRate, planCap} {
 				if ctx.Err() != nil {
 					return nil
 				}
-				list, err := playRate(plan, rate, seconds, uint64(seed)+1)
+				list, err := runRate(plan, rate, seconds, uint64(seed)+1)
 				if err != nil {
 					return err
 				}
@@ -215,24 +218,25 @@
 }
 
 // runRate simulates one plan at one rate. All figures are per edge node and second.
-func playRate(plan string, rate, seconds int, seed uint64) ([]sample, error) {
+func runRate(plan string, rate, seconds int, seed uint64) ([]sample, error) {
 	f, err := newFleet(plan, rate, seed)
 	if err != nil {
 		return nil, err
 	}
-	f.play(warmSeconds*time.Second, rate)
+	f.advance(warmupSeconds*time.Second, rate)
 	f.counting = true
 	began := processorTime()
-	f.play(time.Duration(seconds)*time.Second, rate)
+	f.advance(time.Duration(seconds)*time.Second, rate)
 	spent := processorTime() - began
 	t, per := &f.traffic, float64(setNodes*seconds)
-	if float64(t.sent) < leastServed*float64(t.requests) {
-		return nil, fmt.Errorf("plan %s: only %d of %d requests were sent to a server", plan, t.sent, t.requests)
+	if float64(t.sent) < minSentShare*float64(t.requests) {
+		return nil, fmt.Errorf("plan %s: only %d of %d requests were sent to a server", plan, t.sent,
+			t.requests)
 	}
 	name := "plan " + plan + ": "
 	all := 0
 	var list []sample
-	for _, k := range []kind{kindAsk, kindAnswer, kindEnded, kindStill, kindSight, kindReport} {
+	for _, k := range []kind{kindAsk, kindAnswer, kindEnded, kindStillInFlight, kindObservation, kindReport} {
 		all += t.count[k]
 		list = append(list, sample{name + string(k), "datagrams/s", float64(t.count[k]) / per})
 	}
@@ -241,5 +245,6 @@
 		sample{name + "verdicts to all", "sent/s", float64(t.toAll) / per},
 		sample{name + "payload", "B/s", float64(t.bytes) / per},
 		sample{name + "refused", "requests/s", float64(t.refused) / per},
-		sample{name + "processor time of module and play, 64 servers", "us/s", float64(spent.Microseconds()) / per}), nil
+		sample{name + "processor time of module and play, 64 servers", "us/s",
+			float64(spent.Microseconds()) / per}), nil
 }
--- a/internal/lab/sweep/kind.go
+++ b/internal/lab/sweep/kind.go
@@ -8,19 +8,20 @@
 
 // The kinds that the sweeps distinguish.
 const (
-	kindAsk     kind = "ask"
-	kindAnswer  kind = "answer"
-	kindEnded   kind = "ended"
-	kindSight   kind = "sight"
-	kindVerdict kind = "verdict"
-	kindStill   kind = "still out"
-	kindReport  kind = "report"
-	kindOther   kind = "other"
+	kindAsk           kind = "ask"
+	kindAnswer        kind = "answer"
+	kindEnded         kind = "ended"
+	kindObservation   kind = "sight"
+	kindVerdict       kind = "verdict"
+	kindStillInFlight kind = "still out"
+	kindReport        kind = "report"
+	kindOther         kind = "other"
 )
 
 const shortVersion, reportVersion = 3, 6
 
-var shortKinds = map[byte]kind{0: kindAsk, 1: kindAnswer, 2: kindEnded, 3: kindSight, 4: kindVerdict, 13: kindStill}
+var shortKinds = map[byte]kind{0: kindAsk, 1: kindAnswer, 2: kindEnded, 3: kindObservation, 4: kindVerdict,
+	13: kindStillInFlight}
 
 // kindOf returns the kind of a datagram.
 func kindOf(data []byte) kind {
@@ -34,7 +35,7 @@
 }
 
 // datagramsOfKind returns the datagrams of one kind among actions.
-func tells(acts []policy.Action, want kind) (list []policy.SendMessage) {
+func datagramsOfKind(acts []policy.Action, want kind) (list []policy.SendMessage) {
 	for _, a := range acts {
 		if t, ok := a.(policy.SendMessage); ok && kindOf(t.Data) == want {
 			list = append(list, t)
@@ -44,7 +45,7 @@
 }
 
 // sendActions returns the attempts among actions.
-func sends(acts []policy.Action) (list []policy.Send) {
+func sendActions(acts []policy.Action) (list []policy.Send) {
 	for _, a := range acts {
 		if s, ok := a.(policy.Send); ok {
 			list = append(list, s)
--- a/internal/lab/sweep/meter.go
+++ b/internal/lab/sweep/meter.go
@@ -8,8 +8,8 @@
 
 // A measurement ends at this processor time or number of batches, whichever comes first.
 const (
-	enoughTime  = 20 * time.Millisecond
-	mostBatches = 25
+	minTotalTime = 20 * time.Millisecond
+	maxBatches   = 25
 )
 
 // processorTime returns the processor time that the process has used.
@@ -39,18 +39,18 @@
 }
 
 // meanMicros returns the mean time of an operation in microseconds.
-func (w *stopwatch) micros() float64 {
+func (w *stopwatch) meanMicros() float64 {
 	return float64(w.spent) / float64(time.Microsecond) / float64(max(1, w.operations))
 }
 
 // timeOperation returns the mean time of an operation in microseconds. It repeats the operation
 // until minTotalTime or maxBatches is reached.
-func timed(operation func()) float64 {
+func timeOperation(operation func()) float64 {
 	var w stopwatch
-	for i := 0; i < mostBatches && w.spent < enoughTime; i++ {
+	for i := 0; i < maxBatches && w.spent < minTotalTime; i++ {
 		w.run(1, operation)
 	}
-	return w.micros()
+	return w.meanMicros()
 }
 
 // heapInUse returns the memory of all reachable objects.
--- a/internal/lab/sweep/module.go
+++ b/internal/lab/sweep/module.go
@@ -12,35 +12,35 @@
 
 // Quantities that stay fixed while another one grows.
 const (
-	stillTenants = 40 // tenants of a batch of requests, and all tenants in the sweeps of servers and nodes
-	stillServers = TodayServers
+	fixedTenants = 40 // tenants of a batch of requests, and all tenants in the sweeps of servers and nodes
+	fixedServers = TodayServers
 )
 
 // Measures of package policy. "member" and "root" denote the work of this edge node for a request.
 const (
-	memberFree      = "member: a request without quota"
-	memberRate      = "member: a request under a rate"
-	memberBoth      = "member: a request under rate and cap"
-	rootRate        = "root: a request under a rate"
-	rootBoth        = "root: a request under rate and cap"
-	tickAtRest      = "a tick at rest"
-	oneLine         = "a changed line"
-	firstList       = "the first list, of an edge node that starts"
-	wholeList       = "a whole list again"
-	zoneLines       = "the lines of one zone in one change"
-	verdictsMinute  = "verdicts told in a minute of a server that fails all"
-	newSettings     = "new settings put in force"
-	copyServers     = "a copy of what is known of servers for a snapshot"
-	heapServer      = "heap of the module"
-	memberTick      = "member: a tick"
-	rootTick        = "root: a tick"
-	heapRoot        = "heap of tenants at their root"
-	busiestMixed    = "tenants at the busiest root of a set of 256, names that differ throughout"
-	busiestNumbered = "tenants at the busiest root of a set of 256, numbered names"
-	heapMember      = "heap of tenants at a member"
-	routeTable      = "heap of a table of as many routes"
-	micros          = "us"
-	bytesUnit       = "B"
+	memberFree        = "member: a request without quota"
+	memberRate        = "member: a request under a rate"
+	memberBoth        = "member: a request under rate and cap"
+	rootRate          = "root: a request under a rate"
+	rootBoth          = "root: a request under rate and cap"
+	tickAtRest        = "a tick at rest"
+	oneLine           = "a changed line"
+	firstList         = "the first list, of an edge node that starts"
+	wholeList         = "a whole list again"
+	zoneLines         = "the lines of one zone in one change"
+	verdictsPerMinute = "verdicts told in a minute of a server that fails all"
+	newSettings       = "new settings put in force"
+	copyServers       = "a copy of what is known of servers for a snapshot"
+	heapModule        = "heap of the module"
+	memberTick        = "member: a tick"
+	rootTick          = "root: a tick"
+	heapRoot          = "heap of tenants at their root"
+	busiestMixed      = "tenants at the busiest root of a set of 256, names that differ throughout"
+	busiestNumbered   = "tenants at the busiest root of a set of 256, numbered names"
+	heapMember        = "heap of tenants at a member"
+	routeTable        = "heap of a table of as many routes"
+	microsUnit        = "us"
+	bytesUnit         = "B"
 )
 
 // memberPlans are the plans whose requests are measured.
@@ -49,17 +49,19 @@
 // requests measures a request of each plan at the member and at the root.
 func (p *pair) requests(s *sweeper, x int) error {
 	for _, plan := range memberPlans {
-		cost, err := p.batches(plan, stillTenants)
+		cost, err := p.batches(plan, fixedTenants)
 		if err != nil {
 			return err
 		}
 		switch plan {
 		case planFree:
-			s.add(x, sample{memberFree, micros, cost.memberMicros()})
+			s.add(x, sample{memberFree, microsUnit, cost.memberMicros()})
 		case planRate:
-			s.add(x, sample{memberRate, micros, cost.memberMicros()}, sample{rootRate, micros, cost.rootMicros()})
+			s.add(x, sample{memberRate, microsUnit, cost.memberMicros()},
+				sample{rootRate, microsUnit, cost.rootMicros()})
 		case planBoth:
-			s.add(x, sample{memberBoth, micros, cost.memberMicros()}, sample{rootBoth, micros, cost.rootMicros()})
+			s.add(x, sample{memberBoth, microsUnit, cost.memberMicros()},
+				sample{rootBoth, microsUnit, cost.rootMicros()})
 		}
 	}
 	return nil
@@ -67,8 +69,8 @@
 
 // measureServers measures costs that grow with the number of servers, in a fleet of the planned
 // number of edge nodes.
-func atServers(ctx context.Context, s *sweeper, servers, repetitions int) error {
-	p, err := newPair(PlannedNodes, servers, stillTenants, memberPlans...)
+func measureServers(ctx context.Context, s *sweeper, servers, repetitions int) error {
+	p, err := newPair(PlannedNodes, servers, fixedTenants, memberPlans...)
 	if err != nil {
 		return err
 	}
@@ -81,8 +83,9 @@
 			return err
 		}
 		g, bytes := heapOf(func() *policy.Gateway { return mustGateway(servers) })
-		s.add(servers, sample{heapServer, bytesUnit, bytes}, sample{tickAtRest, micros, p.rest(g)},
-			sample{firstList, micros, timed(func() { mustGateway(servers) })})
+		s.add(servers, sample{heapModule, bytesUnit, bytes},
+			sample{tickAtRest, microsUnit, p.idleTickTime(g)},
+			sample{firstList, microsUnit, timeOperation(func() { mustGateway(servers) })})
 		s.add(servers, p.changes(g, list)...)
 		runtime.KeepAlive(g)
 		parts, err := partsOfServers(servers, g.SaveState(p.now, false))
@@ -90,11 +93,11 @@
 			return err
 		}
 		s.add(servers, parts...)
-		told, err := verdictsTold(servers)
+		verdicts, err := countVerdicts(servers)
 		if err != nil {
 			return err
 		}
-		s.add(servers, sample{verdictsMinute, "verdicts", told})
+		s.add(servers, sample{verdictsPerMinute, "verdicts", verdicts})
 	}
 	return nil
 }
@@ -112,31 +115,31 @@
 // changes measures changes of the list, and the copy of the server state for a snapshot.
 func (p *pair) changes(g *policy.Gateway, list []policy.Server) []sample {
 	members := func(kind policy.UpdateKind, lines []policy.Server) float64 {
-		return timed(func() {
+		return timeOperation(func() {
 			p.now += time.Millisecond
 			g.Handle(p.now, policy.ServerListUpdate{Kind: kind, Servers: lines}, nil)
 		})
 	}
 	change := []policy.Server{list[len(list)/2]}
-	first := timed(func() {
+	lineChange := timeOperation(func() {
 		change[0].Start += time.Second // a server that restarted long ago
 		p.now += time.Millisecond
 		g.Handle(p.now, policy.ServerListUpdate{Kind: policy.Changes, Servers: change}, nil)
 	})
 	part := list[:max(1, len(list)/zones)]
 	return []sample{
-		{oneLine, micros, first},
-		{zoneLines, micros, members(policy.Changes, part)},
-		{wholeList, micros, members(policy.FullList, list)},
-		{newSettings, micros, p.reconfigure(g)},
-		{copyServers, micros, timed(func() { g.SaveState(p.now, false) })},
+		{oneLine, microsUnit, lineChange},
+		{zoneLines, microsUnit, members(policy.Changes, part)},
+		{wholeList, microsUnit, members(policy.FullList, list)},
+		{newSettings, microsUnit, p.reconfigure(g)},
+		{copyServers, microsUnit, timeOperation(func() { g.SaveState(p.now, false) })},
 	}
 }
 
 // reconfigure returns the time to apply settings in which one plan has another burst.
 func (p *pair) reconfigure(g *policy.Gateway) float64 {
 	s := settings(member, PlannedNodes)
-	return timed(func() {
+	return timeOperation(func() {
 		s.Plans[len(s.Plans)-1].Burst++
 		p.now += time.Millisecond
 		g.Handle(p.now, policy.Reconfigure{Settings: s}, nil)
@@ -144,8 +147,8 @@
 }
 
 // measureNodes measures costs that grow with the number of edge nodes.
-func atNodes(ctx context.Context, s *sweeper, nodes, repetitions int) error {
-	p, err := newPair(nodes, stillServers, stillTenants, memberPlans...)
+func measureNodes(ctx context.Context, s *sweeper, nodes, repetitions int) error {
+	p, err := newPair(nodes, fixedServers, fixedTenants, memberPlans...)
 	if err != nil {
 		return err
 	}
@@ -156,19 +159,19 @@
 		if err := p.requests(s, nodes); err != nil {
 			return err
 		}
-		waits, err := rootGone(nodes, uint64(seed)+1)
+		waits, err := measureRootCrash(nodes, uint64(seed)+1)
 		if err != nil {
 			return err
 		}
 		s.add(nodes, waits...)
 		g, bytes := heapOf(func() *policy.Gateway {
-			g, err := newGateway(member, nodes, serverList(stillServers))
+			g, err := newGateway(member, nodes, serverList(fixedServers))
 			if err != nil {
 				panic(err) // the settings are valid
 			}
 			return g
 		})
-		s.add(nodes, sample{heapServer, bytesUnit, bytes}, sample{tickAtRest, micros, p.rest(g)})
+		s.add(nodes, sample{heapModule, bytesUnit, bytes}, sample{tickAtRest, microsUnit, p.idleTickTime(g)})
 		list, err := datagrams(nodes)
 		if err != nil {
 			return err
@@ -185,12 +188,12 @@
 
 // measureTenants measures costs that grow with the tenants that one edge node knows, as a member
 // and as their root.
-func atTenants(ctx context.Context, s *sweeper, tenants, repetitions int) error {
-	p, err := newPair(PlannedNodes, stillServers, tenants, planRate)
+func measureTenants(ctx context.Context, s *sweeper, tenants, repetitions int) error {
+	p, err := newPair(PlannedNodes, fixedServers, tenants, planRate)
 	if err != nil {
 		return err
 	}
-	p.quick = true
+	p.skipPauses = true
 	if err := p.meet(); err != nil {
 		return err
 	}
@@ -198,23 +201,25 @@
 		measure string
 		of      func(int) string
 	}{{busiestMixed, tenantName}, {busiestNumbered, numberedName}} {
-		uneven, err := busiestRoot(tenants, names.of)
+		busiest, err := busiestRoot(tenants, names.of)
 		if err != nil {
 			return err
 		}
-		s.add(tenants, sample{names.measure, "of an even part", uneven})
+		s.add(tenants, sample{names.measure, "of an even part", busiest})
 	}
 	for range repetitions {
 		if ctx.Err() != nil {
 			return nil
 		}
-		s.add(tenants, sample{memberTick, micros, p.tick(p.member)}, sample{rootTick, micros, p.tick(p.root)},
-			sample{newSettings, micros, p.reconfigure(p.member)})
-		cost, err := p.batches(planRate, stillTenants)
+		s.add(tenants, sample{memberTick, microsUnit, p.tickTime(p.member)},
+			sample{rootTick, microsUnit, p.tickTime(p.root)},
+			sample{newSettings, microsUnit, p.reconfigure(p.member)})
+		cost, err := p.batches(planRate, fixedTenants)
 		if err != nil {
 			return err
 		}
-		s.add(tenants, sample{memberRate, micros, cost.memberMicros()}, sample{rootRate, micros, cost.rootMicros()})
+		s.add(tenants, sample{memberRate, microsUnit, cost.memberMicros()},
+			sample{rootRate, microsUnit, cost.rootMicros()})
 		s.add(tenants, sample{routeTable, bytesUnit, routeHeap(tenants)})
 	}
 	both := heapInUse()
@@ -229,39 +234,40 @@
 // busiestRoot returns the number of tenants of the busiest root in a set of setSize edge nodes,
 // relative to an equal share.
 func busiestRoot(tenants int, name func(int) string) (float64, error) {
-	const evenSet = 256
+	const setSize = 256
 	g, err := newGateway(member, PlannedNodes, serverList(1))
 	if err != nil {
 		return 0, err
 	}
-	at, most := map[int]int{}, 0
+	count, maxCount := map[int]int{}, 0
 	for i := range tenants {
 		r := request(policy.RequestID(i+1), name(i), planRate)
-		r.Spread = evenSet
+		r.Spread = setSize
 		to := member
-		if asks := tells(g.Handle(epoch, r, nil), kindAsk); len(asks) == 1 {
+		if asks := datagramsOfKind(g.Handle(startTime, r, nil), kindAsk); len(asks) == 1 {
 			to = asks[0].To
 		}
-		at[to]++
-		most = max(most, at[to])
+		count[to]++
+		maxCount = max(maxCount, count[to])
 	}
-	return float64(most) * evenSet / float64(tenants), nil
+	return float64(maxCount) * setSize / float64(tenants), nil
 }
 
 // meet sends one request of each tenant, so that member and root know all tenants.
 func (p *pair) meet() error {
-	for done := 0; done < len(p.tenants[planRate]); done += stillTenants {
-		if err := p.batch(planRate, min(stillTenants, len(p.tenants[planRate])-done), &batchCost{}); err != nil {
+	for done := 0; done < len(p.tenants[planRate]); done += fixedTenants {
+		if err := p.batch(planRate, min(fixedTenants, len(p.tenants[planRate])-done),
+			&batchCost{}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// tick returns the time of a tick that comes before any tenant is forgotten.
-func (p *pair) tick(g *policy.Gateway) float64 {
+// tickTime returns the time of a tick that comes before any tenant is forgotten.
+func (p *pair) tickTime(g *policy.Gateway) float64 {
 	const step = time.Millisecond
-	return timed(func() {
+	return timeOperation(func() {
 		p.now += step
 		g.Handle(p.now, policy.Timer{Token: "tick"}, nil)
 	})
@@ -269,13 +275,13 @@
 
 // datagrams measures the handling of one datagram of each kind at its receiver.
 func datagrams(nodes int) ([]sample, error) {
-	h := &handling{nodes: nodes}
-	watchers, err := watchersAmong(nodes)
+	h := &datagramCosts{nodes: nodes}
+	monitors, err := countMonitors(nodes)
 	if err != nil {
 		return nil, err
 	}
-	h.samples = append(h.samples, sample{"edge nodes that watch a server", "edge nodes", float64(watchers)})
-	steps := []func() error{h.sights, h.verdicts, h.reports}
+	h.samples = append(h.samples, sample{"edge nodes that watch a server", "edge nodes", float64(monitors)})
+	steps := []func() error{h.observations, h.verdicts, h.reports}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return nil, err
@@ -285,19 +291,19 @@
 }
 
 // datagramCosts collects the costs of handling datagrams.
-type handling struct {
+type datagramCosts struct {
 	nodes   int
 	samples []sample
 	verdict policy.SendMessage
-	watcher int
+	monitor int
 }
 
-func (h *handling) add(k kind, us float64) {
-	h.samples = append(h.samples, sample{"datagram: " + string(k), micros, us})
+func (h *datagramCosts) add(k kind, us float64) {
+	h.samples = append(h.samples, sample{"datagram: " + string(k), microsUnit, us})
 }
 
 // errNoObservation reports an edge node that sends no failure observation to a health monitor.
-var errNoSight = errors.New("an edge node sent no failure observation to a health monitor")
+var errNoObservation = errors.New("an edge node sent no failure observation to a health monitor")
 
 // failures simulates failures of one server at an edge node and returns the observations that its
 // health monitor is sent.
@@ -306,98 +312,101 @@
 	if err != nil {
 		return nil, err
 	}
-	var told []policy.SendMessage
-	now := epoch
+	var observations []policy.SendMessage
+	now := startTime
 	for i := range times {
 		now += time.Millisecond
-		out := sends(g.Handle(now, request(policy.RequestID(i+1), "tenant", planFree), nil))
+		out := sendActions(g.Handle(now, request(policy.RequestID(i+1), "tenant", planFree), nil))
 		if len(out) != 1 {
 			return nil, fmt.Errorf("%d attempts for one request, want 1", len(out))
 		}
-		told = append(told, tells(g.Handle(now, policy.Outcome{ID: out[0].ID, Server: out[0].Server, Code: policy.Error,
-			Latency: latency, Answered: true}, nil), kindSight)...)
+		observations = append(observations, datagramsOfKind(g.Handle(now,
+			policy.Outcome{ID: out[0].ID, Server: out[0].Server, Code: policy.Error,
+				Latency: latency, Answered: true}, nil), kindObservation)...)
 	}
-	return told, nil
+	return observations, nil
 }
 
 // countMonitors counts the edge nodes that receive failure observations of any of many servers.
-func watchersAmong(nodes int) (int, error) {
+func countMonitors(nodes int) (int, error) {
 	const every = 10
 	found := map[int]bool{}
 	for i := 0; i < PlannedServers; i += every {
-		told, err := failures(nodes, policy.Server{ID: policy.ServerID(i + 1), Zone: zone(i), State: policy.Running, Weight: 1}, 1)
+		observations, err := failures(nodes, policy.Server{ID: policy.ServerID(i + 1), Zone: zoneName(i),
+			State: policy.Running, Weight: 1}, 1)
 		if err != nil {
 			return 0, err
 		}
-		for _, t := range told {
+		for _, t := range observations {
 			found[t.To] = true
 		}
 	}
 	if len(found) == 0 {
-		return 0, errNoSight
+		return 0, errNoObservation
 	}
 	return len(found), nil
 }
 
 // countVerdicts counts the health verdicts that the health monitor of a server sends in a minute in
 // which every attempt fails, in a fleet of the planned number of edge nodes.
-func verdictsTold(servers int) (float64, error) {
+func countVerdicts(servers int) (float64, error) {
 	list := serverList(servers)
-	sights, err := failures(PlannedNodes, list[0], 1)
+	observations, err := failures(PlannedNodes, list[0], 1)
 	if err != nil {
 		return 0, err
 	}
-	if len(sights) == 0 {
-		return 0, errNoSight
+	if len(observations) == 0 {
+		return 0, errNoObservation
 	}
-	watcher, err := newGateway(sights[0].To, PlannedNodes, list)
+	monitor, err := newGateway(observations[0].To, PlannedNodes, list)
 	if err != nil {
 		return 0, err
 	}
 	const between = 100 * time.Millisecond
-	told := 0
-	for now := epoch; now < epoch+time.Minute; now += between {
-		told += len(tells(watcher.Handle(now, policy.PeerMessage{From: member, Data: sights[0].Data}, nil), kindVerdict))
+	verdicts := 0
+	for now := startTime; now < startTime+time.Minute; now += between {
+		verdicts += len(datagramsOfKind(monitor.Handle(now,
+			policy.PeerMessage{From: member, Data: observations[0].Data}, nil), kindVerdict))
 	}
-	return float64(told), nil
+	return float64(verdicts), nil
 }
 
 // observations measures failure observations at the health monitor of a server, which then sends a
 // health verdict.
-func (h *handling) sights() error {
-	told, err := failures(h.nodes, serverList(1)[0], 64)
+func (h *datagramCosts) observations() error {
+	observations, err := failures(h.nodes, serverList(1)[0], 64)
 	if err != nil {
 		return err
 	}
-	if len(told) == 0 {
-		return errNoSight
+	if len(observations) == 0 {
+		return errNoObservation
 	}
-	now := epoch
-	h.watcher = told[0].To
-	watcher, err := newGateway(h.watcher, h.nodes, serverList(stillServers))
+	now := startTime
+	h.monitor = observations[0].To
+	monitor, err := newGateway(h.monitor, h.nodes, serverList(fixedServers))
 	if err != nil {
 		return err
 	}
 	var acts []policy.Action
 	var w stopwatch
-	w.run(len(told), func() {
-		for _, t := range told {
+	w.run(len(observations), func() {
+		for _, t := range observations {
 			now += time.Millisecond
-			acts = watcher.Handle(now, policy.PeerMessage{From: member, Data: t.Data}, acts)
+			acts = monitor.Handle(now, policy.PeerMessage{From: member, Data: t.Data}, acts)
 		}
 	})
-	verdicts := tells(acts, kindVerdict)
+	verdicts := datagramsOfKind(acts, kindVerdict)
 	if len(verdicts) == 0 {
 		return fmt.Errorf("the health monitor of a failing server sent no health verdict")
 	}
 	h.verdict = verdicts[0]
-	h.add(kindSight, w.micros())
+	h.add(kindObservation, w.meanMicros())
 	return nil
 }
 
 // verdicts measures health verdicts at an edge node that receives them.
-func (h *handling) verdicts() error {
-	g, err := newGateway(member, h.nodes, serverList(stillServers))
+func (h *datagramCosts) verdicts() error {
+	g, err := newGateway(member, h.nodes, serverList(fixedServers))
 	if err != nil {
 		return err
 	}
@@ -405,16 +414,16 @@
 	var w stopwatch
 	w.run(times, func() {
 		for range times {
-			g.Handle(epoch, policy.PeerMessage{From: h.watcher, Data: h.verdict.Data}, nil)
+			g.Handle(startTime, policy.PeerMessage{From: h.monitor, Data: h.verdict.Data}, nil)
 		}
 	})
-	h.add(kindVerdict, w.micros())
+	h.add(kindVerdict, w.meanMicros())
 	return nil
 }
 
 // reports measures the reports between two roots of one tenant.
-func (h *handling) reports() error {
-	list := serverList(stillServers)
+func (h *datagramCosts) reports() error {
+	list := serverList(fixedServers)
 	from, err := newGateway(member, h.nodes, list)
 	if err != nil {
 		return err
@@ -423,23 +432,24 @@
 	if err != nil {
 		return err
 	}
-	var told []policy.SendMessage
-	now := epoch
+	var reports []policy.SendMessage
+	now := startTime
 	for i := range 128 {
-		now += tickEvery
+		now += tickInterval
 		from.Handle(now, request(policy.RequestID(i+1), "tenant", planWide), nil)
 		to.Handle(now, request(policy.RequestID(i+1), "tenant", planWide), nil)
-		told = append(told, tells(from.Handle(now, policy.Timer{Token: "tick"}, nil), kindReport)...)
+		reports = append(reports, datagramsOfKind(from.Handle(now, policy.Timer{Token: "tick"}, nil),
+			kindReport)...)
 	}
-	if len(told) == 0 {
+	if len(reports) == 0 {
 		return fmt.Errorf("two roots of one tenant sent no reports to each other")
 	}
 	var w stopwatch
-	w.run(len(told), func() {
-		for _, t := range told {
+	w.run(len(reports), func() {
+		for _, t := range reports {
 			to.Handle(now, policy.PeerMessage{From: member, Data: t.Data}, nil)
 		}
 	})
-	h.add(kindReport, w.micros())
+	h.add(kindReport, w.meanMicros())
 	return nil
 }
--- a/internal/lab/sweep/parts.go
+++ b/internal/lab/sweep/parts.go
@@ -21,8 +21,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// exchangeLimit is the timeout for datagrams and responses on loopback.
-const exchangeLimit = 10 * time.Second
+// exchangeTimeout is the timeout for datagrams and responses on loopback.
+const exchangeTimeout = 10 * time.Second
 
 // The functions below measure parts of an edge node outside package policy, each on its own.
 
@@ -33,7 +33,7 @@
 	decode := 0.0
 	list, heap := heapOf(func() *roster.List {
 		l := &roster.List{}
-		decode = timed(func() { err = json.Unmarshal(text, l) })
+		decode = timeOperation(func() { err = json.Unmarshal(text, l) })
 		return l
 	})
 	if err != nil || len(list.Targets) != servers {
@@ -41,15 +41,15 @@
 	}
 	state := &snapshot.State{Name: "n0", List: list, Memory: memory}
 	var file []byte
-	encode := timed(func() { file, err = snapshot.Encode(state) })
+	encode := timeOperation(func() { file, err = snapshot.Encode(state) })
 	if err != nil {
 		return nil, err
 	}
 	return []sample{
 		{"list: text", bytesUnit, float64(len(text))},
-		{"list: decoded and checked", micros, decode},
+		{"list: decoded and checked", microsUnit, decode},
 		{"list: heap", bytesUnit, heap},
-		{"snapshot: encoded", micros, encode},
+		{"snapshot: encoded", microsUnit, encode},
 		{"snapshot: file", bytesUnit, float64(len(file))},
 	}, nil
 }
@@ -58,8 +58,9 @@
 func listText(servers int) []byte {
 	l := roster.List{Rev: 1, All: true}
 	for i := range servers {
-		l.Targets = append(l.Targets, roster.Target{UID: fmt.Sprintf("s-%08x", i+1), Endpoint: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
-			Zone: zone(i), Cell: i / serversPerCell, State: "SERVING", Weight: 1, BootMS: 1})
+		l.Targets = append(l.Targets, roster.Target{UID: fmt.Sprintf("s-%08x", i+1),
+			Endpoint: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
+			Zone:     zoneName(i), Cell: i / serversPerCell, State: "SERVING", Weight: 1, BootMS: 1})
 	}
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -70,11 +71,11 @@
 
 // partsOfNodes measures costs that grow with the number of peers.
 func partsOfNodes(nodes int) ([]sample, error) {
-	text := []byte(fileText(nodes))
+	text := []byte(configText(nodes))
 	source := config.Source{Getenv: func(string) string { return "" }}
 	var file *config.File
 	var err error
-	parse := timed(func() { file, err = source.Parse(text) })
+	parse := timeOperation(func() { file, err = source.Parse(text) })
 	if err != nil {
 		return nil, err
 	}
@@ -85,8 +86,8 @@
 	table, tableHeap := heapOf(func() map[netip.AddrPort]int { return addressTable(file.Peers) })
 	runtime.KeepAlive(parsed)
 	runtime.KeepAlive(table)
-	voters := timed(func() { lease.Voters("nightly", nodes) })
-	vote, err := leaseMessage(nodes)
+	voters := timeOperation(func() { lease.Voters("nightly", nodes) })
+	vote, err := leaseMessageTime(nodes)
 	if err != nil {
 		return nil, err
 	}
@@ -100,13 +101,13 @@
 	}
 	return []sample{
 		{"configuration: text", bytesUnit, float64(len(text))},
-		{"configuration: parsed and checked", micros, parse},
+		{"configuration: parsed and checked", microsUnit, parse},
 		{"configuration: heap", bytesUnit, fileHeap},
 		{"peers: table of addresses", bytesUnit, tableHeap},
-		{"lease: choice of voters", micros, voters},
-		{"lease: a message at a voter", micros, vote},
-		{"a datagram over loopback, sent and received", micros, exchange},
-		{"operators: GET /status, both ends", micros, status},
+		{"lease: choice of voters", microsUnit, voters},
+		{"lease: a message at a voter", microsUnit, vote},
+		{"a datagram over loopback, sent and received", microsUnit, exchange},
+		{"operators: GET /status, both ends", microsUnit, status},
 	}, nil
 }
 
@@ -120,8 +121,8 @@
 	return table
 }
 
-// fileText returns the configuration of an edge node with the given number of peers.
-func fileText(nodes int) string {
+// configText returns the configuration of an edge node with the given number of peers.
+func configText(nodes int) string {
 	var peers []string
 	for i := range nodes {
 		peers = append(peers, fmt.Sprintf(`"10.%d.%d.%d:7946"`, i>>16, i>>8&255, i&255))
@@ -134,8 +135,8 @@
 "plans":[{"name":"dasar","rate":10,"store_size":50}]}}`, strings.Join(peers, ","), nodes)
 }
 
-// leaseMessage returns the time of a voter for a candidate's prepare message in microseconds.
-func leaseMessage(nodes int) (float64, error) {
+// leaseMessageTime returns the time of a voter for a candidate's prepare message in microseconds.
+func leaseMessageTime(nodes int) (float64, error) {
 	const term = 3 * time.Second
 	voters := lease.Voters("nightly", nodes)
 	if len(voters) < 2 {
@@ -150,10 +151,11 @@
 		for range times {
 			ballot += 1 << 16
 			now += time.Millisecond
-			d.Handle(now, voters[1], lease.Message{Kind: lease.Prepare, Duty: lease.Digest("nightly"), Ballot: ballot, Holder: uint16(voters[1])})
+			d.Handle(now, voters[1], lease.Message{Kind: lease.Prepare, Duty: lease.Digest("nightly"),
+				Ballot: ballot, Holder: uint16(voters[1])})
 		}
 	})
-	return w.micros(), nil
+	return w.meanMicros(), nil
 }
 
 // exchangeTime returns the processor time of sending and receiving a datagram on loopback in
@@ -171,7 +173,7 @@
 		return 0, err
 	}
 	defer to.Close()
-	if err := to.SetReadDeadline(time.Now().Add(exchangeLimit)); err != nil {
+	if err := to.SetReadDeadline(time.Now().Add(exchangeTimeout)); err != nil {
 		return 0, err
 	}
 	addr, data := to.LocalAddr().(*net.UDPAddr).AddrPort(), make([]byte, size)
@@ -183,19 +185,19 @@
 			}
 		}
 	})
-	return w.micros(), err
+	return w.meanMicros(), err
 }
 
 // stubNode implements admin's interface to an edge node with a fixed status.
-type operated struct{}
+type stubNode struct{}
 
-func (operated) Status() node.Status {
+func (stubNode) Status() node.Status {
 	return node.Status{Name: "n0", Ready: true, Phase: "serving", Current: &config.Generation{Number: 1}}
 }
-func (operated) Check([]byte) error                   { return nil }
-func (operated) Apply(context.Context) error          { return nil }
-func (operated) RollBack(context.Context) error       { return nil }
-func (operated) CancelShutdown(context.Context) error { return nil }
+func (stubNode) Check([]byte) error                   { return nil }
+func (stubNode) Apply(context.Context) error          { return nil }
+func (stubNode) RollBack(context.Context) error       { return nil }
+func (stubNode) CancelShutdown(context.Context) error { return nil }
 
 // statusTime returns the processor time of a status request over loopback in microseconds,
 // including the client.
@@ -207,10 +209,10 @@
 		return 0, err
 	}
 	served := make(chan error, 1)
-	go func() { served <- admin.Serve(ctx, ln, operated{}) }()
-	client := &http.Client{Transport: &http.Transport{}, Timeout: exchangeLimit}
+	go func() { served <- admin.Serve(ctx, ln, stubNode{}) }()
+	client := &http.Client{Transport: &http.Transport{}, Timeout: exchangeTimeout}
 	defer client.CloseIdleConnections()
-	us := timed(func() {
+	us := timeOperation(func() {
 		resp, getErr := client.Get("http://" + ln.Addr().String() + "/status")
 		if getErr != nil {
 			err = getErr
@@ -231,7 +233,8 @@
 	table, heap := heapOf(func() map[string]*route {
 		m := make(map[string]*route, entries)
 		for i := range entries {
-			m[fmt.Sprintf("/library/%06d/loans", i)] = &route{service: fmt.Sprintf("service-%03d", i%1000), plan: planRate, class: class}
+			m[fmt.Sprintf("/library/%06d/loans", i)] = &route{service: fmt.Sprintf("service-%03d", i%1000),
+				plan: planRate, class: className}
 		}
 		return m
 	})
--- a/internal/lab/sweep/report.go
+++ b/internal/lab/sweep/report.go
@@ -29,15 +29,16 @@
 	for _, s := range r.Series {
 		if s.Quantity != last {
 			last = s.Quantity
-			if err := writeHead(w, s); err != nil {
+			if err := writeHeader(w, s); err != nil {
 				return err
 			}
 		}
 		cells := []string{s.Measure, s.Unit}
 		for _, p := range s.Points {
-			cells = append(cells, figure(p.Median))
+			cells = append(cells, formatNumber(p.Median))
 		}
-		cells = append(cells, figure(s.Fit.Slope), figure(s.Fit.Low)+" to "+figure(s.Fit.High), fmt.Sprintf("%.3f", s.Fit.R2))
+		cells = append(cells, formatNumber(s.Fit.Slope),
+			formatNumber(s.Fit.Low)+" to "+formatNumber(s.Fit.High), fmt.Sprintf("%.3f", s.Fit.R2))
 		if _, err := fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | ")); err != nil {
 			return err
 		}
@@ -45,18 +46,19 @@
 	return nil
 }
 
-func writeHead(w io.Writer, s Series) error {
+func writeHeader(w io.Writer, s Series) error {
 	cells := []string{string(s.Quantity), "unit"}
 	for _, p := range s.Points {
 		cells = append(cells, fmt.Sprint(p.X))
 	}
 	cells = append(cells, "slope", "95 in 100", "R2")
-	_, err := fmt.Fprintf(w, "\n| %s |\n|%s\n", strings.Join(cells, " | "), strings.Repeat(" --- |", len(cells)))
+	_, err := fmt.Fprintf(w, "\n| %s |\n|%s\n", strings.Join(cells, " | "),
+		strings.Repeat(" --- |", len(cells)))
 	return err
 }
 
-// figure formats a number with three digits, or from 1,000 on as an integer.
-func figure(v float64) string {
+// formatNumber formats a number with three digits, or from 1,000 on as an integer.
+func formatNumber(v float64) string {
 	if v >= 1000 || v <= -1000 {
 		return fmt.Sprintf("%.0f", v)
 	}
@@ -84,7 +86,8 @@
 		return err
 	}
 	for i := range r.Series {
-		if err := r.Series[i].plot(filepath.Join(dir, fmt.Sprintf("%s-%02d.svg", r.Series[i].Quantity, i))); err != nil {
+		if err := r.Series[i].plot(filepath.Join(dir,
+			fmt.Sprintf("%s-%02d.svg", r.Series[i].Quantity, i))); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/sweep/settings.go
+++ b/internal/lab/sweep/settings.go
@@ -11,13 +11,13 @@
 const (
 	planFree  = "free" // none
 	planRate  = "rate" // units a second
-	planOpen  = "cap"  // attempts in flight
+	planCap   = "cap"  // attempts in flight
 	planBoth  = "both"
 	planWide  = "wide"  // a rate that needs several roots
 	planTight = "tight" // a rate with a small burst
 )
 
-const class = "read"
+const className = "read"
 
 // tightRate is the rate of a tenant on the tight plan, in units a second.
 const tightRate = 6.0
@@ -28,36 +28,42 @@
 	zones              = 18
 	serversPerCell     = 4
 	latency            = 30 * time.Millisecond
-	epoch              = time.Hour // start of a sweep on the module's clock
+	startTime          = time.Hour // start of a sweep on the module's clock
 )
 
 // settings returns the settings of one edge node of a fleet.
 func settings(me, nodes int) policy.Settings {
-	return policy.Settings{Self: me, Gateways: nodes, Zone: zone(me), Resolution: 2 * time.Millisecond, MaxAttempts: 6,
-		CanCancel: true, CanSendMessages: true, DatagramsPerSecond: datagramsPerSecond, MaxUnits: 3, MaxRetryAfter: time.Second,
+	return policy.Settings{Self: me, Gateways: nodes, Zone: zoneName(me), Resolution: 2 * time.Millisecond,
+		MaxAttempts: 6,
+		CanCancel:   true, CanSendMessages: true, DatagramsPerSecond: datagramsPerSecond, MaxUnits: 3,
+		MaxRetryAfter: time.Second,
 		Classes: []policy.Class{
-			{Name: class, LatencyTarget: 300 * time.Millisecond, Deadline: time.Second},
-			{Name: "lend", LatencyTarget: 1200 * time.Millisecond, Deadline: 5 * time.Second, Effect: policy.Keyed, Window: 5 * time.Second},
-			{Name: "renew", LatencyTarget: 1500 * time.Millisecond, Deadline: 6 * time.Second, Effect: policy.Unsafe},
+			{Name: className, LatencyTarget: 300 * time.Millisecond, Deadline: time.Second},
+			{Name: "lend", LatencyTarget: 1200 * time.Millisecond, Deadline: 5 * time.Second,
+				Effect: policy.Keyed, Window: 5 * time.Second},
+			{Name: "renew", LatencyTarget: 1500 * time.Millisecond, Deadline: 6 * time.Second,
+				Effect: policy.Unsafe},
 		},
 		Plans: []policy.Plan{
 			{Name: planFree},
 			{Name: planRate, Rate: 6, Burst: 240},
-			{Name: planOpen, MaxInFlight: 4},
+			{Name: planCap, MaxInFlight: 4},
 			{Name: planBoth, Rate: 6, Burst: 240, MaxInFlight: 4},
 			{Name: planWide, Rate: 200, Burst: 400},
 			{Name: planTight, Rate: tightRate, Burst: 12},
 		},
-		AnswerSlack: 8 * time.Millisecond, MinWarmUpFraction: 0.2, WarmUpTime: 12 * time.Second, OverloadMultiple: 3, OverloadTime: 1500 * time.Millisecond}
+		AnswerSlack: 8 * time.Millisecond, MinWarmUpFraction: 0.2, WarmUpTime: 12 * time.Second,
+		OverloadMultiple: 3, OverloadTime: 1500 * time.Millisecond}
 }
 
-func zone(i int) string { return fmt.Sprintf("zone-%02d", i%zones) }
+func zoneName(i int) string { return fmt.Sprintf("zone-%02d", i%zones) }
 
 // serverList returns a list of servers that are past their slow start.
 func serverList(n int) []policy.Server {
 	list := make([]policy.Server, n)
 	for i := range list {
-		list[i] = policy.Server{ID: policy.ServerID(i + 1), Zone: zone(i), Cell: i / serversPerCell, State: policy.Running,
+		list[i] = policy.Server{ID: policy.ServerID(i + 1), Zone: zoneName(i), Cell: i / serversPerCell,
+			State:    policy.Running,
 			HasStart: true, Start: time.Second, Weight: 1}
 	}
 	return list
@@ -69,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.Handle(epoch, policy.ServerListUpdate{Kind: policy.FullList, Servers: list}, nil)
+	g.Handle(startTime, policy.ServerListUpdate{Kind: policy.FullList, Servers: list}, nil)
 	return g, nil
 }
 
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -141,7 +141,7 @@
 }
 
 // measureFunc adds the samples of all repetitions at one size.
-type measureAt func(ctx context.Context, s *sweeper, x, repetitions int) error
+type measureFunc func(ctx context.Context, s *sweeper, x, repetitions int) error
 
 // Run runs the sweeps. When ctx ends it returns the measurements so far, marked as partial.
 func Run(ctx context.Context, o Options) (*Result, error) {
@@ -152,7 +152,7 @@
 		if !slices.Contains(o.What, q) {
 			continue
 		}
-		points, measure := o.plan(q)
+		points, measure := o.sweepOf(q)
 		s := newSweeper(q)
 		for _, x := range points {
 			if ctx.Err() != nil {
@@ -169,18 +169,18 @@
 }
 
 // sweepOf returns the points of a quantity and the function that measures them.
-func (o *Options) plan(q Quantity) ([]int, measureAt) {
+func (o *Options) sweepOf(q Quantity) ([]int, measureFunc) {
 	switch q {
 	case Servers:
-		return o.Servers, atServers
+		return o.Servers, measureServers
 	case Nodes:
-		return o.Nodes, atNodes
+		return o.Nodes, measureNodes
 	case Tenants:
-		return o.Tenants, atTenants
+		return o.Tenants, measureTenants
 	case Cut:
-		return o.Cut, atCut
+		return o.Cut, measureCut
 	}
-	return o.Rate, atRate(o.Seconds)
+	return o.Rate, measureRate(o.Seconds)
 }
 
 // Find returns a series by quantity and measure, or nil if it was not measured.
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -14,15 +14,16 @@
 	"valvering.example/valvering/policy"
 )
 
-// small returns sweeps with few and small points.
-func small(what ...Quantity) Options {
+// smallOptions returns sweeps with few and small points.
+func smallOptions(what ...Quantity) Options {
 	return Options{What: what, Repetitions: 2, Seconds: 1,
-		Servers: []int{40, 80, 120}, Nodes: []int{300, 400, 500}, Tenants: []int{80, 120, 160}, Rate: []int{4, 8, 12}, Cut: []int{2, 4, 6}}
+		Servers: []int{40, 80, 120}, Nodes: []int{300, 400, 500}, Tenants: []int{80, 120, 160},
+		Rate: []int{4, 8, 12}, Cut: []int{2, 4, 6}}
 }
 
-func played(t *testing.T, what ...Quantity) *Result {
+func runSmall(t *testing.T, what ...Quantity) *Result {
 	t.Helper()
-	r, err := Run(context.Background(), small(what...))
+	r, err := Run(context.Background(), smallOptions(what...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,17 +33,23 @@
 // Each measure has a value for each repetition at each size, and all measures used by the capacity
 // page exist.
 func TestAllMeasures(t *testing.T) {
-	r := played(t, Quantities...)
+	r := runSmall(t, Quantities...)
 	want := map[Quantity][]string{
-		Servers: {memberFree, memberRate, memberBoth, rootRate, rootBoth, tickAtRest, oneLine, zoneLines, wholeList, firstList, newSettings, copyServers,
-			heapServer, verdictsMinute, "list: text", "list: decoded and checked", "list: heap", "snapshot: encoded", "snapshot: file"},
-		Nodes: {memberFree, rootRate, tickAtRest, heapServer, "edge nodes that watch a server", "datagram: sight", "one root of 16 gone: their wait, median", "datagram: verdict",
-			"datagram: report", "configuration: parsed and checked", "configuration: heap", "peers: table of addresses",
+		Servers: {memberFree, memberRate, memberBoth, rootRate, rootBoth, tickAtRest, oneLine, zoneLines,
+			wholeList, firstList, newSettings, copyServers,
+			heapModule, verdictsPerMinute, "list: text", "list: decoded and checked", "list: heap",
+			"snapshot: encoded", "snapshot: file"},
+		Nodes: {memberFree, rootRate, tickAtRest, heapModule, "edge nodes that watch a server",
+			"datagram: sight", "one root of 16 gone: their wait, median", "datagram: verdict",
+			"datagram: report", "configuration: parsed and checked", "configuration: heap",
+			"peers: table of addresses",
 			"lease: choice of voters", "lease: a message at a voter", "operators: GET /status, both ends",
 			"a datagram over loopback, sent and received"},
-		Tenants: {memberTick, rootTick, newSettings, memberRate, rootRate, heapRoot, heapMember, routeTable, busiestMixed, busiestNumbered},
-		Rate:    {"plan free: sight", "plan rate: ask", "plan rate: answer", "plan cap: ended", "plan cap: all kinds", "plan cap: payload"},
-		Cut:     {"root and deputy on two sides: admitted", "root and deputy on one side: admitted"},
+		Tenants: {memberTick, rootTick, newSettings, memberRate, rootRate, heapRoot, heapMember, routeTable,
+			busiestMixed, busiestNumbered},
+		Rate: {"plan free: sight", "plan rate: ask", "plan rate: answer", "plan cap: ended",
+			"plan cap: all kinds", "plan cap: payload"},
+		Cut: {"root and deputy on two sides: admitted", "root and deputy on one side: admitted"},
 	}
 	once := []string{heapRoot, heapMember, busiestMixed, busiestNumbered} // measured once at the end
 	for q, names := range want {
@@ -69,7 +76,7 @@
 
 // Counts in simulated time are reproducible, and the kinds add up to the total.
 func TestDatagramsAreCounted(t *testing.T) {
-	a, b := played(t, Rate), played(t, Rate)
+	a, b := runSmall(t, Rate), runSmall(t, Rate)
 	for _, s := range a.Series {
 		if s.Unit != "datagrams/s" {
 			continue
@@ -77,7 +84,8 @@
 		other := b.Find(Rate, s.Measure)
 		for i, p := range s.Points {
 			if !slices.Equal(p.Values, other.Points[i].Values) {
-				t.Errorf("%s: %v in the first run, %v in the second", s.Measure, p.Values, other.Points[i].Values)
+				t.Errorf("%s: %v in the first run, %v in the second", s.Measure, p.Values,
+					other.Points[i].Values)
 			}
 		}
 	}
@@ -87,7 +95,8 @@
 			t.Errorf("%v asks under a rate, %v without quota", asks, value("plan free: ask", i))
 		}
 		sum := 0.0
-		for _, k := range []kind{kindAsk, kindAnswer, kindEnded, kindStill, kindSight, kindReport} {
+		for _, k := range []kind{kindAsk, kindAnswer, kindEnded, kindStillInFlight, kindObservation,
+			kindReport} {
 			sum += value("plan cap: "+string(k), i)
 		}
 		if all := value("plan cap: all kinds", i); math.Abs(sum-all) > 1e-9 {
@@ -101,8 +110,8 @@
 
 // During a partition each tenant gets at most twice its quota: at its root and at its deputy.
 func TestCutGrantsTwiceAtMost(t *testing.T) {
-	r := played(t, Cut)
-	for _, h := range halves {
+	r := runSmall(t, Cut)
+	for _, h := range partitions {
 		for _, p := range r.Find(Cut, h.name+": admitted").Points {
 			for _, v := range p.Values {
 				if burst := 2 * 12 / tightRate; v > 2*float64(p.X)+burst {
@@ -111,29 +120,31 @@
 			}
 		}
 	}
-	if two := r.Find(Cut, halves[0].name+": admitted").Fit.Slope; two < 1.5 {
+	if two := r.Find(Cut, partitions[0].name+": admitted").Fit.Slope; two < 1.5 {
 		t.Errorf("admitted %v times the quota: the demand on the two sides is too low", two)
 	}
 }
 
 // After a root has crashed, some requests of its tenants wait for its deputy. Without a crash none
 // does.
-func TestGoneRootIsWaitedFor(t *testing.T) {
-	list, err := rootGone(300, 1)
+func TestCrashedRootDelaysItsTenants(t *testing.T) {
+	list, err := measureRootCrash(300, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	most, part, wait := list[0].value, list[1].value, list[2].value
-	if trip := 2 * float64(travel/time.Millisecond); most < trip || part <= 0 || part > 0.5 || wait <= most {
-		t.Errorf("waits of at most %v ms without a crash; with a crashed root a part of %v waits %v ms", most, part, wait)
+	longest, part, wait := list[0].value, list[1].value, list[2].value
+	if trip := 2 * float64(networkDelay/time.Millisecond); longest < trip || part <= 0 || part > 0.5 ||
+		wait <= longest {
+		t.Errorf("waits of at most %v ms without a crash; with a crashed root a part of %v waits %v ms",
+			longest, part, wait)
 	}
 }
 
 // An interrupted run is marked as partial and measures nothing after the interruption.
-func TestEndedSweepIsPartial(t *testing.T) {
+func TestInterruptedSweepIsPartial(t *testing.T) {
 	ctx, end := context.WithCancel(context.Background())
 	end()
-	r, err := Run(ctx, small(Quantities...))
+	r, err := Run(ctx, smallOptions(Quantities...))
 	if err != nil || !r.Partial || len(r.Series) != 0 {
 		t.Errorf("%+v, %v", r, err)
 	}
@@ -141,7 +152,8 @@
 
 func TestFitLine(t *testing.T) {
 	f := fitLine([]float64{0, 1, 2, 3}, []float64{1, 3, 5, 7})
-	if math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.Intercept-1) > 1e-9 || math.Abs(f.High-f.Low) > 1e-6 || math.Abs(f.At(10)-21) > 1e-9 {
+	if math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.Intercept-1) > 1e-9 || math.Abs(f.High-f.Low) > 1e-6 ||
+		math.Abs(f.At(10)-21) > 1e-9 {
 		t.Errorf("points on a line: %+v", f)
 	}
 	// Computed by hand: slope 1.4, residuals 0.2 over 2 degrees of freedom, spread 5, t 4.303.
@@ -154,7 +166,8 @@
 	if math.Abs(f.High-f.Slope-margin) > 1e-9 || math.Abs(f.Slope-f.Low-margin) > 1e-9 {
 		t.Errorf("interval %+v, want a margin of %v", f, margin)
 	}
-	if f := fitLine([]float64{1, 2}, []float64{1, 1}); f.Slope != 0 || f.Low != 0 || f.High != 0 || f.R2 != 0 {
+	if f := fitLine([]float64{1, 2}, []float64{1, 1}); f.Slope != 0 || f.Low != 0 || f.High != 0 ||
+		f.R2 != 0 {
 		t.Errorf("two points with equal values: %+v", f)
 	}
 	if f := fitLine([]float64{1}, []float64{1}); f != (Fit{}) {
@@ -166,7 +179,8 @@
 	for _, c := range []struct {
 		data string
 		want kind
-	}{{"", kindOther}, {"\x03", kindOther}, {"\x03\x00", kindAsk}, {"\x03\x04rest", kindVerdict}, {"\x03\x63", kindOther},
+	}{{"", kindOther}, {"\x03", kindOther}, {"\x03\x00", kindAsk}, {"\x03\x04rest", kindVerdict},
+		{"\x03\x63", kindOther},
 		{"\x06", kindReport}, {"\x4c\x00", kindOther}} {
 		if got := kindOf([]byte(c.data)); got != c.want {
 			t.Errorf("%q: %s, want %s", c.data, got, c.want)
@@ -175,7 +189,7 @@
 }
 
 // The kinds match the encoding of package policy, which also reads the ask.
-func TestKindsAreTheModules(t *testing.T) {
+func TestKindsMatchPolicy(t *testing.T) {
 	names, err := tenantsOf(300, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -184,7 +198,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asks := tells(g.Handle(epoch, request(1, names[0], planRate), nil), kindAsk)
+	asks := datagramsOfKind(g.Handle(startTime, request(1, names[0], planRate), nil), kindAsk)
 	if len(asks) != 1 {
 		t.Fatalf("%d asks, want 1", len(asks))
 	}
@@ -195,7 +209,7 @@
 
 // Write creates a directory with the result, its tables and a plot for each measure.
 func TestWrite(t *testing.T) {
-	r, dir := played(t, Rate), filepath.Join(t.TempDir(), "new")
+	r, dir := runSmall(t, Rate), filepath.Join(t.TempDir(), "new")
 	if err := r.Write(dir); err != nil {
 		t.Fatal(err)
 	}
