--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -40,7 +40,7 @@
 	discoveryErrors     atomic.Int64
 
 	realLoad, hollowLoad *loadStats
-	stopHollows          context.CancelFunc // stops the hollow edge nodes
+	stopHollows          context.CancelFunc
 	measured             measurements
 }
 
@@ -163,8 +163,11 @@
 			sampling.Go(func() { f.sampleSeconds(hollowCtx, &phase) })
 			return nil
 		}},
-		{PhaseRest, f.measureRest}, {PhaseLines, f.measureLineChanges}, {PhaseLoad, f.measureLoad},
-		{PhaseZone, f.measureZoneChange}, {PhaseDatagrams, f.measureDatagramFlood},
+		{PhaseRest, f.measureRest},
+		{PhaseLines, f.measureLineChanges},
+		{PhaseLoad, f.measureLoad},
+		{PhaseZone, f.measureZoneChange},
+		{PhaseDatagrams, f.measureDatagramFlood},
 	} {
 		phase.Store(p.name)
 		if f.Step != nil {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -74,7 +74,7 @@
 // Events of a hollow edge node's loop, besides policy.PeerMessage.
 type (
 	arrival struct {
-		scheduledAt time.Duration // scheduled time
+		scheduledAt time.Duration
 		tenant      *world.Person
 		class       int
 		units       int
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -226,8 +226,7 @@
 // kindNames are the kinds of datagram of package policy, and a last one for reports and unknown
 // datagrams.
 var kindNames = [...]string{"ask", "answer", "ended", "sight", "verdict", "tables", "marked sight",
-	"marked verdict",
-	"leave", "handed", "took", "judged", "ended for", "still out", "report or other"}
+	"marked verdict", "leave", "handed", "took", "judged", "ended for", "still out", "report or other"}
 
 const (
 	shortVersion = 3 // version byte of all datagrams except reports
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -15,7 +15,7 @@
 
 // tenantSampler draws a tenant with a probability proportional to its demand.
 type tenantSampler struct {
-	people           []int
+	indexes          []int
 	cumulativeDemand []float64 // cumulative demand
 }
 
@@ -34,7 +34,7 @@
 		t.add(i, drawn.Share([]int{i}))
 	}
 	for no := range t.byNode {
-		if len(t.byNode[no].people) == 0 { // too few tenants for each edge node to have one
+		if len(t.byNode[no].indexes) == 0 { // too few tenants for each edge node to have one
 			t.people = append(t.people, world.Person{Key: "00000000000000ff", First: no, Spread: 1})
 			t.add(len(t.people)-1, 1)
 		}
@@ -51,7 +51,7 @@
 		if len(d.cumulativeDemand) > 0 {
 			sum += d.cumulativeDemand[len(d.cumulativeDemand)-1]
 		}
-		d.people, d.cumulativeDemand = append(d.people, i), append(d.cumulativeDemand, sum)
+		d.indexes, d.cumulativeDemand = append(d.indexes, i), append(d.cumulativeDemand, sum)
 	}
 }
 
@@ -59,8 +59,8 @@
 func (t *tenants) pick(no int, rng *rand.Rand) *world.Person {
 	d := &t.byNode[no]
 	i := sort.SearchFloat64s(d.cumulativeDemand, rng.Float64()*d.cumulativeDemand[len(d.cumulativeDemand)-1])
-	return &t.people[d.people[min(i, len(d.people)-1)]]
+	return &t.people[d.indexes[min(i, len(d.indexes)-1)]]
 }
 
 // count returns the number of tenants of an edge node.
-func (t *tenants) count(no int) int { return len(t.byNode[no].people) }
+func (t *tenants) count(no int) int { return len(t.byNode[no].indexes) }
--- a/internal/lab/sweep/module.go
+++ b/internal/lab/sweep/module.go
@@ -114,7 +114,7 @@
 
 // changes measures changes of the list, and the copy of the server state for a snapshot.
 func (p *pair) changes(g *policy.Gateway, list []policy.Server) []sample {
-	members := func(kind policy.UpdateKind, lines []policy.Server) float64 {
+	updateTime := func(kind policy.UpdateKind, lines []policy.Server) float64 {
 		return timeOperation(func() {
 			p.now += time.Millisecond
 			g.Handle(p.now, policy.ServerListUpdate{Kind: kind, Servers: lines}, nil)
@@ -129,8 +129,8 @@
 	part := list[:max(1, len(list)/zones)]
 	return []sample{
 		{oneLine, microsUnit, lineChange},
-		{zoneLines, microsUnit, members(policy.Changes, part)},
-		{wholeList, microsUnit, members(policy.FullList, list)},
+		{zoneLines, microsUnit, updateTime(policy.Changes, part)},
+		{wholeList, microsUnit, updateTime(policy.FullList, list)},
 		{newSettings, microsUnit, p.reconfigure(g)},
 		{copyServers, microsUnit, timeOperation(func() { g.SaveState(p.now, false) })},
 	}
@@ -305,8 +305,8 @@
 // errNoObservation reports an edge node that sends no failure observation to a health monitor.
 var errNoObservation = errors.New("an edge node sent no failure observation to a health monitor")
 
-// failures simulates failures of one server at an edge node and returns the observations that its
-// health monitor is sent.
+// failures simulates failures of one server at an edge node and returns the failure observations
+// for the server's health monitor.
 func failures(nodes int, server policy.Server, times int) ([]policy.SendMessage, error) {
 	g, err := newGateway(member, nodes, []policy.Server{server})
 	if err != nil {
--- a/internal/lab/sweep/parts.go
+++ b/internal/lab/sweep/parts.go
@@ -27,7 +27,7 @@
 // The functions below measure parts of an edge node outside package policy, each on its own.
 
 // partsOfServers measures the decoding of a list and its encoding in a snapshot.
-func partsOfServers(servers int, memory policy.SavedState) ([]sample, error) {
+func partsOfServers(servers int, saved policy.SavedState) ([]sample, error) {
 	text := listText(servers)
 	var err error
 	decode := 0.0
@@ -39,7 +39,7 @@
 	if err != nil || len(list.Targets) != servers {
 		return nil, fmt.Errorf("decoded only %d of %d lines: %w", len(list.Targets), servers, err)
 	}
-	state := &snapshot.State{Name: "n0", List: list, Memory: memory}
+	state := &snapshot.State{Name: "n0", List: list, Memory: saved}
 	var file []byte
 	encode := timeOperation(func() { file, err = snapshot.Encode(state) })
 	if err != nil {
--- a/internal/lab/sweep/settings.go
+++ b/internal/lab/sweep/settings.go
@@ -34,9 +34,8 @@
 // settings returns the settings of one edge node of a fleet.
 func settings(me, nodes int) policy.Settings {
 	return policy.Settings{Self: me, Gateways: nodes, Zone: zoneName(me), Resolution: 2 * time.Millisecond,
-		MaxAttempts: 6,
-		CanCancel:   true, CanSendMessages: true, DatagramsPerSecond: datagramsPerSecond, MaxUnits: 3,
-		MaxRetryAfter: time.Second,
+		MaxAttempts: 6, CanCancel: true, CanSendMessages: true, DatagramsPerSecond: datagramsPerSecond,
+		MaxUnits: 3, MaxRetryAfter: time.Second,
 		Classes: []policy.Class{
 			{Name: className, LatencyTarget: 300 * time.Millisecond, Deadline: time.Second},
 			{Name: "lend", LatencyTarget: 1200 * time.Millisecond, Deadline: 5 * time.Second,
@@ -63,8 +62,7 @@
 	list := make([]policy.Server, n)
 	for i := range list {
 		list[i] = policy.Server{ID: policy.ServerID(i + 1), Zone: zoneName(i), Cell: i / serversPerCell,
-			State:    policy.Running,
-			HasStart: true, Start: time.Second, Weight: 1}
+			State: policy.Running, HasStart: true, Start: time.Second, Weight: 1}
 	}
 	return list
 }
