--- a/internal/lab/scale/lending.go
+++ b/internal/lab/scale/lending.go
@@ -13,10 +13,10 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// endpointCount is how many addresses all lines of the list share.
+// endpointCount is the number of addresses that all lines of the list share.
 const endpointCount = 4
 
-// latencyModel draws how long a lending server takes for a request: log-normal, by class.
+// latencyModel draws the service time of a request from a log-normal distribution of its class.
 type latencyModel struct{ world *world.World }
 
 func (m latencyModel) draw(class int, rng *rand.Rand) time.Duration {
@@ -25,32 +25,33 @@
 	return time.Duration(float64(mean) * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2))
 }
 
-// lender stands in for all lending servers of the real edge nodes.
-type lender struct {
-	model   latencyModel
-	servers []*http.Server
-	addrs   []string
-	mu      sync.Mutex
-	rng     *rand.Rand
-	held    map[string]time.Duration // by request: how long the server took
+// stubServers stand in for all servers of the real edge nodes.
+type stubServers struct {
+	model        latencyModel
+	servers      []*http.Server
+	addrs        []string
+	mu           sync.Mutex
+	rng          *rand.Rand
+	serviceTimes map[string]time.Duration // by request: the service time
 }
 
-func newLender(w *world.World, seed uint64) (*lender, error) {
-	l := &lender{model: latencyModel{w}, rng: world.Stream(seed, world.StreamWork), held: map[string]time.Duration{}}
+func newStubServers(w *world.World, seed uint64) (*stubServers, error) {
+	l := &stubServers{model: latencyModel{w}, rng: world.Stream(seed, world.StreamWork),
+		serviceTimes: map[string]time.Duration{}}
 	for range endpointCount {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return l, fmt.Errorf("lending server: %w", err)
+			return l, fmt.Errorf("opening a socket for the stub servers: %w", err)
 		}
 		srv := &http.Server{Handler: l}
 		l.servers, l.addrs = append(l.servers, srv), append(l.addrs, ln.Addr().String())
-		go func() { _ = srv.Serve(ln) }() // ends with close
+		go func() { _ = srv.Serve(ln) }() // returns after close
 	}
 	return l, nil
 }
 
-// ServeHTTP answers a request after a drawn time.
-func (l *lender) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP responds after a service time that it draws.
+func (l *stubServers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	id := r.Header.Get("X-Request-Id")
 	class := l.classOf(strings.TrimPrefix(r.URL.Path, "/"))
@@ -63,12 +64,12 @@
 	l.mu.Unlock()
 	time.Sleep(latency)
 	l.mu.Lock()
-	l.held[id] = time.Since(began)
+	l.serviceTimes[id] = time.Since(began)
 	l.mu.Unlock()
-	_, _ = w.Write([]byte(loanOf(id))) // the edge node may have given up
+	_, _ = w.Write([]byte(loanBody(id))) // the edge node may have cancelled the attempt
 }
 
-func (l *lender) classOf(name string) int {
+func (l *stubServers) classOf(name string) int {
 	for i := range l.model.world.Classes {
 		if l.model.world.Classes[i].Name == name {
 			return i
@@ -77,20 +78,20 @@
 	return -1
 }
 
-// took is how long the server took for a request; it is forgotten.
-func (l *lender) took(id string) (time.Duration, bool) {
+// takeServiceTime returns the service time of a request and removes the entry.
+func (l *stubServers) takeServiceTime(id string) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d, known := l.held[id]
-	delete(l.held, id)
+	d, known := l.serviceTimes[id]
+	delete(l.serviceTimes, id)
 	return d, known
 }
 
-func (l *lender) close() {
+func (l *stubServers) close() {
 	for _, srv := range l.servers {
 		srv.Close()
 	}
 }
 
-// loanOf is the answer made for a request.
-func loanOf(id string) string { return `{"loan":"` + id + `"}` }
+// loanBody returns the response body for a request.
+func loanBody(id string) string { return `{"loan":"` + id + `"}` }
--- a/internal/lab/scale/list.go
+++ b/internal/lab/scale/list.go
@@ -14,14 +14,14 @@
 	"valvering.example/valvering/policy"
 )
 
-// serversPerCell is how many lending servers share a cell.
+// serversPerCell is the number of servers in a cell.
 const serversPerCell = 4
 
 // serverList holds the lines of discovery's list.
 type serverList struct{ lines []roster.Target }
 
-// drawList makes the list of a fleet whose servers have run for long. All lines share
-// the endpoints: a lending stand-in answers there for every server.
+// drawList makes the list of a fleet whose servers have long been running. All lines share the
+// endpoints, where the stub servers respond for every server.
 func drawList(c *Config, endpoints []string) *serverList {
 	if len(endpoints) == 0 {
 		endpoints = []string{"127.0.0.1:9"}
@@ -33,19 +33,20 @@
 			name = rng.Uint32()
 		}
 		drawn[name] = true
-		l.lines = append(l.lines, roster.Target{UID: fmt.Sprintf("s-%08x", name), Endpoint: endpoints[i%len(endpoints)],
-			Zone: world.ZoneName(zone), Cell: zone*100_000 + i/zones/serversPerCell, State: stateServing, Weight: 1})
+		l.lines = append(l.lines, roster.Target{UID: fmt.Sprintf("s-%08x", name),
+			Endpoint: endpoints[i%len(endpoints)],
+			Zone:     world.ZoneName(zone), Cell: zone*100_000 + i/zones/serversPerCell, State: stateServing,
+			Weight: 1})
 	}
 	return l
 }
 
-// States of a line, beside roster.Removed.
-const stateServing = "SERVING"
+const stateServing = "SERVING" // state of a line, besides roster.Removed
 
-// module gives the list in the module's form.
-func (l *serverList) module() []policy.Server { return moduleServers(l.lines) }
+// policyServers returns the list in the form of package policy.
+func (l *serverList) policyServers() []policy.Server { return toPolicyServers(l.lines) }
 
-func moduleServers(lines []roster.Target) []policy.Server {
+func toPolicyServers(lines []roster.Target) []policy.Server {
 	servers := make([]policy.Server, len(lines))
 	for i := range lines {
 		servers[i] = lines[i].Server()
@@ -53,16 +54,16 @@
 	return servers
 }
 
-// decodedList is a list as discovery told it, in the module's form.
+// decodedList is a list received from discovery, in the form of package policy.
 type decodedList struct {
 	rev     int64
 	all     bool
 	servers []policy.Server
 }
 
-var errBadLines = errors.New("a line of the list can't be used")
+var errBadLines = errors.New("the list has an unusable line")
 
-// decodeList is the one place where the lab reads a list.
+// decodeList decodes a list for the hollow edge nodes.
 func decodeList(body []byte) (*decodedList, error) {
 	var l roster.List
 	if err := json.Unmarshal(body, &l); err != nil {
@@ -71,64 +72,64 @@
 	if l.Invalid > 0 {
 		return nil, fmt.Errorf("%w: %w", errBadLines, l.InvalidErr)
 	}
-	return &decodedList{l.Rev, l.All, moduleServers(l.Targets)}, nil
+	return &decodedList{l.Rev, l.All, toPolicyServers(l.Targets)}, nil
 }
 
-// decoder decodes each distinct answer of discovery once for all hollow edge nodes: an
-// edge node of its own would decode its own, and what that takes is measured here.
+// decoder decodes each distinct response of discovery once for all hollow edge nodes. A real edge
+// node decodes its own; decoder measures the cost.
 type decoder struct {
-	mu     sync.Mutex
-	held   map[uint64]*decoding
-	decode DecodeCost // of the largest answer
+	mu      sync.Mutex
+	cache   map[uint64]*cacheEntry
+	largest DecodeCost // of the largest response
 }
 
-type decoding struct {
+type cacheEntry struct {
 	once sync.Once
 	list *decodedList
 	err  error
 }
 
-// mostHeld is how many decoded answers are kept.
-const mostHeld = 16
+// maxCachedLists is the number of decoded responses in the cache.
+const maxCachedLists = 16
 
-// take returns a decoded answer.
-func (d *decoder) take(body []byte) (*decodedList, error) {
+// decode returns the decoded form of a response.
+func (d *decoder) decode(body []byte) (*decodedList, error) {
 	key := xxhash.Sum64(body)
 	d.mu.Lock()
-	if d.held == nil || len(d.held) >= mostHeld {
-		d.held = map[uint64]*decoding{}
+	if d.cache == nil || len(d.cache) >= maxCachedLists {
+		d.cache = map[uint64]*cacheEntry{}
 	}
-	e := d.held[key]
+	e := d.cache[key]
 	if e == nil {
-		e = &decoding{}
-		d.held[key] = e
+		e = &cacheEntry{}
+		d.cache[key] = e
 	}
 	d.mu.Unlock()
 	e.once.Do(func() {
-		spent := onThread(func() { e.list, e.err = decodeList(body) })
-		d.note(len(body), spent)
+		spent := threadTime(func() { e.list, e.err = decodeList(body) })
+		d.recordCost(len(body), spent)
 	})
 	return e.list, e.err
 }
 
-func (d *decoder) note(bytes int, spent time.Duration) {
+func (d *decoder) recordCost(bytes int, spent time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if bytes >= d.decode.Bytes {
-		d.decode = DecodeCost{Bytes: bytes, MS: milliseconds(spent)}
+	if bytes >= d.largest.Bytes {
+		d.largest = DecodeCost{Bytes: bytes, MS: milliseconds(spent)}
 	}
 }
 
-// cost is that of the largest answer.
+// cost returns the decoding cost of the largest response.
 func (d *decoder) cost() DecodeCost {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.decode
+	return d.largest
 }
 
-// drop lets go of what is held.
-func (d *decoder) drop() {
+// dropCache releases the decoded lists.
+func (d *decoder) dropCache() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.held = nil
+	d.cache = nil
 }
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -11,18 +11,18 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// A load is not kept when more than this share of its requests came later than so much.
+// A run is unsound when more than maxLateShare of its requests are later than lateThreshold.
 const (
-	lateBy   = 50 * time.Millisecond
-	mostLate = 0.01
+	lateThreshold = 50 * time.Millisecond
+	maxLateShare  = 0.01
 )
 
-// openLoop calls back at each time of a Poisson stream of an edge node's own, on the
-// clock of unixNow, until ctx ends. It does not wait for what becomes of a request.
-func (f *fleet) openLoop(ctx context.Context, no int, come func(at time.Duration)) {
+// openLoop calls onArrival at each arrival of an edge node's own Poisson process, on the clock of
+// unixNow, until ctx ends. It does not wait for the outcome of a request.
+func (f *fleet) openLoop(ctx context.Context, no int, onArrival func(at time.Duration)) {
 	source, err := load.New(&world.Load{Rate: f.Rate, Shape: "poisson"}, f.Seed<<16+uint64(no), nil)
 	if err != nil {
-		panic(err) // only a trace can fail
+		panic(err) // only a load read from a trace can fail
 	}
 	start := unixNow()
 	wake := time.NewTimer(0)
@@ -41,100 +41,102 @@
 		if ctx.Err() != nil {
 			return
 		}
-		come(at)
+		onArrival(at)
 	}
 }
 
-// ending is what became of a request.
-type ending int
+// requestOutcome is the outcome of a request.
+type requestOutcome int
 
 const (
-	endServed ending = iota
-	endRefused
-	endFailed
-	endLost // no answer, or one that no lending server made
-	endings
+	outcomeServed requestOutcome = iota
+	outcomeRefused
+	outcomeFailed
+	outcomeLost // no response, or one that no server made
+	outcomeCount
 )
 
-// Range of the histograms of added time, in microseconds, and their digits.
+// Range and precision of the histograms of added time.
 const (
-	leastAdded  = 1
-	mostAdded   = 120_000_000
-	addedDigits = 3
+	minAddedMicros = 1           // microseconds
+	maxAddedMicros = 120_000_000 // microseconds
+	addedDigits    = 3           // significant decimal digits
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastAdded, mostAdded, addedDigits)
+	return hdrhistogram.New(minAddedMicros, maxAddedMicros, addedDigits)
 }
 
-// loadBook counts the requests of one sort of edge node.
-type loadBook struct {
+// loadStats counts the requests of one kind of edge node, for the phase and for the current second.
+type loadStats struct {
 	mu     sync.Mutex
 	phase  loadCount
 	second loadCount
 }
 
-// loadCount is what came during a time.
+// loadCount counts the requests of an interval.
 type loadCount struct {
 	asked, late          int
 	handledLate, starved int
-	ends                 [endings]int
-	lostWhy              error                   // of the first that was lost
+	outcomes             [outcomeCount]int
+	lossCause            error                   // error of the first lost request
 	added                *hdrhistogram.Histogram // microseconds
 }
 
 func newLoadCount() loadCount { return loadCount{added: newHistogram()} }
 
-func newLoadBook() *loadBook { return &loadBook{phase: newLoadCount(), second: newLoadCount()} }
+func newLoadStats() *loadStats { return &loadStats{phase: newLoadCount(), second: newLoadCount()} }
 
-// asked notes a request that came so much later than it was meant to.
-func (b *loadBook) asked(late time.Duration) {
+// addRequest counts a request that was made late by the given time.
+func (b *loadStats) addRequest(late time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.phase.asked++
 	b.second.asked++
-	if late > lateBy {
+	if late > lateThreshold {
 		b.phase.late++
 	}
 }
 
-// handled notes how long a request waited for a hollow edge node's loop, and for how much
-// of that its module was at work. The rest of a long wait is the machine's.
-func (b *loadBook) handled(wait, work time.Duration) {
-	if wait <= lateBy {
+// addWait counts how long a request waited for the loop of a hollow edge node, and how much of this
+// wait the policy module of that edge node was at work. The rest of a long wait is due to the
+// machine.
+func (b *loadStats) addWait(wait, work time.Duration) {
+	if wait <= lateThreshold {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.phase.handledLate++
-	if wait-work > lateBy {
+	if wait-work > lateThreshold {
 		b.phase.starved++
 	}
 }
 
-// end notes an end; added is the time over what the server took, where it was served.
-func (b *loadBook) end(how ending, added time.Duration) {
+// addOutcome counts an outcome. For a served request, added is the time above the service time.
+func (b *loadStats) addOutcome(outcome requestOutcome, added time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range []*loadCount{&b.phase, &b.second} {
-		c.ends[how]++
-		if how == endServed {
-			_ = c.added.RecordValue(min(mostAdded, max(leastAdded, added.Microseconds()))) // in range
+		c.outcomes[outcome]++
+		if outcome == outcomeServed {
+			// The value is in range, so there is no error.
+			_ = c.added.RecordValue(min(maxAddedMicros, max(minAddedMicros, added.Microseconds())))
 		}
 	}
 }
 
-// lost notes why a request was lost, where it is the first.
-func (b *loadBook) lost(why error) {
+// addLoss records why a request was lost, if it is the first of the phase.
+func (b *loadStats) addLoss(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.phase.lostWhy == nil {
-		b.phase.lostWhy = why
+	if b.phase.lossCause == nil {
+		b.phase.lossCause = err
 	}
 }
 
-// takePhase returns what came since the last call.
-func (b *loadBook) takePhase() loadCount {
+// takePhase returns the counts since the last call.
+func (b *loadStats) takePhase() loadCount {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.phase
@@ -142,8 +144,8 @@
 	return c
 }
 
-// takeSecond is the same for the seconds.
-func (b *loadBook) takeSecond() loadCount {
+// takeSecond returns the counts since the last call of takeSecond.
+func (b *loadStats) takeSecond() loadCount {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.second
@@ -151,7 +153,7 @@
 	return c
 }
 
-// addedMS is a quantile of the added time, in milliseconds; 0 of none.
+// addedMS returns a quantile of the added time in milliseconds, or 0 without values.
 func (c *loadCount) addedMS(percent float64) float64 {
 	return float64(c.added.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/lab/scale/network_test.go
+++ b/internal/lab/scale/network_test.go
@@ -9,8 +9,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// Datagrams are counted by sender, receiver and kind on every way: between hollow and
-// real edge nodes, to all, and to those that don't exist.
+// Datagrams are counted by sender, receiver and kind on every path: between hollow and real edge
+// nodes, to all, and to edge nodes that don't exist.
 func TestDatagramsAreCounted(t *testing.T) {
 	c := &Config{Nodes: 10, Real: 2, Hollow: 2}
 	const hollow, real, otherReal = 0, 1, 2
@@ -29,10 +29,10 @@
 		t.Fatal(err)
 	}
 	defer n.close()
-	n.run()
+	n.startReaders()
 	go n.read(n.conns[hollow], func(from sender, data []byte) {
-		n.noteIn(hollow, data)
-		n.noteFirst(from, data)
+		n.countIn(hollow, data)
+		n.countFirst(from, data)
 	})
 	ask, verdict := []byte{shortVersion, 0, 1, 2}, []byte{shortVersion, 4, 1}
 	send := func(from *net.UDPConn, to string, data []byte) {
@@ -45,16 +45,16 @@
 			t.Fatal(err)
 		}
 	}
-	n.tell(hollow, real, ask)                           // hollow to real
-	n.tell(hollow, 7, ask)                              // hollow to one that does not exist
-	send(reals[0], n.peers[hollow], ask)                // real to hollow
-	send(reals[0], n.peers[otherReal], ask)             // real to real
-	send(reals[0], n.peers[9], ask)                     // real to one that does not exist
-	send(reals[0], n.all.LocalAddr().String(), verdict) // real to all
+	n.send(hollow, real, ask)                                 // hollow to real
+	n.send(hollow, 7, ask)                                    // hollow to a missing one
+	send(reals[0], n.peers[hollow], ask)                      // real to hollow
+	send(reals[0], n.peers[otherReal], ask)                   // real to real
+	send(reals[0], n.peers[9], ask)                           // real to a missing one
+	send(reals[0], n.broadcast.LocalAddr().String(), verdict) // real to all
 	check := func(no int, d direction, k kind, want, bytes int64) {
 		t.Helper()
 		testkit.Eventually(t, kindNames[k], func() bool {
-			flows, _ := n.ledgers[no].read()
+			flows, _ := n.counters[no].read()
 			return flows[d][k] == flow{want, bytes}
 		})
 	}
@@ -66,12 +66,13 @@
 	check(real, directionOut, 4, 1, 3)
 	check(otherReal, directionIn, 0, 1, 4)
 	check(otherReal, directionIn, 4, 1, 3)
-	testkit.Eventually(t, "two datagrams in sinks", func() bool {
-		flows, _ := n.sunk.read()
+	testkit.Eventually(t, "two datagrams in the sinks", func() bool {
+		flows, _ := n.sinkCounter.read()
 		return flows[directionIn][0] == flow{2, 8}
 	})
-	for _, want := range []string{n.peers[hollow], n.peers[otherReal]} { // each comes from the address that was told
-		buf := make([]byte, mostDatagram)
+	// Each datagram comes from the address in the list of peers.
+	for _, want := range []string{n.peers[hollow], n.peers[otherReal]} {
+		buf := make([]byte, maxDatagramBytes)
 		conn := reals[0]
 		if want == n.peers[otherReal] {
 			n.deliver(otherReal, real, ask)
@@ -82,14 +83,14 @@
 	}
 }
 
-// The kinds' names fit the module's wire.
+// The names of the kinds match the encoding of package policy.
 func TestKinds(t *testing.T) {
 	for _, data := range [][]byte{nil, {1}, {shortVersion}, {2, 0, 0}, {shortVersion, 200}} {
 		if kindOf(data) != kindOther {
-			t.Errorf("%v is a %s", data, kindNames[kindOf(data)])
+			t.Errorf("%v: kind %s, want the last kind", data, kindNames[kindOf(data)])
 		}
 	}
-	// An ask as the module reads it: customer, first, spread, plan, class, units, left, tag, thin, fill, repeat.
+	// Fields of an ask: customer, first, spread, plan, class, units, left, tag, thin, fill, repeat.
 	ask := append([]byte{shortVersion, 0}, make([]byte, 8+2+2+1+1+2+2+4+1+1+1)...)
 	if _, is := policy.ReadAsk(ask); !is || kindNames[kindOf(ask)] != "ask" {
 		t.Errorf("ask: %v, %s", is, kindNames[kindOf(ask)])
--- a/internal/lab/scale/reading.go
+++ b/internal/lab/scale/reading.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// reading is the processor time taken until a moment.
+// reading is the processor time used until a moment.
 type reading struct {
 	at     time.Time
 	lab    time.Duration
 	real   []time.Duration
-	hollow []spending
+	hollow []moduleUsage
 }
 
-// span is what was taken during a time.
+// span is the processor time used during an interval.
 type span struct {
 	length time.Duration
 	lab    time.Duration
 	real   []time.Duration
-	hollow []spending
+	hollow []moduleUsage
 }
 
-func (f *fleet) read() reading {
+func (f *fleet) readCPU() reading {
 	r := reading{at: time.Now(), lab: ownTime()}
 	for _, p := range f.reals {
-		r.real = append(r.real, p.time())
+		r.real = append(r.real, p.cpuTime())
 	}
 	for _, h := range f.hollows {
-		spent, _, _ := h.reading()
+		spent, _, _ := h.stats()
 		r.hollow = append(r.hollow, spent)
 	}
 	return r
@@ -45,7 +45,7 @@
 	return s
 }
 
-// realTime is that of all real edge nodes.
+// realTime returns the sum of all real edge nodes.
 func (s *span) realTime() (sum time.Duration) {
 	for _, t := range s.real {
 		sum += t
@@ -53,7 +53,7 @@
 	return sum
 }
 
-// hollowTime is that of all hollow ones, in the module.
+// hollowTime returns the sum of the modules of all hollow edge nodes.
 func (s *span) hollowTime() (sum time.Duration) {
 	for i := range s.hollow {
 		sum += s.hollow[i].total()
@@ -61,8 +61,8 @@
 	return sum
 }
 
-// byCause sums up the hollow ones.
-func (s *span) byCause() (sum spending) {
+// byCause sums the usage of all hollow edge nodes by cause.
+func (s *span) byCause() (sum moduleUsage) {
 	for i := range s.hollow {
 		for c := range sum.count {
 			sum.count[c] += s.hollow[i].count[c]
@@ -72,50 +72,50 @@
 	return sum
 }
 
-// traffic is the datagrams of a time, by sort of edge node.
+// traffic holds the datagrams of an interval by kind of edge node.
 type traffic struct {
 	length time.Duration
-	flows  [sorts][directions][len(kindNames)]flow
-	peak   [sorts]int
-	sunk   flow
+	flows  [nodeKinds][directions][len(kindNames)]flow
+	peak   [nodeKinds]int
+	sink   flow
 }
 
 func (f *fleet) readTraffic(length time.Duration) *traffic {
 	t := &traffic{length: length}
-	sunk, _ := f.network.sunk.read()
-	for _, kind := range sunk[directionIn] {
-		t.sunk.datagrams += kind.datagrams
-		t.sunk.bytes += kind.bytes
+	sinkFlows, _ := f.network.sinkCounter.read()
+	for _, kind := range sinkFlows[directionIn] {
+		t.sink.datagrams += kind.datagrams
+		t.sink.bytes += kind.bytes
 	}
-	for no, l := range f.network.ledgers {
-		sort := sortHollow
+	for no, l := range f.network.counters {
+		nodeKind := hollowNode
 		if f.isReal(no) {
-			sort = sortReal
+			nodeKind = realNode
 		}
 		flows, peak := l.read()
-		t.peak[sort] = max(t.peak[sort], peak)
+		t.peak[nodeKind] = max(t.peak[nodeKind], peak)
 		for d := range flows {
 			for k := range flows[d] {
-				t.flows[sort][d][k].datagrams += flows[d][k].datagrams
-				t.flows[sort][d][k].bytes += flows[d][k].bytes
+				t.flows[nodeKind][d][k].datagrams += flows[d][k].datagrams
+				t.flows[nodeKind][d][k].bytes += flows[d][k].bytes
 			}
 		}
 	}
 	return t
 }
 
-// sampleSeconds keeps a window for each second until ctx ends.
+// sampleSeconds appends a window each second until ctx ends.
 func (f *fleet) sampleSeconds(ctx context.Context, phase *atomic.Value) {
-	every := time.NewTicker(time.Second)
-	defer every.Stop()
-	before, first := f.read(), time.Now()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	before, first := f.readCPU(), time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
-		now := f.read()
+		now := f.readCPU()
 		s := now.since(before)
 		before = now
 		w := Window{Second: time.Since(first).Seconds(), Phase: phase.Load().(Phase)}
@@ -129,5 +129,6 @@
 	if nodes == 0 {
 		return WindowOf{}
 	}
-	return WindowOf{Requests: c.asked, CPUPercent: 100 * spent.Seconds() / length.Seconds() / float64(nodes), P50MS: c.addedMS(50), P99MS: c.addedMS(99)}
+	return WindowOf{Requests: c.asked, CPUPercent: 100 * spent.Seconds() / length.Seconds() / float64(nodes),
+		P50MS: c.addedMS(50), P99MS: c.addedMS(99)}
 }
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Result is what a run measured. Figures that were not reached are 0; Phases names the
-// phases that were played whole.
+// Result holds the measurements of a run. Figures of phases that were not reached are 0. Phases
+// names the phases that ran to their end.
 type Result struct {
 	Nodes       int      `json:"nodes"`
 	Servers     int      `json:"servers"`
@@ -21,30 +21,30 @@
 	ForS        float64  `json:"for_s"`
 	Seed        uint64   `json:"seed"`
 	CPUs        int      `json:"cpus"`
-	LoadAverage string   `json:"load_average"` // of the machine at the end: 1, 5 and 15 minutes
+	LoadAverage string   `json:"load_average"` // of the machine at the end, over 1, 5 and 15 minutes
 	TookS       float64  `json:"took_s"`
 	Phases      []Phase  `json:"phases"`
 	Interrupted bool     `json:"interrupted"`
 	Unsound     string   `json:"unsound,omitempty"`
-	Scaled      []string `json:"scaled"` // what stands for more than there is
+	Scaled      []string `json:"scaled"` // notes on figures that are extrapolated or simplified
 
-	TenantsHere    int        `json:"tenants_here"`     // those whose sets lie among the existing edge nodes
-	TenantsPerNode float64    `json:"tenants_per_node"` // mean, of those that ask at one
+	TenantsHere    int        `json:"tenants_here"`     // with sets among the existing edge nodes
+	TenantsPerNode float64    `json:"tenants_per_node"` // mean number of tenants of an edge node
 	Real           Group      `json:"real"`
 	Hollow         Group      `json:"hollow"`
 	Changes        []Change   `json:"changes"`
-	Sink           Flow       `json:"sink"` // datagrams a second to edge nodes that don't exist, from all
+	Sink           Flow       `json:"sink"` // datagrams a second to edge nodes that don't exist
 	Decode         DecodeCost `json:"decode"`
-	LabRest        float64    `json:"lab_rest_percent"` // processor time of the lab with all hollow edge nodes, of a core
+	LabRest        float64    `json:"lab_rest_percent"` // of a core: the lab and all hollow edge nodes
 	LabLoad        float64    `json:"lab_load_percent"`
-	NeedMB         float64    `json:"need_mb"` // reckoned before the run
+	NeedMB         float64    `json:"need_mb"` // estimated before the run
 	MachineMB      float64    `json:"machine_mb"`
-	LongDatagrams  int64      `json:"long_datagrams"` // over the 256 bytes allowed
+	LongDatagrams  int64      `json:"long_datagrams"` // over the limit of 256 bytes
 	CallErrors     int64      `json:"discovery_errors"`
 	Windows        []Window   `json:"windows"`
 }
 
-// Group is one sort of edge node. Figures are means of one edge node unless told otherwise.
+// Group is one kind of edge node. Figures are means for one edge node unless stated otherwise.
 type Group struct {
 	Count     int       `json:"count"`
 	Ready     Ready     `json:"ready"`
@@ -52,7 +52,7 @@
 	Memory    Memory    `json:"memory"`
 	Requests  Requests  `json:"requests"`
 	Added     Added     `json:"added"`
-	ZoneAdded Added     `json:"zone_added"` // while a zone's servers left and came back
+	ZoneAdded Added     `json:"zone_added"` // while a zone's servers were removed and restored
 	Datagrams Datagrams `json:"datagrams"`
 }
 
@@ -64,16 +64,16 @@
 	MostS float64 `json:"most_s"`
 }
 
-// CPU is processor time: of a real edge node's process, or of the module in a hollow one.
+// CPU is the processor time of a real edge node's process, or of the policy module of a hollow one.
 type CPU struct {
 	RestPercent  float64     `json:"rest_percent"` // of a core
 	LoadPercent  float64     `json:"load_percent"`
-	RequestUS    float64     `json:"request_us"` // above rest, with all that a request brings about
+	RequestUS    float64     `json:"request_us"` // above rest, with all work that a request causes
 	DatagramUS   float64     `json:"datagram_us"`
-	LineChangeMS float64     `json:"line_change_ms"` // above rest; 0 where no change was taken
+	LineChangeMS float64     `json:"line_change_ms"` // above rest; 0 if no edge node applied the change
 	ZoneLostMS   float64     `json:"zone_lost_ms"`   // above load
 	ZoneBackMS   float64     `json:"zone_back_ms"`
-	Causes       []CauseCost `json:"causes,omitempty"` // of hollow ones, under load
+	Causes       []CauseCost `json:"causes,omitempty"` // of hollow edge nodes under load
 }
 
 // CauseCost is the processor time of the module for one cause.
@@ -83,27 +83,28 @@
 	MeanUS float64 `json:"mean_us"`
 }
 
-// Memory is what an edge node holds, in MB: medians and the most of real ones, means of hollow ones.
+// Memory is the memory of an edge node in MB: medians and the maximum of real ones, means of hollow
+// ones.
 type Memory struct {
 	ResidentMB     float64 `json:"resident_mb"`
 	ResidentMostMB float64 `json:"resident_most_mb"`
 	HeapMB         float64 `json:"heap_mb"`
 }
 
-// Requests are those of the load, of all edge nodes of a sort.
+// Requests counts the requests of the load, over all edge nodes of a kind.
 type Requests struct {
 	Asked       int    `json:"asked"`
-	Late        int    `json:"late"`         // made over 50 ms after their time
-	HandledLate int    `json:"handled_late"` // waited over 50 ms for a hollow edge node's loop,
-	Starved     int    `json:"starved"`      // and over 50 ms of that for the machine
+	Late        int    `json:"late"`         // made over 50 ms after their scheduled time
+	HandledLate int    `json:"handled_late"` // waited over 50 ms for the loop of a hollow edge node
+	Starved     int    `json:"starved"`      // waited over 50 ms of that for the machine
 	Served      int    `json:"served"`
 	Refused     int    `json:"refused"`
 	Failed      int    `json:"failed"`
 	Lost        int    `json:"lost"`
-	LostWhy     string `json:"lost_why,omitempty"` // of the first
+	LostWhy     string `json:"lost_why,omitempty"` // error of the first lost request
 }
 
-// Added is the time that requests took over what the server took, in milliseconds.
+// Added is the time of requests above the service time, in milliseconds.
 type Added struct {
 	Count  int64   `json:"count"`
 	P50MS  float64 `json:"p50_ms"`
@@ -112,63 +113,63 @@
 	MostMS float64 `json:"most_ms"`
 }
 
-// Flow is datagrams and their bytes, a second.
+// Flow is the datagrams and bytes of a second.
 type Flow struct {
 	Datagrams float64 `json:"datagrams"`
 	Bytes     float64 `json:"bytes"`
 }
 
-// Bounds of datagrams taken in, a second.
+// Limits on the datagrams that an edge node receives in a second.
 const (
 	BoundDatagrams = 100
-	BoundBytes     = 12 << 10
+	BoundBytes     = 12 << 10 // bytes
 )
 
-// Datagrams are those of one edge node during the load, a second.
+// Datagrams are the datagrams of one edge node in a second of the load.
 type Datagrams struct {
 	In           Flow       `json:"in"`
 	Out          Flow       `json:"out"`
-	InPeak       int        `json:"in_peak"`       // most that one took in during a second
-	InScaled     Flow       `json:"in_scaled"`     // reckoned for the whole fleet
-	BoundPart    float64    `json:"bound_part"`    // of 100 datagrams a second, scaled
-	BytesPart    float64    `json:"bytes_part"`    // of 12 KB a second, scaled
-	DroppedFull  int64      `json:"dropped_full"`  // by hollow ones whose loop was behind
-	PerRequestIn float64    `json:"in_a_request"`  // of one edge node's requests
-	PerRequest   float64    `json:"out_a_request"` //
+	InPeak       int        `json:"in_peak"`       // most that one edge node received in a second
+	InScaled     Flow       `json:"in_scaled"`     // extrapolated to the whole fleet
+	BoundPart    float64    `json:"bound_part"`    // InScaled as a part of 100 datagrams a second
+	BytesPart    float64    `json:"bytes_part"`    // InScaled as a part of 12 KB a second
+	DroppedFull  int64      `json:"dropped_full"`  // by hollow edge nodes with a full event queue
+	PerRequestIn float64    `json:"in_a_request"`  // received per request of the edge node
+	PerRequest   float64    `json:"out_a_request"` // sent per request of the edge node
 	Kinds        []KindFlow `json:"kinds"`
 }
 
-// KindFlow is one kind of datagram.
+// KindFlow is the flow of one kind of datagram.
 type KindFlow struct {
 	Kind string `json:"kind"`
 	In   Flow   `json:"in"`
 	Out  Flow   `json:"out"`
 }
 
-// Change is a change of discovery's list and how long edge nodes took to take it.
+// Change is a change of discovery's list and the time until edge nodes applied it.
 type Change struct {
 	What   string    `json:"what"`
 	Lines  int       `json:"lines"`
-	Count  int       `json:"count"` // changes of this sort
+	Count  int       `json:"count"` // number of such changes
 	Real   TakenTime `json:"real"`
 	Hollow TakenTime `json:"hollow"`
 }
 
-// TakenTime is the time from a change to those who have taken it.
+// TakenTime is the time from a change until edge nodes applied it.
 type TakenTime struct {
-	Taken  int     `json:"taken"` // over all changes of the sort
+	Taken  int     `json:"taken"` // edge nodes that applied it, summed over all such changes
 	Of     int     `json:"of"`
 	P50MS  float64 `json:"p50_ms"`
 	MostMS float64 `json:"most_ms"`
 }
 
-// DecodeCost is the processor time to decode the largest answer of discovery.
+// DecodeCost is the processor time to decode the largest response of discovery.
 type DecodeCost struct {
 	Bytes int     `json:"bytes"`
 	MS    float64 `json:"ms"`
 }
 
-// Window is one second.
+// Window is one second of a run.
 type Window struct {
 	Second float64  `json:"second"`
 	Phase  Phase    `json:"phase"`
@@ -176,7 +177,7 @@
 	Hollow WindowOf `json:"hollow"`
 }
 
-// WindowOf is one second of one sort of edge node.
+// WindowOf is one second of one kind of edge node.
 type WindowOf struct {
 	Requests   int     `json:"requests"`
 	CPUPercent float64 `json:"cpu_percent"`
@@ -184,12 +185,15 @@
 	P99MS      float64 `json:"p99_ms"`
 }
 
-// result puts together what was measured.
+// result builds the result from the measurements.
 func (f *fleet) result() *Result {
 	m := &f.measured
-	r := &Result{Nodes: f.Nodes, Servers: f.Servers, Tenants: f.Tenants, Rate: f.Rate, ForS: f.For.Seconds(), Seed: f.Seed, CPUs: runtime.NumCPU(),
-		LoadAverage: loadAverage(), TookS: time.Since(m.begun).Seconds(), Phases: m.phases, Interrupted: m.interrupted, TenantsHere: len(f.tenants.people),
-		Decode: f.decoder.cost(), LongDatagrams: f.network.long.Load(), CallErrors: f.discoveryErrors.Load(), Windows: m.windows}
+	r := &Result{Nodes: f.Nodes, Servers: f.Servers, Tenants: f.Tenants, Rate: f.Rate, ForS: f.For.Seconds(),
+		Seed: f.Seed, CPUs: runtime.NumCPU(),
+		LoadAverage: loadAverage(), TookS: time.Since(m.startedAt).Seconds(), Phases: m.phases,
+		Interrupted: m.interrupted, TenantsHere: len(f.tenants.people),
+		Decode: f.decoder.cost(), LongDatagrams: f.network.oversized.Load(),
+		CallErrors: f.discoveryErrors.Load(), Windows: m.windows}
 	r.NeedMB = (f.need.lab + f.need.real*float64(f.Real) + f.need.hollow*float64(f.Hollow)) / megabyte
 	if machine, err := machineMemory(); err == nil {
 		r.MachineMB = machine / megabyte
@@ -198,23 +202,24 @@
 		r.TenantsPerNode += float64(f.tenants.count(no)) / float64(f.existing())
 	}
 	lab := func(s *span) time.Duration { return s.lab }
-	r.LabRest, r.LabLoad = share(m.rest, lab, 1), share(m.load, lab, 1)
+	r.LabRest, r.LabLoad = cpuPercent(m.rest, lab, 1), cpuPercent(m.load, lab, 1)
 	r.Scaled = f.scaled()
 	f.realGroup(&r.Real)
 	f.hollowGroup(&r.Hollow)
-	for sort, g := range []*Group{sortReal: &r.Real, sortHollow: &r.Hollow} {
-		f.fillLoad(g, sort)
-		f.fillDatagrams(g, sort)
+	for nodeKind, g := range []*Group{realNode: &r.Real, hollowNode: &r.Hollow} {
+		f.fillLoad(g, nodeKind)
+		f.fillDatagrams(g, nodeKind)
 	}
 	if t := m.traffic; t != nil && t.length > 0 {
-		r.Sink = Flow{float64(t.sunk.datagrams) / t.length.Seconds(), float64(t.sunk.bytes) / t.length.Seconds()}
+		r.Sink = Flow{float64(t.sink.datagrams) / t.length.Seconds(),
+			float64(t.sink.bytes) / t.length.Seconds()}
 	}
 	r.Changes = f.changes()
 	r.Unsound = f.unsound(r)
 	return r
 }
 
-// scaled says what stands for more than there is.
+// scaled returns notes on the figures that are extrapolated or simplified.
 func (f *fleet) scaled() []string {
 	return []string{
 		fmt.Sprintf("%d of %d edge nodes exist; datagrams to the others end in sinks", f.existing(), f.Nodes),
@@ -225,8 +230,9 @@
 	}
 }
 
-// above is what a span took above another's pace, per edge node.
-func above(s, base *span, sum func(*span) time.Duration, nodes int) time.Duration {
+// aboveBaseline returns the processor time of an edge node in a span above the rate of a baseline
+// span.
+func aboveBaseline(s, base *span, sum func(*span) time.Duration, nodes int) time.Duration {
 	if s == nil || nodes == 0 {
 		return 0
 	}
@@ -237,36 +243,36 @@
 	return total / time.Duration(nodes)
 }
 
-func share(s *span, sum func(*span) time.Duration, nodes int) float64 {
+func cpuPercent(s *span, sum func(*span) time.Duration, nodes int) float64 {
 	if s == nil || nodes == 0 || s.length <= 0 {
 		return 0
 	}
 	return 100 * sum(s).Seconds() / s.length.Seconds() / float64(nodes)
 }
 
-// fillCPU gives the figures that both sorts have.
-func (f *fleet) fillCPU(g *Group, sum func(*span) time.Duration, sort int) {
+// fillCPU sets the processor times that both kinds of edge node have.
+func (f *fleet) fillCPU(g *Group, sum func(*span) time.Duration, nodeKind int) {
 	m, n := &f.measured, g.Count
-	g.CPU.RestPercent, g.CPU.LoadPercent = share(m.rest, sum, n), share(m.load, sum, n)
-	if asked := m.loadCounts[sort].asked; asked > 0 && n > 0 {
-		g.CPU.RequestUS = microseconds(above(m.load, m.rest, sum, n)) * float64(n) / float64(asked)
+	g.CPU.RestPercent, g.CPU.LoadPercent = cpuPercent(m.rest, sum, n), cpuPercent(m.load, sum, n)
+	if asked := m.loadCounts[nodeKind].asked; asked > 0 && n > 0 {
+		g.CPU.RequestUS = microseconds(aboveBaseline(m.load, m.rest, sum, n)) * float64(n) / float64(asked)
 	}
-	if len(m.lineRevs) > 0 && f.anyTook(m.lineRevs[0], sort) {
-		g.CPU.LineChangeMS = milliseconds(above(m.lines, m.rest, sum, n)) / float64(len(m.lineRevs))
+	if len(m.lineRevs) > 0 && f.anyApplied(m.lineRevs[0], nodeKind) {
+		g.CPU.LineChangeMS = milliseconds(aboveBaseline(m.lines, m.rest, sum, n)) / float64(len(m.lineRevs))
 	}
-	if m.lost != nil && f.anyTook(m.lost.rev, sort) {
-		g.CPU.ZoneLostMS = milliseconds(above(m.lost.span, m.load, sum, n))
+	if m.zoneRemoved != nil && f.anyApplied(m.zoneRemoved.rev, nodeKind) {
+		g.CPU.ZoneLostMS = milliseconds(aboveBaseline(m.zoneRemoved.span, m.load, sum, n))
 	}
-	if m.back != nil && f.anyTook(m.back.rev, sort) {
-		g.CPU.ZoneBackMS = milliseconds(above(m.back.span, m.load, sum, n))
+	if m.zoneRestored != nil && f.anyApplied(m.zoneRestored.rev, nodeKind) {
+		g.CPU.ZoneBackMS = milliseconds(aboveBaseline(m.zoneRestored.span, m.load, sum, n))
 	}
 }
 
-// anyTook tells whether an edge node of a sort has taken a version: where none has, its
-// cost is not known.
-func (f *fleet) anyTook(rev int64, sort int) bool {
-	for no := range f.takes.of(rev) {
-		if f.isReal(no) == (sort == sortReal) {
+// anyApplied reports whether an edge node of a kind has applied a version. Otherwise the cost of
+// the version is unknown.
+func (f *fleet) anyApplied(rev int64, nodeKind int) bool {
+	for no := range f.applied.latencies(rev) {
+		if f.isReal(no) == (nodeKind == realNode) {
 			return true
 		}
 	}
@@ -276,15 +282,16 @@
 func (f *fleet) realGroup(g *Group) {
 	m := &f.measured
 	g.Count = f.Real
-	f.fillCPU(g, (*span).realTime, sortReal)
+	f.fillCPU(g, (*span).realTime, realNode)
 	if m.flood != nil && m.flooded > 0 {
-		g.CPU.DatagramUS = microseconds(above(m.flood, m.rest, (*span).realTime, f.Real)) / float64(m.flooded)
+		g.CPU.DatagramUS = microseconds(aboveBaseline(m.flood, m.rest, (*span).realTime, f.Real)) /
+			float64(m.flooded)
 	}
 	var ready []time.Duration
 	for _, p := range f.reals {
 		ready = append(ready, p.readiness())
 	}
-	g.Ready = readyOf(ready)
+	g.Ready = readyStats(ready)
 	if len(m.resident) > 0 {
 		column := func(i int) (list []float64) {
 			for _, row := range m.resident {
@@ -300,12 +307,13 @@
 func (f *fleet) hollowGroup(g *Group) {
 	m := &f.measured
 	g.Count = f.Hollow
-	f.fillCPU(g, (*span).hollowTime, sortHollow)
+	f.fillCPU(g, (*span).hollowTime, hollowNode)
 	if m.load != nil {
 		sum := m.load.byCause()
 		for c := range sum.count {
 			if n := sum.count[c]; n > 0 {
-				g.CPU.Causes = append(g.CPU.Causes, CauseCost{causeNames[c], n, microseconds(sum.time[c]) / float64(n)})
+				g.CPU.Causes = append(g.CPU.Causes, CauseCost{causeNames[c], n,
+					microseconds(sum.time[c]) / float64(n)})
 			}
 		}
 		if n := sum.count[causeDatagram]; n > 0 {
@@ -314,17 +322,17 @@
 	}
 	var ready []time.Duration
 	for _, h := range f.hollows {
-		_, at, dropped := h.reading()
+		_, at, dropped := h.stats()
 		ready = append(ready, at)
 		g.Datagrams.DroppedFull += dropped
 	}
-	g.Ready = readyOf(ready)
+	g.Ready = readyStats(ready)
 	if f.Hollow > 0 {
 		g.Memory.HeapMB = max(0, m.heap[1]-m.heap[0]) / megabyte / float64(f.Hollow)
 	}
 }
 
-func readyOf(times []time.Duration) (r Ready) {
+func readyStats(times []time.Duration) (r Ready) {
 	var list []float64
 	for _, t := range times {
 		if t > 0 {
@@ -339,28 +347,30 @@
 	return r
 }
 
-// median is that of a sorted list that is not empty.
+// median returns the median of a sorted list that is not empty.
 func median(sorted []float64) float64 { return stat.Quantile(0.5, stat.Empirical, sorted, nil) }
 
-func (f *fleet) fillLoad(g *Group, sort int) {
-	c := &f.measured.loadCounts[sort]
-	g.Requests = Requests{Asked: c.asked, Late: c.late, HandledLate: c.handledLate, Starved: c.starved, Served: c.ends[endServed], Refused: c.ends[endRefused],
-		Failed: c.ends[endFailed], Lost: c.ends[endLost]}
-	if c.lostWhy != nil {
-		g.Requests.LostWhy = c.lostWhy.Error()
+func (f *fleet) fillLoad(g *Group, nodeKind int) {
+	c := &f.measured.loadCounts[nodeKind]
+	g.Requests = Requests{Asked: c.asked, Late: c.late, HandledLate: c.handledLate, Starved: c.starved,
+		Served: c.outcomes[outcomeServed], Refused: c.outcomes[outcomeRefused],
+		Failed: c.outcomes[outcomeFailed], Lost: c.outcomes[outcomeLost]}
+	if c.lossCause != nil {
+		g.Requests.LostWhy = c.lossCause.Error()
 	}
-	g.Added = addedOf(c)
-	g.ZoneAdded = addedOf(&f.measured.zoneCounts[sort])
+	g.Added = addedStats(c)
+	g.ZoneAdded = addedStats(&f.measured.zoneCounts[nodeKind])
 }
 
-func addedOf(c *loadCount) Added {
+func addedStats(c *loadCount) Added {
 	if c.added == nil {
 		return Added{}
 	}
-	return Added{c.added.TotalCount(), c.addedMS(50), c.addedMS(99), c.addedMS(99.9), float64(c.added.Max()) / 1000}
+	return Added{c.added.TotalCount(), c.addedMS(50), c.addedMS(99), c.addedMS(99.9),
+		float64(c.added.Max()) / 1000}
 }
 
-func (f *fleet) fillDatagrams(g *Group, sort int) {
+func (f *fleet) fillDatagrams(g *Group, nodeKind int) {
 	t := f.measured.traffic
 	if t == nil || g.Count == 0 || t.length <= 0 {
 		return
@@ -368,33 +378,36 @@
 	d := &g.Datagrams
 	per := func(v int64) float64 { return float64(v) / t.length.Seconds() / float64(g.Count) }
 	for k, name := range kindNames {
-		in, out := t.flows[sort][directionIn][k], t.flows[sort][directionOut][k]
+		in, out := t.flows[nodeKind][directionIn][k], t.flows[nodeKind][directionOut][k]
 		if in.datagrams+out.datagrams == 0 {
 			continue
 		}
-		row := KindFlow{name, Flow{per(in.datagrams), per(in.bytes)}, Flow{per(out.datagrams), per(out.bytes)}}
+		row := KindFlow{name, Flow{per(in.datagrams), per(in.bytes)},
+			Flow{per(out.datagrams), per(out.bytes)}}
 		d.Kinds = append(d.Kinds, row)
-		d.In, d.Out, d.InScaled = d.In.plus(row.In, 1), d.Out.plus(row.Out, 1), d.InScaled.plus(f.scaledIn(name, row), 1)
+		d.In, d.Out, d.InScaled = d.In.plus(row.In, 1), d.Out.plus(row.Out, 1),
+			d.InScaled.plus(f.scaledIn(name, row), 1)
 	}
-	d.InPeak = t.peak[sort]
+	d.InPeak = t.peak[nodeKind]
 	d.BoundPart, d.BytesPart = d.InScaled.Datagrams/BoundDatagrams, d.InScaled.Bytes/BoundBytes
 	if rate := float64(g.Requests.Asked) / t.length.Seconds() / float64(g.Count); rate > 0 {
 		d.PerRequestIn, d.PerRequest = d.In.Datagrams/rate, d.Out.Datagrams/rate
 	}
 }
 
-// scaledIn is what an edge node would take in of a kind in the whole fleet. Sights and
-// verdicts come from all edge nodes alike, of which a part exists; the other kinds come
-// from the sets of tenants, which exist whole.
+// scaledIn extrapolates the received datagrams of a kind to the whole fleet. Failure observations
+// and health verdicts come from all edge nodes equally, of which only a part exists. The other
+// kinds come from the sets of tenants, all of whose edge nodes exist.
 func (f *fleet) scaledIn(name string, row KindFlow) Flow {
-	if others := f.existing() - 1; others > 0 && (strings.Contains(name, "sight") || strings.Contains(name, "verdict")) {
+	if others := f.existing() - 1; others > 0 &&
+		(strings.Contains(name, "sight") || strings.Contains(name, "verdict")) {
 		return Flow{}.plus(row.In, float64(f.Nodes-1)/float64(others))
 	}
 	return row.In
 }
 
-func (v Flow) plus(other Flow, times float64) Flow {
-	return Flow{v.Datagrams + times*other.Datagrams, v.Bytes + times*other.Bytes}
+func (v Flow) plus(other Flow, factor float64) Flow {
+	return Flow{v.Datagrams + factor*other.Datagrams, v.Bytes + factor*other.Bytes}
 }
 
 func (f *fleet) changes() (list []Change) {
@@ -405,7 +418,7 @@
 	for _, z := range []struct {
 		what string
 		zone *zoneChange
-	}{{"a zone's lines leave", m.lost}, {"a zone's lines come back", m.back}} {
+	}{{"a zone's lines leave", m.zoneRemoved}, {"a zone's lines come back", m.zoneRestored}} {
 		if z.zone != nil {
 			list = append(list, f.changeOf(z.what, z.zone.lines, []int64{z.zone.rev}))
 		}
@@ -415,22 +428,23 @@
 
 func (f *fleet) changeOf(what string, lines int, revs []int64) Change {
 	c := Change{What: what, Lines: lines, Count: len(revs)}
-	var times [sorts][]float64
+	var times [nodeKinds][]float64
 	for _, rev := range revs {
-		for no, d := range f.takes.of(rev) {
-			sort := sortHollow
+		for no, d := range f.applied.latencies(rev) {
+			nodeKind := hollowNode
 			if f.isReal(no) {
-				sort = sortReal
+				nodeKind = realNode
 			}
-			times[sort] = append(times[sort], milliseconds(d))
+			times[nodeKind] = append(times[nodeKind], milliseconds(d))
 		}
 	}
-	c.Real, c.Hollow = takenOf(times[sortReal], f.Real*len(revs)), takenOf(times[sortHollow], f.Hollow*len(revs))
+	c.Real, c.Hollow = takenTime(times[realNode], f.Real*len(revs)),
+		takenTime(times[hollowNode], f.Hollow*len(revs))
 	return c
 }
 
-func takenOf(times []float64, of int) TakenTime {
-	t := TakenTime{Taken: len(times), Of: of}
+func takenTime(times []float64, total int) TakenTime {
+	t := TakenTime{Taken: len(times), Of: total}
 	if len(times) > 0 {
 		slices.Sort(times)
 		t.P50MS, t.MostMS = median(times), times[len(times)-1]
@@ -438,13 +452,13 @@
 	return t
 }
 
-// unsound says why a run proves nothing; empty: its load was kept.
+// unsound returns the reason why a run is invalid, or "" if its load was generated on time.
 func (f *fleet) unsound(r *Result) string {
 	if f.measured.load == nil {
 		return "it was ended before its load was played"
 	}
 	if n := r.Real.Ready.Count + r.Hollow.Ready.Count; n < f.existing() {
-		return fmt.Sprintf("%d of %d edge nodes were ready within %v", n, f.existing(), readyWithin)
+		return fmt.Sprintf("%d of %d edge nodes were ready within %v", n, f.existing(), readyTimeout)
 	}
 	for _, s := range []struct {
 		name string
@@ -453,10 +467,11 @@
 	}{
 		{"requests to real edge nodes were made", r.Real.Requests.Late, r.Real.Requests.Asked},
 		{"requests to hollow edge nodes were made", r.Hollow.Requests.Late, r.Hollow.Requests.Asked},
-		{"requests at hollow edge nodes were kept waiting by the machine", r.Hollow.Requests.Starved, r.Hollow.Requests.Asked},
+		{"requests at hollow edge nodes were kept waiting by the machine", r.Hollow.Requests.Starved,
+			r.Hollow.Requests.Asked},
 	} {
-		if part := float64(s.late) / max(1, float64(s.of)); part > mostLate {
-			return fmt.Sprintf("%.1f%% of the %s, over %v late", 100*part, s.name, lateBy)
+		if part := float64(s.late) / max(1, float64(s.of)); part > maxLateShare {
+			return fmt.Sprintf("%.1f%% of the %s, over %v late", 100*part, s.name, lateThreshold)
 		}
 	}
 	return ""
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -7,27 +7,26 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// tenants are those whose sets of edge nodes lie among the ones that exist.
+// tenants holds the tenants whose sets of edge nodes lie among the existing ones.
 type tenants struct {
 	people []world.Person
-	byNode []draw // by number of the edge node
+	byNode []tenantSampler // by edge node
 }
 
-// draw picks one of some tenants by their demand.
-type draw struct {
-	people []int
-	sums   []float64 // of their demand
+// tenantSampler draws a tenant with a probability proportional to its demand.
+type tenantSampler struct {
+	indexes          []int
+	cumulativeDemand []float64 // cumulative demand
 }
 
-// drawTenants draws the share of all tenants that the existing edge nodes have of the
-// planned ones.
+// drawTenants draws tenants in proportion to the part of the planned edge nodes that exists.
 func drawTenants(c *Config, w *world.World) *tenants {
 	here := *w
 	here.Nodes, here.Servers = c.existing(), 1
 	here.Load.Customers = max(1, c.Tenants*c.existing()/c.Nodes)
 	here.Load.Uneven = 0
 	drawn := here.Draw(c.Seed)
-	t := &tenants{people: drawn.People, byNode: make([]draw, c.existing())}
+	t := &tenants{people: drawn.People, byNode: make([]tenantSampler, c.existing())}
 	for i := range t.people {
 		p := &t.people[i]
 		p.Spread = min(p.Spread, c.existing())
@@ -35,7 +34,7 @@
 		t.add(i, drawn.Share([]int{i}))
 	}
 	for no := range t.byNode {
-		if len(t.byNode[no].people) == 0 { // too few tenants for each edge node to have one
+		if len(t.byNode[no].indexes) == 0 { // too few tenants for each edge node to have one
 			t.people = append(t.people, world.Person{Key: "00000000000000ff", First: no, Spread: 1})
 			t.add(len(t.people)-1, 1)
 		}
@@ -43,25 +42,25 @@
 	return t
 }
 
-// add enters a tenant at the edge nodes of its set.
+// add adds a tenant to the edge nodes of its set.
 func (t *tenants) add(i int, demand float64) {
 	p := &t.people[i]
 	for no := p.First; no < p.First+p.Spread; no++ {
 		d := &t.byNode[no]
 		sum := demand / float64(p.Spread)
-		if len(d.sums) > 0 {
-			sum += d.sums[len(d.sums)-1]
+		if len(d.cumulativeDemand) > 0 {
+			sum += d.cumulativeDemand[len(d.cumulativeDemand)-1]
 		}
-		d.people, d.sums = append(d.people, i), append(d.sums, sum)
+		d.indexes, d.cumulativeDemand = append(d.indexes, i), append(d.cumulativeDemand, sum)
 	}
 }
 
-// at draws a tenant that asks at an edge node.
-func (t *tenants) at(no int, rng *rand.Rand) *world.Person {
+// pick draws a tenant for a request at an edge node.
+func (t *tenants) pick(no int, rng *rand.Rand) *world.Person {
 	d := &t.byNode[no]
-	i := sort.SearchFloat64s(d.sums, rng.Float64()*d.sums[len(d.sums)-1])
-	return &t.people[d.people[min(i, len(d.people)-1)]]
+	i := sort.SearchFloat64s(d.cumulativeDemand, rng.Float64()*d.cumulativeDemand[len(d.cumulativeDemand)-1])
+	return &t.people[d.indexes[min(i, len(d.indexes)-1)]]
 }
 
-// count is how many tenants ask at an edge node.
-func (t *tenants) count(no int) int { return len(t.byNode[no].people) }
+// count returns the number of tenants of an edge node.
+func (t *tenants) count(no int) int { return len(t.byNode[no].indexes) }
--- a/internal/lab/sweep/parts.go
+++ b/internal/lab/sweep/parts.go
@@ -21,72 +21,73 @@
 	"valvering.example/valvering/policy"
 )
 
-// exchangeLimit bounds the wait for datagrams and answers on loopback.
-const exchangeLimit = 10 * time.Second
+// exchangeTimeout is the timeout for datagrams and responses on loopback.
+const exchangeTimeout = 10 * time.Second
 
-// What lies beside the module, each measured alone.
+// The functions below measure parts of an edge node outside package policy, each on its own.
 
-// partsOfServers measures what is done with a list: decoding, and a snapshot of it.
-func partsOfServers(servers int, memory policy.SavedState) ([]sample, error) {
+// partsOfServers measures the decoding of a list and its encoding in a snapshot.
+func partsOfServers(servers int, saved policy.SavedState) ([]sample, error) {
 	text := listText(servers)
 	var err error
 	decode := 0.0
 	list, heap := heapOf(func() *roster.List {
 		l := &roster.List{}
-		decode = timed(func() { err = json.Unmarshal(text, l) })
+		decode = timeOperation(func() { err = json.Unmarshal(text, l) })
 		return l
 	})
 	if err != nil || len(list.Targets) != servers {
-		return nil, fmt.Errorf("%d of %d lines decoded: %w", len(list.Targets), servers, err)
+		return nil, fmt.Errorf("decoded only %d of %d lines: %w", len(list.Targets), servers, err)
 	}
-	state := &snapshot.State{Name: "n0", List: list, Memory: memory}
+	state := &snapshot.State{Name: "n0", List: list, Memory: saved}
 	var file []byte
-	encode := timed(func() { file, err = snapshot.Encode(state) })
+	encode := timeOperation(func() { file, err = snapshot.Encode(state) })
 	if err != nil {
 		return nil, err
 	}
 	return []sample{
 		{"list: text", bytesUnit, float64(len(text))},
-		{"list: decoded and checked", micros, decode},
+		{"list: decoded and checked", microsUnit, decode},
 		{"list: heap", bytesUnit, heap},
-		{"snapshot: encoded", micros, encode},
+		{"snapshot: encoded", microsUnit, encode},
 		{"snapshot: file", bytesUnit, float64(len(file))},
 	}, nil
 }
 
-// listText is a list in discovery's form.
+// listText returns a list in discovery's encoding.
 func listText(servers int) []byte {
 	l := roster.List{Rev: 1, All: true}
 	for i := range servers {
-		l.Targets = append(l.Targets, roster.Target{UID: fmt.Sprintf("s-%08x", i+1), Endpoint: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
-			Zone: zone(i), Cell: i / serversPerCell, State: "SERVING", Weight: 1, BootMS: 1})
+		l.Targets = append(l.Targets, roster.Target{UID: fmt.Sprintf("s-%08x", i+1),
+			Endpoint: fmt.Sprintf("10.%d.%d.%d:8443", 1+i>>16, i>>8&255, i&255),
+			Zone:     zoneName(i), Cell: i / serversPerCell, State: "SERVING", Weight: 1, BootMS: 1})
 	}
 	text, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // the fields always encode
 	}
 	return text
 }
 
-// partsOfNodes measures what grows with the table of peers.
+// partsOfNodes measures costs that grow with the number of peers.
 func partsOfNodes(nodes int) ([]sample, error) {
-	text := []byte(fileText(nodes))
+	text := []byte(configText(nodes))
 	source := config.Source{Getenv: func(string) string { return "" }}
 	var file *config.File
 	var err error
-	parse := timed(func() { file, err = source.Parse(text) })
+	parse := timeOperation(func() { file, err = source.Parse(text) })
 	if err != nil {
 		return nil, err
 	}
 	parsed, fileHeap := heapOf(func() *config.File {
-		f, _ := source.Parse(text) // as it was a moment ago
+		f, _ := source.Parse(text) // parsed without error above
 		return f
 	})
 	table, tableHeap := heapOf(func() map[netip.AddrPort]int { return addressTable(file.Peers) })
 	runtime.KeepAlive(parsed)
 	runtime.KeepAlive(table)
-	voters := timed(func() { lease.Voters("nightly", nodes) })
-	vote, err := leaseMessage(nodes)
+	voters := timeOperation(func() { lease.Voters("nightly", nodes) })
+	vote, err := leaseMessageTime(nodes)
 	if err != nil {
 		return nil, err
 	}
@@ -100,17 +101,18 @@
 	}
 	return []sample{
 		{"configuration: text", bytesUnit, float64(len(text))},
-		{"configuration: parsed and checked", micros, parse},
+		{"configuration: parsed and checked", microsUnit, parse},
 		{"configuration: heap", bytesUnit, fileHeap},
 		{"peers: table of addresses", bytesUnit, tableHeap},
-		{"lease: choice of voters", micros, voters},
-		{"lease: a message at a voter", micros, vote},
-		{"a datagram over loopback, sent and received", micros, exchange},
-		{"operators: GET /status, both ends", micros, status},
+		{"lease: choice of voters", microsUnit, voters},
+		{"lease: a message at a voter", microsUnit, vote},
+		{"a datagram over loopback, sent and received", microsUnit, exchange},
+		{"operators: GET /status, both ends", microsUnit, status},
 	}, nil
 }
 
-// addressTable is the table by which datagrams are told apart, as the edge node keeps it.
+// addressTable returns a table of peers by address, which an edge node uses to identify the sender
+// of a datagram.
 func addressTable(peers []netip.AddrPort) map[netip.AddrPort]int {
 	table := make(map[netip.AddrPort]int, len(peers))
 	for i, a := range peers {
@@ -119,8 +121,8 @@
 	return table
 }
 
-// fileText is a configuration of so many edge nodes.
-func fileText(nodes int) string {
+// configText returns the configuration of an edge node with the given number of peers.
+func configText(nodes int) string {
 	var peers []string
 	for i := range nodes {
 		peers = append(peers, fmt.Sprintf(`"10.%d.%d.%d:7946"`, i>>16, i>>8&255, i&255))
@@ -133,12 +135,12 @@
 "plans":[{"name":"dasar","rate":10,"store_size":50}]}}`, strings.Join(peers, ","), nodes)
 }
 
-// leaseMessage is the time that a voter spends on a candidate's question.
-func leaseMessage(nodes int) (float64, error) {
+// leaseMessageTime returns the time of a voter for a candidate's prepare message in microseconds.
+func leaseMessageTime(nodes int) (float64, error) {
 	const term = 3 * time.Second
 	voters := lease.Voters("nightly", nodes)
 	if len(voters) < 2 {
-		return 0, fmt.Errorf("%d voters", len(voters))
+		return 0, fmt.Errorf("the lease has %d voters, want at least 2", len(voters))
 	}
 	now, ballot := time.Duration(0), uint64(0)
 	d := lease.New(lease.Settings{Name: "nightly", Term: term, Drift: 0.01}, voters[0], voters, 1, now, 1)
@@ -149,14 +151,15 @@
 		for range times {
 			ballot += 1 << 16
 			now += time.Millisecond
-			d.Handle(now, voters[1], lease.Message{Kind: lease.Prepare, Duty: lease.Digest("nightly"), Ballot: ballot, Holder: uint16(voters[1])})
+			d.Handle(now, voters[1], lease.Message{Kind: lease.Prepare, Duty: lease.Digest("nightly"),
+				Ballot: ballot, Holder: uint16(voters[1])})
 		}
 	})
-	return w.micros(), nil
+	return w.meanMicros(), nil
 }
 
-// exchangeTime is the processor time of a datagram between two sockets on loopback, both
-// ends together, without what is made of it.
+// exchangeTime returns the processor time of sending and receiving a datagram on loopback in
+// microseconds, without its handling.
 func exchangeTime() (float64, error) {
 	const times, size = 200, 32
 	here := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}
@@ -170,7 +173,7 @@
 		return 0, err
 	}
 	defer to.Close()
-	if err := to.SetReadDeadline(time.Now().Add(exchangeLimit)); err != nil {
+	if err := to.SetReadDeadline(time.Now().Add(exchangeTimeout)); err != nil {
 		return 0, err
 	}
 	addr, data := to.LocalAddr().(*net.UDPAddr).AddrPort(), make([]byte, size)
@@ -182,22 +185,22 @@
 			}
 		}
 	})
-	return w.micros(), err
+	return w.meanMicros(), err
 }
 
-// operated answers operators with a fixed status.
-type operated struct{}
+// stubNode implements admin's interface to an edge node with a fixed status.
+type stubNode struct{}
 
-func (operated) Status() node.Status {
+func (stubNode) Status() node.Status {
 	return node.Status{Name: "n0", Ready: true, Phase: "serving", Current: &config.Generation{Number: 1}}
 }
-func (operated) Check([]byte) error                   { return nil }
-func (operated) Apply(context.Context) error          { return nil }
-func (operated) RollBack(context.Context) error       { return nil }
-func (operated) CancelShutdown(context.Context) error { return nil }
+func (stubNode) Check([]byte) error                   { return nil }
+func (stubNode) Apply(context.Context) error          { return nil }
+func (stubNode) RollBack(context.Context) error       { return nil }
+func (stubNode) CancelShutdown(context.Context) error { return nil }
 
-// statusTime is the processor time of a question for the status over loopback, the
-// client's included.
+// statusTime returns the processor time of a status request over loopback in microseconds,
+// including the client.
 func statusTime() (float64, error) {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -206,10 +209,10 @@
 		return 0, err
 	}
 	served := make(chan error, 1)
-	go func() { served <- admin.Serve(ctx, ln, operated{}) }()
-	client := &http.Client{Transport: &http.Transport{}, Timeout: exchangeLimit}
+	go func() { served <- admin.Serve(ctx, ln, stubNode{}) }()
+	client := &http.Client{Transport: &http.Transport{}, Timeout: exchangeTimeout}
 	defer client.CloseIdleConnections()
-	us := timed(func() {
+	us := timeOperation(func() {
 		resp, getErr := client.Get("http://" + ln.Addr().String() + "/status")
 		if getErr != nil {
 			err = getErr
@@ -223,14 +226,15 @@
 	return us, err
 }
 
-// routeHeap is the memory of a table of so many entries by name, each with a small record:
-// what routes and services would cost, had the settings a field for them.
+// routeHeap returns the memory of a map with the given number of small records by name. This
+// estimates the cost of routes and services, for which the settings have no field.
 func routeHeap(entries int) float64 {
 	type route struct{ service, plan, class string }
 	table, heap := heapOf(func() map[string]*route {
 		m := make(map[string]*route, entries)
 		for i := range entries {
-			m[fmt.Sprintf("/library/%06d/loans", i)] = &route{service: fmt.Sprintf("service-%03d", i%1000), plan: planRate, class: class}
+			m[fmt.Sprintf("/library/%06d/loans", i)] = &route{service: fmt.Sprintf("service-%03d", i%1000),
+				plan: planRate, class: className}
 		}
 		return m
 	})
--- a/internal/lab/sweep/report.go
+++ b/internal/lab/sweep/report.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Files of a folder of results.
+// Files in the directory of a result.
 const (
 	resultFile = "sweep.json"
 	tableFile  = "sweep.md"
@@ -22,22 +22,23 @@
 
 const plotWidth, plotHeight = 6 * vg.Inch, 3 * vg.Inch
 
-// WriteTable writes one table a quantity, as Markdown: the median at each size and the
-// slope with its interval.
+// WriteTable writes a Markdown table for each quantity, with the median at each size and the slope
+// with its confidence interval.
 func (r *Result) WriteTable(w io.Writer) error {
 	var last Quantity
 	for _, s := range r.Series {
 		if s.Quantity != last {
 			last = s.Quantity
-			if err := writeHead(w, s); err != nil {
+			if err := writeHeader(w, s); err != nil {
 				return err
 			}
 		}
 		cells := []string{s.Measure, s.Unit}
 		for _, p := range s.Points {
-			cells = append(cells, figure(p.Median))
+			cells = append(cells, formatNumber(p.Median))
 		}
-		cells = append(cells, figure(s.Fit.Slope), figure(s.Fit.Low)+" to "+figure(s.Fit.High), fmt.Sprintf("%.3f", s.Fit.R2))
+		cells = append(cells, formatNumber(s.Fit.Slope),
+			formatNumber(s.Fit.Low)+" to "+formatNumber(s.Fit.High), fmt.Sprintf("%.3f", s.Fit.R2))
 		if _, err := fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | ")); err != nil {
 			return err
 		}
@@ -45,26 +46,27 @@
 	return nil
 }
 
-func writeHead(w io.Writer, s Series) error {
+func writeHeader(w io.Writer, s Series) error {
 	cells := []string{string(s.Quantity), "unit"}
 	for _, p := range s.Points {
 		cells = append(cells, fmt.Sprint(p.X))
 	}
 	cells = append(cells, "slope", "95 in 100", "R2")
-	_, err := fmt.Fprintf(w, "\n| %s |\n|%s\n", strings.Join(cells, " | "), strings.Repeat(" --- |", len(cells)))
+	_, err := fmt.Fprintf(w, "\n| %s |\n|%s\n", strings.Join(cells, " | "),
+		strings.Repeat(" --- |", len(cells)))
 	return err
 }
 
-// figure is a number with three digits or, from 1,000 on, as a whole.
-func figure(v float64) string {
+// formatNumber formats a number with three digits, or from 1,000 on as an integer.
+func formatNumber(v float64) string {
 	if v >= 1000 || v <= -1000 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
 }
 
-// Write keeps the result in a folder that is made where it is missing: as JSON, as tables
-// and as a plot a measure.
+// Write writes the result as JSON, tables and one plot for each measure to a directory, which it
+// creates if needed.
 func (r *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -84,14 +86,15 @@
 		return err
 	}
 	for i := range r.Series {
-		if err := r.Series[i].plot(filepath.Join(dir, fmt.Sprintf("%s-%02d.svg", r.Series[i].Quantity, i))); err != nil {
+		if err := r.Series[i].plot(filepath.Join(dir,
+			fmt.Sprintf("%s-%02d.svg", r.Series[i].Quantity, i))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// plot draws all values and the line.
+// plot draws all values and the fitted line.
 func (s *Series) plot(path string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = s.Measure, string(s.Quantity), s.Unit
