--- a/internal/lab/lending/lending.go
+++ b/internal/lab/lending/lending.go
@@ -1,7 +1,7 @@
-// Package lending models the work at one lending server, for both engines: some cores
-// that all requests at work share evenly, up to so many places, a queue behind them,
-// and a cold start. The clock is given; nothing here sleeps or draws at random. A Desk
-// is for one goroutine at a time, that of its clock's callbacks included.
+// Package lending models the processing at one server, for both engines: cores that all requests in
+// process share equally, a limited number of slots, a queue, and a cold start. The caller supplies the
+// clock; the package neither sleeps nor draws random numbers. A Desk is not safe for concurrent use, and
+// its clock's callbacks count as use.
 package lending
 
 import (
@@ -10,44 +10,44 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// Clock tells the time and calls back.
+// Clock returns the time and schedules callbacks.
 type Clock interface {
 	Now() time.Duration
 	After(d time.Duration, do func())
 }
 
-// Job is one request's work.
+// Job is the work of one request.
 type Job struct {
-	Work  float64       // seconds of a core
-	Until time.Duration // its client waits
-	Gone  bool          // nobody waits for it any longer
-	Done  func(End)     // called once; by the caller of Clear for what that returns
-	left  float64       // of what each job has had by its end
+	Work  float64       // core-seconds
+	Until time.Duration // its client stops waiting at this time
+	Gone  bool          // nobody waits for the result any longer
+	Done  func(End)     // called once; for jobs that Clear returns, by the caller of Clear
+	left  float64       // value of Desk.had at which the job is complete
 }
 
-// End is how a job ended.
+// End is the way in which a job ended.
 type End int
 
-// The ends of a job.
+// Ends of a job.
 const (
 	Worked End = iota
-	Over       // its client had left before work began
-	Vain       // worked, for nobody
-	Broken     // dropped with the process
+	Over       // its client stopped waiting before work began
+	Vain       // completed after its client was gone
+	Broken     // dropped because the process ended
 )
 
-// Desk is the work at hand.
+// Desk holds the jobs in process and in the queue of a server.
 type Desk struct {
 	clock  Clock
 	figs   *world.Server
 	Cores  float64
-	Start  time.Duration // of its process; 0: long ago
+	Start  time.Duration // start of its process; 0: fully warm
 	slow   float64
 	active []*Job
 	queue  []*Job
-	had    float64 // seconds of a core that each job at work has had since the beginning
+	had    float64 // core-seconds that each job in process has received since the desk was created
 	at     time.Duration
-	gen    int // of the event that ends the next job
+	gen    int // generation of the scheduled end of the next job; older events are ignored
 }
 
 // New returns an idle desk.
@@ -55,7 +55,7 @@
 	return &Desk{clock: c, figs: figs, Cores: cores, slow: 1, at: c.Now()}
 }
 
-// Warmth is the part of its capacity that a process has by now.
+// Warmth returns the warm-up fraction of the process: the fraction of its capacity that it has now.
 func (d *Desk) Warmth() float64 {
 	if d.Start == 0 {
 		return 1
@@ -64,13 +64,13 @@
 	return min(1, d.figs.ColdShare+(1-d.figs.ColdShare)*age)
 }
 
-// Load is how many requests are at work and waiting.
+// Load returns the number of requests in process and in the queue.
 func (d *Desk) Load() (working, waiting int) { return len(d.active), len(d.queue) }
 
-// Capacity is the cores it has by now.
+// Capacity returns the effective number of cores now.
 func (d *Desk) Capacity() float64 { return d.Cores * d.Warmth() / d.slow }
 
-// pace is how fast each job at work gets on, in seconds of a core a second.
+// pace returns the processing speed of each job in process, in core-seconds per second.
 func (d *Desk) pace() float64 {
 	n := float64(len(d.active))
 	if n == 0 {
@@ -83,17 +83,17 @@
 	return each * d.Warmth() / d.slow
 }
 
-// advance brings the work done up to now.
+// advance accounts for the work done up to now.
 func (d *Desk) advance() {
 	now := d.clock.Now()
 	d.had += d.pace() * (now - d.at).Seconds()
 	d.at = now
 }
 
-// recheck is how often the end of work is reckoned anew while the process gets warmer.
+// recheck is the interval at which the end of a job is recomputed during warm-up.
 const recheck = 100 * time.Millisecond
 
-// next schedules the end of the job that is done first.
+// next schedules the end of the job that completes first.
 func (d *Desk) next() {
 	if d.gen++; len(d.active) == 0 {
 		return
@@ -116,9 +116,9 @@
 	})
 }
 
-const none = 1e-9 // seconds of work that count as none
+const none = 1e-9 // remaining core-seconds that count as complete
 
-// work ends what is done and begins what waits.
+// work ends the jobs that are complete and starts queued ones.
 func (d *Desk) work() {
 	d.advance()
 	rest := d.active[:0]
@@ -153,7 +153,7 @@
 	d.next()
 }
 
-// Offer takes a job in; it is false where there is no room.
+// Offer accepts a job. It returns false if the slots and the queue are full.
 func (d *Desk) Offer(j *Job) bool {
 	switch {
 	case len(d.active) < d.figs.Slots:
@@ -169,14 +169,14 @@
 	return true
 }
 
-// Slow sets how many times as long all work takes from now on.
+// Slow sets the factor on the duration of all work from now on.
 func (d *Desk) Slow(by float64) {
 	d.advance()
 	d.slow = by
 	d.next()
 }
 
-// Clear drops all work, and returns it.
+// Clear removes and returns all jobs.
 func (d *Desk) Clear() []*Job {
 	d.advance()
 	all := append(d.active, d.queue...)
@@ -185,8 +185,8 @@
 	return all
 }
 
-// Budget judges the rule on cold servers: what came to one of late against what it
-// bears, and who sent it.
+// Budget evaluates the rule on cold servers: it compares the work that a server recently received with
+// what the server can handle, and tracks how much of it came from edge nodes that knew of its start.
 type Budget struct {
 	rules *world.Rules
 	mean  float64 // work of a request, in seconds
@@ -199,14 +199,14 @@
 	knew bool
 }
 
-// slack is what chance may add, in mean requests.
+// slack is the allowance for random variation, in mean requests.
 const slack = 8
 
-// NewBudget begins with a process's start.
+// NewBudget returns the budget of a process that has just started.
 func NewBudget(w *world.World) *Budget { return &Budget{rules: &w.Rules, mean: w.MeanWork()} }
 
-// Came enters an attempt. falls is true when the server is pushed over by it, and known
-// when two thirds of the load came from edge nodes that knew of its start.
+// Came records an attempt. falls is true if the attempt overloads the server so that it crashes, and
+// known if in that case two thirds of the load came from edge nodes that knew of its start.
 func (b *Budget) Came(d *Desk, work float64, knew bool) (falls, known bool) {
 	now := d.clock.Now()
 	if d.Start == 0 || b.rules.FallFor == 0 || d.Warmth() >= 1 {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load makes the times at which clients ask. Arrivals are open-loop: they
-// don't wait for what became of the ones before, so that a stalled edge node is asked
-// as much as a quick one. Equal loads and seeds give equal times.
+// Package load generates the arrival times of client requests. Arrivals are open-loop: they don't wait
+// for earlier requests, so that a stalled edge node gets as many requests as a fast one. Equal loads and
+// seeds give equal times.
 package load
 
 import (
@@ -16,13 +16,13 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// Source gives the times of arrivals, in order, since the run began; more is false
-// once there are no further ones.
+// Source returns arrival times in order, as durations since the start of the run. more is false when
+// there are no further arrivals.
 type Source interface {
 	Next() (at time.Duration, more bool)
 }
 
-// New makes the arrivals that a load tells of; open reads a trace's file.
+// New returns the arrivals that a load describes. open opens the file of a trace.
 func New(l *world.Load, seed uint64, open func(name string) (io.ReadCloser, error)) (Source, error) {
 	if l.Shape == "trace" {
 		f, err := open(l.Trace)
@@ -42,13 +42,13 @@
 	at  float64 // seconds
 }
 
-// rate is arrivals a second at a moment, and most is what it never passes.
+// rate returns the arrival rate per second at a time in seconds.
 func (s *shaped) rate(at float64) float64 {
 	period := s.l.Period.D().Seconds()
 	switch s.l.Shape {
 	case "wave":
 		return s.l.Rate * (1 + s.l.Swing*math.Sin(2*math.Pi*at/period))
-	case "burst": // a fifth of each period
+	case "burst": // in the last fifth of each period
 		if _, part := math.Modf(at / period); part >= 0.8 {
 			return s.l.Rate * (1 + s.l.Swing)
 		}
@@ -62,7 +62,7 @@
 		return seconds(s.at), true
 	}
 	most := s.l.Rate * (1 + s.l.Swing)
-	for { // thinning
+	for { // thinning of a Poisson process at the maximum rate
 		s.at += s.rng.ExpFloat64() / most
 		if s.rng.Float64()*most <= s.rate(s.at) {
 			return seconds(s.at), true
@@ -72,7 +72,7 @@
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// trace gives recorded times.
+// trace replays recorded times.
 type trace struct {
 	times []time.Duration
 	next  int
@@ -86,9 +86,9 @@
 	return t.times[t.next-1], true
 }
 
-const mostTrace = 20_000_000 // arrivals in a file
+const mostTrace = 20_000_000 // maximum arrivals in a file
 
-// readTrace reads a time in seconds from each line; # begins a remark.
+// readTrace reads a time in seconds from each line. Lines that start with # are comments.
 func readTrace(name string, r io.Reader) (*trace, error) {
 	t := &trace{}
 	lines := bufio.NewScanner(r)
@@ -100,9 +100,9 @@
 		v, err := strconv.ParseFloat(text, 64)
 		switch {
 		case err != nil || !(v >= 0) || v > 1e6:
-			return nil, fmt.Errorf("%s, line %d: %q is no time in seconds", name, no, text)
+			return nil, fmt.Errorf("%s, line %d: %q is not a time in seconds", name, no, text)
 		case len(t.times) > 0 && seconds(v) < t.times[len(t.times)-1]:
-			return nil, fmt.Errorf("%s, line %d: %s is before the line before", name, no, text)
+			return nil, fmt.Errorf("%s, line %d: %s is before the time on the previous line", name, no, text)
 		case len(t.times) == mostTrace:
 			return nil, fmt.Errorf("%s, line %d: over %d arrivals", name, no, mostTrace)
 		}
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -1,5 +1,5 @@
-// Package run plays the runs of an experiment by several workers and hands each result
-// on as it comes. Results don't depend on how many workers there are.
+// Package run runs the simulations of an experiment on several workers and passes on each result as it
+// completes. Results don't depend on the number of workers.
 package run
 
 import (
@@ -20,19 +20,19 @@
 	"valvering.example/valvering/internal/lab/trace"
 )
 
-// Done is a run that has been played.
+// Done is a completed run.
 type Done struct {
 	Run    experiment.Run
 	Took   time.Duration
 	Result *tally.Result
-	Log    *trace.Log // nil: no stories were kept
+	Log    *trace.Log // nil: no traces were recorded
 	Err    error
 }
 
-// mostNotes of a run are kept: some hundred bytes each.
+// mostNotes is the maximum number of trace notes per run, at a few hundred bytes each.
 const mostNotes = 4_000_000
 
-// Sim plays a run in simulated time. step, if not nil, is called at each of its seconds.
+// Sim executes a run in simulated time. step, if not nil, is called every simulated second.
 func Sim(ctx context.Context, r experiment.Run, stories bool, step func(second int)) Done {
 	begun := time.Now()
 	d := Done{Run: r}
@@ -76,8 +76,8 @@
 	return res, s.Trace, nil
 }
 
-// All plays runs by several workers; each result goes to done, by one goroutine at a
-// time, in the order in which they end. It returns once all are played or ctx is over.
+// All executes runs on several workers. It calls done for each result in order of completion, from one
+// goroutine at a time, and returns when all runs are complete or ctx is cancelled.
 func All(ctx context.Context, runs []experiment.Run, workers int, stories bool, done func(Done) error) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -89,7 +89,7 @@
 			for r := range next {
 				d := Sim(ctx, r, stories, nil)
 				if ctx.Err() != nil {
-					return // broken off
+					return // the run was interrupted
 				}
 				mu.Lock()
 				if err := done(d); err != nil {
@@ -110,7 +110,7 @@
 	close(next)
 	wg.Wait()
 	if cause := context.Cause(ctx); cause != nil {
-		return fmt.Errorf("broken off: %w", cause)
+		return fmt.Errorf("interrupted: %w", cause)
 	}
 	return nil
 }
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -10,45 +10,45 @@
 	"valvering.example/valvering/policy"
 )
 
-// want is what a client asks for, over all its tries.
+// want is one request of a client, over all its tries.
 type want struct {
 	c      *customer
 	class  int
 	units  float64
-	at     time.Duration // when it was meant to be asked for
-	until  time.Duration // the client waits
+	at     time.Duration // scheduled time of the first try
+	until  time.Duration // the client stops waiting at this time
 	tries  int
 	sends  int
-	ranAt  time.Duration // when an attempt that may have run was sent; 0: none
+	ranAt  time.Duration // when the first attempt that may have run was sent; 0: none
 	end    tally.End
 	closed bool
 	story  *trace.Story
 }
 
-// try is one request of a client to one edge node, under an id of its own.
+// try is one request of a client to one edge node, with its own id.
 type try struct {
 	id       policy.RequestID
 	w        *want
 	n        *node
-	inc      int // of the edge node's process
+	inc      int // incarnation of the edge node's process
 	at       time.Duration
 	deadline time.Duration
 	answered bool
 	attempts int
-	out      *attempt // nil: none is out
+	out      *attempt // in flight; nil: none
 	ran      bool     // an attempt may have run
 	ranAt    time.Duration
 	ranZone  int
 	ranCell  int
-	charged  bool // it took its units
+	charged  bool // its units are charged to the customer's quota
 }
 
-// name is a request's id as clients word it.
+// name formats a request id as clients send it.
 func name(id policy.RequestID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
 func (w *want) classOf(s *Sim) *world.Class { return &s.w.Classes[w.class] }
 
-// ask has a client ask for something new.
+// ask starts a new request of a client.
 func (s *Sim) ask(c *customer) {
 	w := &want{c: c, class: s.w.ClassOf(s.clients), units: float64(1 + s.clients.IntN(max(1, s.w.Load.Units))), at: s.now}
 	w.until = s.now + w.classOf(s).Deadline.D()
@@ -66,7 +66,8 @@
 	s.try(w)
 }
 
-// try has the front deal a request out to an edge node that it takes to be up.
+// try lets the front-end load balancer send a request to one of the customer's edge nodes that it
+// believes are up.
 func (s *Sim) try(w *want) {
 	up := make([]*node, 0, w.c.spread)
 	for i := range w.c.spread {
@@ -84,7 +85,7 @@
 	s.after(s.w.Net.Near.D(), func() { s.come(t) })
 }
 
-// come is a request that reaches its edge node's machine.
+// come handles the arrival of a request at its edge node's machine.
 func (s *Sim) come(t *try) {
 	n := t.n
 	if !n.up {
@@ -101,8 +102,8 @@
 		Remaining: t.deadline - s.now, First: w.c.first, Spread: w.c.spread, Retry: w.tries > 1})
 }
 
-// deadline is when a client leaves. What its edge node has not answered by then, and
-// for the slack behind it, is late; and lost where it never does.
+// deadline handles the end of a client's wait. An attempt in flight times out. A request without an
+// answer at the end of the slack after the deadline counts as lost.
 func (s *Sim) deadline(t *try) {
 	n := t.n
 	if t.answered || n.inc != t.inc || !n.up {
@@ -121,7 +122,7 @@
 	})
 }
 
-// answer is the final answer of an edge node to a try.
+// answer delivers the final answer of an edge node to a try.
 func (s *Sim) answer(t *try, how tally.How, retryAfter time.Duration) {
 	if t.answered {
 		s.Book.Broken(tally.AnswerTwice, name(t.id), t.n.no, s.since(), "%v behind another answer", how)
@@ -141,7 +142,7 @@
 	s.after(s.w.Net.Near.D(), func() { s.again(w, how, retryAfter, false) })
 }
 
-// again has a client come again, where it may and has time, or ends its request.
+// again retries a request if the client may retry and has time left; otherwise it ends the request.
 func (s *Sim) again(w *want, how tally.How, advice time.Duration, untaken bool) {
 	if w.closed {
 		return
@@ -182,7 +183,7 @@
 	}
 }
 
-// note adds to a request's story.
+// note adds an entry to the trace of a request.
 func (s *Sim) note(w *want, node int, what trace.What, format string, args ...any) {
 	if w.story != nil {
 		s.Trace.Add(w.story, s.since(), node, what, format, args...)
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -7,11 +7,10 @@
 	"valvering.example/valvering/policy"
 )
 
-// callWait is how long a call for the list waits in an overbooked discovery before it
-// fails.
+// callWait is the timeout of a call for the list when discovery is overloaded.
 const callWait = time.Second
 
-// listed is the list as discovery has it.
+// listed returns the server list as discovery holds it.
 func (s *Sim) listed() map[policy.ServerID]policy.Server {
 	m := map[policy.ServerID]policy.Server{}
 	for _, srv := range s.servers {
@@ -22,7 +21,7 @@
 	return m
 }
 
-// changed tells all edge nodes of a change of a server, each in its time.
+// changed sends a change of a server to all edge nodes, each with its own delay.
 func (s *Sim) changed(srv *server) {
 	e := srv.entry()
 	for _, n := range s.nodes {
@@ -38,7 +37,7 @@
 	}
 }
 
-// deliver has something told to an edge node's process after a time, in order.
+// deliver runs do for an edge node's process after a random delay. Deliveries to a node keep their order.
 func (s *Sim) deliver(n *node, do func()) {
 	at := max(s.now, s.down) + draw(s.net, s.w.Disc.Late.D()+s.late)
 	n.listAt = max(n.listAt, at)
@@ -50,14 +49,14 @@
 	})
 }
 
-// listTo has discovery tell the whole list to one that has just started.
+// listTo sends the whole list to an edge node that has just started, if discovery pushes lists.
 func (s *Sim) listTo(n *node) {
 	if !s.w.Disc.Watch {
 		s.deliver(n, func() { n.whole() })
 	}
 }
 
-// call is an edge node's call for the list and its changes.
+// call handles an edge node's call for the list and its changes.
 func (s *Sim) call(n *node) {
 	inc := n.inc
 	wait := time.Duration(0)
@@ -81,7 +80,7 @@
 	})
 }
 
-// whole tells an edge node the list as it is now.
+// whole sends the current list to an edge node.
 func (n *node) whole() {
 	var list []policy.Server
 	for _, srv := range n.s.servers {
@@ -98,7 +97,7 @@
 	n.tell(policy.Whole, list)
 }
 
-// tell tells an edge node of servers, and notes what it has been told.
+// tell sends server entries to an edge node and records what the node knows about them.
 func (n *node) tell(kind policy.MembersKind, list []policy.Server) {
 	for _, e := range list {
 		if e.State != policy.Running {
--- a/internal/lab/sim/fault.go
+++ b/internal/lab/sim/fault.go
@@ -7,7 +7,7 @@
 	"valvering.example/valvering/policy"
 )
 
-// schedule has a fault begin and end in its time.
+// schedule schedules the start and the end of a fault.
 func (s *Sim) schedule(f *world.Fault) {
 	zone := f.Zone
 	if zone < 0 {
@@ -18,7 +18,7 @@
 		s.at(begin, on)
 		s.at(end, off)
 	}
-	// Members of a part are drawn now, so that no fault shifts another's.
+	// Draw the affected servers now, so that one fault does not change the draw of another.
 	servers := s.pick(len(s.servers), f.Part)
 	each := func(do func(v *server)) func() {
 		return func() {
@@ -48,7 +48,7 @@
 		steps := max(1, int(f.Size))
 		for i, no := range servers {
 			srv, at := s.servers[no], epoch+f.Turn(i, len(servers), steps)
-			s.at(at, func() { // the new one is there when the old one begins to drain
+			s.at(at, func() { // the new server is listed before the old one begins to drain
 				fresh := s.addServer(srv.zone, srv.weight)
 				fresh.desk.Start = s.now
 				s.changed(fresh)
@@ -126,17 +126,18 @@
 	case "discovery-late":
 		late := time.Duration(f.Size * float64(time.Second))
 		during(func() { s.late += late }, func() { s.late -= late })
-	case "rude-clients": // what can't be read never gets to the module
+	case "rude-clients": // unreadable requests never reach the module
 	case "eager-clients":
 		during(func() { s.eager *= f.Size }, func() { s.eager /= f.Size })
 	}
 }
 
-// pick draws a part of n, at least one, in an order drawn too.
+// pick draws a fraction of n indexes, at least one, in random order.
 func (s *Sim) pick(n int, part float64) []int {
 	return s.faults.Perm(n)[:max(1, int(part*float64(n)+0.5))]
 }
 
+// shareSlow changes the slowdown that all servers share by a factor.
 func (s *Sim) shareSlow(by float64) {
 	s.shared *= by
 	for _, v := range s.servers {
@@ -144,7 +145,7 @@
 	}
 }
 
-// extra asks at a rate of its own for a time.
+// extra adds Poisson arrivals at a given rate between begin and end.
 func (s *Sim) extra(begin, end time.Duration, rate float64, who func() *customer) {
 	if rate <= 0 {
 		return
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -10,7 +10,7 @@
 	"valvering.example/valvering/policy"
 )
 
-// way is the time one way between two zones.
+// way draws the one-way latency between two zones.
 func (s *Sim) way(a, b int) time.Duration {
 	mean := s.w.Net.Near.D()
 	if a != b {
@@ -19,12 +19,12 @@
 	return mean/2 + draw(s.net, mean/2)
 }
 
-// open tells whether anything gets from one zone to another.
+// passes reports whether packets get from one zone to another.
 func (s *Sim) passes(from, to int) bool {
 	return from == to || !s.cutBoth[from] && !s.cutBoth[to] && !s.cutOut[from]
 }
 
-// carry takes an attempt to its server, on an idle connection or on a new one.
+// carry sends an attempt to its server on an idle connection or on a new one.
 func (s *Sim) carry(n *node, a *attempt) {
 	srv := a.srv
 	if n.take(srv) {
@@ -47,7 +47,7 @@
 		inc := srv.inc
 		// The handshake costs a round trip and work.
 		s.after(trip+s.w.Server.Handshake.D(), func() {
-			if srv.inc != inc || !n.up { // it died meanwhile
+			if srv.inc != inc || !n.up { // the server or the edge node died meanwhile
 				s.fail(a, policy.ConnectFailed, false)
 				return
 			}
@@ -60,13 +60,13 @@
 	}
 }
 
-// write puts an attempt on a connection that is up.
+// write sends an attempt on an established connection.
 func (s *Sim) write(n *node, a *attempt, way time.Duration) {
 	srv, inc := a.srv, a.srv.inc
 	if s.reset > 0 && s.net.Float64() < s.reset {
 		s.after(way, func() {
 			if srv.inc == inc && !a.over {
-				srv.receive(a) // it runs, and its answer finds no way
+				srv.receive(a) // it runs, but its answer is lost
 			}
 			s.fail(a, policy.Reset, false)
 		})
@@ -79,14 +79,14 @@
 		case srv.inc != inc || srv.dead:
 			s.after(way, func() { s.fail(a, policy.Reset, false) })
 		case srv.silent || !s.passes(n.zone, srv.zone):
-			// Nothing is heard of it; the connection stays open.
+			// No answer comes; the connection stays open.
 		default:
 			srv.receive(a)
 		}
 	})
 }
 
-// shut closes an attempt's connection.
+// shut closes the connection of an attempt.
 func (s *Sim) shut(a *attempt) {
 	if !a.gone && a.srv.inc == a.inc {
 		a.srv.conns--
@@ -97,19 +97,18 @@
 	}
 }
 
-// back takes a server's answer to the edge node. The connection is used again where
-// whole is true.
+// back delivers a server's answer to the edge node. The connection is reused if whole is true.
 func (s *Sim) back(a *attempt, code policy.Code, whole bool) {
 	srv, n := a.srv, a.t.n
 	s.after(s.way(srv.zone, n.zone), func() {
 		if srv.silent || !s.passes(srv.zone, n.zone) {
-			return // lost on the way
+			return // the answer is lost
 		}
 		s.fail(a, code, whole)
 	})
 }
 
-// fail is how an attempt ended, as its edge node sees it.
+// fail ends an attempt with the outcome that its edge node observes, which may be a success.
 func (s *Sim) fail(a *attempt, code policy.Code, whole bool) {
 	t, n := a.t, a.t.n
 	if a.over {
@@ -122,7 +121,7 @@
 	}
 	if whole && a.inc == a.srv.inc {
 		n.keep(a.srv, a.inc)
-		a.gone = true // the connection is no longer the attempt's
+		a.gone = true // the connection went back to the idle pool
 	} else if a.whole || !a.fresh {
 		s.shut(a)
 	} else if code == policy.TimedOut || code == policy.Cancelled {
@@ -134,7 +133,7 @@
 		s.ran(t, a)
 	}
 	if code == policy.TimedOut && !a.whole {
-		s.ran(t, a) // as far as its edge node can tell
+		s.ran(t, a) // the edge node can't rule it out
 	}
 	s.note(t.w, n.no, trace.Outcome, "attempt %d at server %d: %s after %v", a.no, a.srv.no, codeNames[code], s.now-a.sent)
 	if t.answered {
@@ -150,7 +149,7 @@
 
 var codeNames = [...]string{"ok", "error", "turned away", "timed out", "could not connect", "reset", "cancelled", "moot"}
 
-// ran notes that an attempt may have run.
+// ran records that an attempt may have run.
 func (s *Sim) ran(t *try, a *attempt) {
 	if !t.ran {
 		t.ran, t.ranAt, t.ranZone, t.ranCell = true, a.sent, a.srv.zone, a.srv.cell
@@ -160,8 +159,8 @@
 	}
 }
 
-// count takes a try's units, once its first attempt has come whole, and its place
-// under the cap.
+// count charges a try's units when its first attempt has arrived whole, and counts the attempt under the
+// cap.
 func (s *Sim) count(a *attempt) {
 	t, acc := a.t, a.t.w.c.account
 	if !t.charged {
@@ -188,7 +187,7 @@
 	}
 }
 
-// uncount frees an attempt's place.
+// uncount removes an attempt from the count under the cap.
 func (s *Sim) uncount(t *try, a *attempt) {
 	if a.whole {
 		t.w.c.account.Out(-1)
@@ -196,11 +195,9 @@
 	}
 }
 
-// Datagrams.
+const mostMessage = 256 // bytes of a datagram
 
-const mostMessage = 256
-
-// post sends a datagram to another edge node, or to all.
+// post sends a datagram to one other edge node, or to all.
 func (n *node) post(a policy.Tell, because policy.Event) {
 	s := n.s
 	if len(a.Data) > mostMessage {
@@ -216,6 +213,7 @@
 	}
 }
 
+// letter puts a datagram on the network, which may lose, delay or duplicate it.
 func (s *Sim) letter(from, to *node, data []byte) {
 	copies := 1
 	if s.w.Net.Duplicate > 0 && s.mail.Float64() < s.w.Net.Duplicate {
@@ -230,7 +228,7 @@
 	}
 }
 
-// hear takes a datagram in, up to so many a second.
+// hear receives a datagram unless the node has used up its datagram budget of this second.
 func (n *node) hear(from int, data []byte) {
 	s := n.s
 	if sec := int(s.since() / time.Second); sec != n.mailAt {
@@ -253,7 +251,7 @@
 	n.handle(policy.PeerMessage{From: from, Data: data})
 }
 
-// traceAsk notes which request an ask is for.
+// traceAsk records the request that a message to a root asks units for.
 func (n *node) traceAsk(a policy.Tell, because policy.Event) {
 	m, ok := policy.ReadAsk(a.Data)
 	if !ok {
@@ -263,7 +261,7 @@
 	if r, came := because.(policy.Request); came && n.open[r.ID] != nil {
 		w = n.open[r.ID].w
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.open)) { // asked again under another tag: told by its client's deadline
+	for _, id := range slices.Sorted(maps.Keys(n.open)) { // a repeat under another tag: match by deadline and units
 		if w != nil {
 			break
 		}
@@ -279,7 +277,7 @@
 	}
 }
 
-// traceAnswer notes a root's answer.
+// traceAnswer records the answer of a root.
 func (n *node) traceAnswer(from int, data []byte) {
 	m, ok := policy.ReadAnswer(data)
 	if !ok || n.asked[m.Tag] == nil {
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -12,32 +12,32 @@
 	"valvering.example/valvering/policy"
 )
 
-// node is an edge node: a machine with a process that comes and goes.
+// node is an edge node: a machine whose process can stop, crash and restart.
 type node struct {
 	s        *Sim
 	no       int
 	zone     int
 	rng      *rand.Rand
 	up       bool
-	inc      int  // of the process; counted at each end
-	shunned  bool // the front sends nothing there
-	stopping bool // a planned stop is on
+	inc      int  // incarnation of the process; increases when a process ends
+	shunned  bool // the front-end load balancer sends it no requests
+	stopping bool // a planned shutdown is in progress
 	dec      Decider
 	acts     []policy.Action
-	busy     bool           // its decider is at work
-	backlog  []policy.Event // what came meanwhile
+	busy     bool           // its decider is handling an event
+	backlog  []policy.Event // events that arrived meanwhile
 	open     map[policy.RequestID]*try
 	conns    map[int][]conn                    // idle, by server, newest last
-	list     map[policy.ServerID]policy.Server // as last told
-	told     map[policy.ServerID]time.Duration // when it was told that a server drains or is gone
-	starts   map[policy.ServerID]time.Duration // the start of a server that it knows
-	listAt   time.Duration                     // no list is told before the one before
+	list     map[policy.ServerID]policy.Server // as last received
+	told     map[policy.ServerID]time.Duration // when it learned that a server is draining or removed
+	starts   map[policy.ServerID]time.Duration // start times of servers that it knows
+	listAt   time.Duration                     // last scheduled list delivery; keeps their order
 	watching bool
 
-	mailAt   int // the second in which mail was counted
+	mailAt   int // the second that mailIn counts
 	mailIn   int
 	mailPeak int
-	asked    map[uint32]*want // what stands behind an ask's tag, where stories are kept
+	asked    map[uint32]*want // requests by the tag of the ask for them; only if a trace is kept
 }
 
 // conn is an idle connection to a process of a server.
@@ -46,7 +46,7 @@
 	inc  int
 }
 
-// start brings the process up: with what it held of the list, and then the whole.
+// start starts the process: first with the list that it remembers, then with the whole current list.
 func (n *node) start() {
 	s := n.s
 	dec, err := s.make(n.no, s.w, n.rng.Uint64(), &s.Truth)
@@ -63,27 +63,27 @@
 	n.tell(policy.Remembered, slices.SortedFunc(maps.Values(n.list), func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) }))
 	s.listTo(n)
 	inc := n.inc
-	s.after(readyAfter, func() { // the front takes it in
+	s.after(readyAfter, func() { // the front-end load balancer adds the node
 		if n.up && n.inc == inc && !n.stopping {
 			n.shunned = false
 		}
 	})
 }
 
-// Times of an edge node's process, as measured of the real one.
+// Times of an edge node's process, as measured on the real program.
 const (
-	readyAfter = 20 * time.Millisecond // from the start until it is asked
+	readyAfter = 20 * time.Millisecond // from the start until it gets requests
 	restart    = 100 * time.Millisecond
-	leaveFor   = 550 * time.Millisecond // of a planned stop, in which requests still come
-	handFor    = time.Second            // a hand-over may take
+	leaveFor   = 550 * time.Millisecond // of a planned shutdown, during which requests still arrive
+	handFor    = time.Second            // limit for the hand-over at shutdown
 )
 
-// handle gives the decider an event and carries out what it wants.
+// handle passes an event to the decider and carries out the actions it returns.
 func (n *node) handle(ev policy.Event) {
 	if !n.up {
 		return
 	}
-	if n.busy { // an action that ends at once: behind what is at hand
+	if n.busy { // an action completed at once; its event follows the current one
 		n.backlog = append(n.backlog, ev)
 		return
 	}
@@ -101,6 +101,7 @@
 	n.busy = false
 }
 
+// do carries out an action; because is the event that led to it.
 func (n *node) do(a policy.Action, because policy.Event) {
 	s := n.s
 	switch a := a.(type) {
@@ -134,7 +135,7 @@
 	}
 }
 
-// send carries an attempt out, and sees to the rules on it.
+// send sends an attempt and checks the rules on attempts.
 func (n *node) send(a policy.Send) {
 	s := n.s
 	t, srv := n.open[a.ID], s.byID[a.Server]
@@ -180,12 +181,12 @@
 	s.carry(n, at)
 }
 
-// keep puts a connection back.
+// keep returns a connection to the idle pool.
 func (n *node) keep(srv *server, inc int) {
 	n.conns[srv.no] = append(n.conns[srv.no], conn{n.s.now, inc})
 }
 
-// take finds an idle connection to the server's process of now.
+// take removes an idle connection to the server's current process from the pool, if there is one.
 func (n *node) take(srv *server) bool {
 	list := n.conns[srv.no]
 	for len(list) > 0 {
@@ -199,8 +200,7 @@
 	return false
 }
 
-// kill ends the process at once: clients' connections are reset, attempts out are
-// given up.
+// kill ends the process at once: clients' connections are reset and attempts in flight are abandoned.
 func (n *node) kill() {
 	if !n.up {
 		return
@@ -232,8 +232,8 @@
 	n.open, n.conns = nil, nil
 }
 
-// crash kills the process and brings another up after a time; the front notices
-// later.
+// crash kills the process and starts another after the time down. The front-end load balancer notices the
+// crash after a delay.
 func (n *node) crash(down time.Duration) {
 	if !n.up {
 		return
@@ -248,8 +248,8 @@
 	n.s.after(down, n.start)
 }
 
-// stop is a planned stop: the front is told, what is open is answered, what others
-// count on is handed over, and then another process comes up.
+// stop is a planned shutdown: the front-end load balancer is notified, open requests are answered, the
+// state that other nodes depend on is handed over, and then another process starts.
 func (n *node) stop() {
 	if !n.up || n.stopping {
 		return
@@ -276,12 +276,12 @@
 	s.after(leaveFor, finish)
 }
 
-// end is the end of a planned stop.
+// end completes a planned shutdown.
 func (n *node) end() {
 	if !n.up || !n.stopping {
 		return
 	}
-	n.s.after(0, func() { // behind what it says last
+	n.s.after(0, func() { // after its last messages are sent
 		if n.up && n.stopping {
 			n.kill()
 			n.s.after(restart, n.start)
--- a/internal/lab/sim/queue.go
+++ b/internal/lab/sim/queue.go
@@ -2,16 +2,14 @@
 
 import "time"
 
-// event is something that happens at a moment; of two at the same moment the one
-// scheduled first happens first.
+// event is a scheduled call. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	at  time.Duration
 	seq uint64
 	do  func()
 }
 
-// queue is a heap of events, the next one first. container/heap would allocate at
-// each push.
+// queue is a 4-ary heap of events, the next one first. container/heap would allocate at each push.
 type queue []event
 
 func (q queue) before(i, j int) bool {
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -18,43 +18,43 @@
 	id     policy.ServerID
 	zone   int
 	cell   int
-	weight float64 // as the list tells it
+	weight float64 // as in the list
 	state  policy.State
-	inc    int     // of its process
+	inc    int     // incarnation of its process
 	dead   bool    // no process: connections are refused
-	silent bool    // nothing is heard of it, nothing comes up
-	slow   float64 // it takes so many times as long
-	wrong  float64 // share that it answers with an error at once
-	spoilt float64 // share of its answers that it spoils
+	silent bool    // answers nothing and accepts no connection
+	slow   float64 // factor on the duration of all work
+	wrong  float64 // fraction of requests that it answers with an error at once
+	spoilt float64 // fraction of its answers that it corrupts
 	conns  int
 	desk   *lending.Desk
 	budget *lending.Budget
 }
 
-// Now and After make a Sim the clock of its servers.
+// Now returns the simulated time. With After it makes a Sim the clock of its servers.
 func (s *Sim) Now() time.Duration { return s.now }
 
-// After calls back after a time.
+// After calls do after d.
 func (s *Sim) After(d time.Duration, do func()) { s.after(d, do) }
 
-// attempt is one sending of a try to a server.
+// attempt is one attempt of a try at a server.
 type attempt struct {
 	t     *try
 	no    int
 	srv   *server
-	inc   int // of the server's process
+	inc   int // incarnation of the server's process
 	sent  time.Duration
 	until time.Duration
 	fresh bool // on a new connection
-	whole bool // it has come to the server
-	over  bool // the edge node knows how it ended
-	gone  bool // its connection is closed, or no longer its own
+	whole bool // the server has received it
+	over  bool // the edge node knows its outcome
+	gone  bool // its connection is closed or back in the idle pool
 	job   *lending.Job
 }
 
 func zoneName(z int) string { return world.ZoneName(z) }
 
-// addServer adds a server that has run for long; its size is against the others'.
+// addServer adds a fully warm server. size is its capacity relative to the mean.
 func (s *Sim) addServer(zoneSeed int, size float64) *server {
 	no := len(s.servers)
 	srv := &server{s: s, no: no, id: policy.ServerID(uint32(no+1) * 2654435761), zone: s.w.ZoneOf(zoneSeed), slow: 1, weight: size,
@@ -66,16 +66,16 @@
 	return srv
 }
 
-// entry is the server's line in the list.
+// entry returns the server's entry in the discovery list.
 func (v *server) entry() policy.Server {
 	return policy.Server{ID: v.id, Zone: zoneName(v.zone), Cell: v.cell, State: v.state, HasStart: v.desk.Start > 0, Start: v.desk.Start, Weight: v.weight}
 }
 
-// receive is an attempt that has come whole.
+// receive handles an attempt that has arrived whole.
 func (v *server) receive(a *attempt) {
 	s := v.s
 	class := a.t.w.classOf(s)
-	// Log-normal of the class's mean.
+	// Log-normal around the class's mean.
 	sigma := s.w.Server.Spread
 	work := class.Work.D().Seconds() * math.Exp(sigma*s.work.NormFloat64()-sigma*sigma/2)
 	if a.fresh {
@@ -107,10 +107,10 @@
 	}
 }
 
-// quick is the part of the work that a wrong answer costs.
+// quick is the fraction of the work that an immediate error costs.
 const quick = 0.02
 
-// finish ends an attempt's work.
+// finish handles the end of an attempt's work.
 func (v *server) finish(a *attempt, end lending.End) {
 	s := v.s
 	switch end {
@@ -131,13 +131,13 @@
 		s.Book.Wasted += a.job.Work
 		s.back(a, policy.Error, false)
 	case s.net.Float64() < s.lost:
-		s.Book.Wasted += a.job.Work // nothing comes, and the connection stays open
+		s.Book.Wasted += a.job.Work // no answer arrives and the connection stays open
 	default:
 		s.back(a, policy.OK, true)
 	}
 }
 
-// weigh sees whether an attempt pushes a cold server over.
+// weigh checks whether an attempt overloads a cold server, which then crashes.
 func (v *server) weigh(a *attempt, work float64) {
 	if v.dead {
 		return
@@ -152,7 +152,7 @@
 	}
 }
 
-// die ends the process: what is at work and waiting breaks, idle connections too.
+// die ends the process: requests at work and queued fail, and idle connections break.
 func (v *server) die() {
 	v.dead = true
 	v.reset()
@@ -170,7 +170,7 @@
 	}
 }
 
-// boot starts another process under the same id and address: a cold one.
+// boot starts a new, cold process under the same id and address.
 func (v *server) boot() {
 	v.reset()
 	v.dead, v.silent, v.state = false, false, policy.Running
@@ -178,7 +178,7 @@
 	v.s.changed(v)
 }
 
-// retime sets how slow a server is, from now on.
+// retime sets the slowdown factor of a server.
 func (v *server) retime(slow float64) {
 	v.slow = slow
 	v.desk.Slow(slow * v.s.shared)
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -1,7 +1,6 @@
-// Package sim plays a world in simulated time: one deciding module for each edge node,
-// nothing shared between them, and round them clients, the front, the network, lending
-// servers and discovery as models. Equal worlds and seeds give equal results to the
-// byte. A run takes one goroutine; runs share nothing.
+// Package sim runs a world in simulated time. Each edge node has its own decision module, with no shared
+// state between them. Clients, the front-end load balancer, the network, servers and discovery are models.
+// Equal worlds and seeds give byte-identical results. A run uses one goroutine, and runs share nothing.
 package sim
 
 import (
@@ -16,16 +15,16 @@
 	"valvering.example/valvering/policy"
 )
 
-// Decider decides for one edge node, as policy.Gateway does.
+// Decider makes the decisions of one edge node, as policy.Gateway does.
 type Decider interface {
 	Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action
 }
 
-// Maker makes the decider of an edge node's process. truth is for policies that no
-// real one can be; the module is not given it.
+// Maker creates the decider of an edge node's process. truth is for baselines that use knowledge which no
+// real edge node has; the module doesn't get it.
 type Maker func(me int, w *world.World, seed uint64, truth *Truth) (Decider, error)
 
-// Module makes the project's own module.
+// Module creates the project's own decision module.
 func Module(me int, w *world.World, seed uint64, _ *Truth) (Decider, error) {
 	s, err := w.Settings(me)
 	if err != nil {
@@ -34,7 +33,7 @@
 	return policy.New(s, seed)
 }
 
-// epoch is when the clock of a run begins: start times before it must not be negative.
+// epoch is the clock time at which a run begins, so that start times before it are not negative.
 const epoch = time.Hour
 
 // Sim is one run.
@@ -46,9 +45,9 @@
 	queue queue
 	seq   uint64
 	Book  *tally.Book
-	Trace *trace.Log // nil: none is kept
+	Trace *trace.Log // nil: no trace is kept
 	Truth Truth
-	Check func() error // asked now and then; an error ends the run
+	Check func() error // called once per simulated second; an error ends the run
 
 	work, net, mail, clients, faults *rand.Rand
 
@@ -57,22 +56,22 @@
 	byID      map[policy.ServerID]*server
 	customers []*customer
 	drawn     *world.Drawn
-	out       int // attempts out
+	out       int // attempts in flight
 	nextID    policy.RequestID
 	nextWant  int
-	open      int // requests of clients that have not ended
+	open      int // client requests that have not ended
 	err       error
 
-	// Troubles in force.
+	// Effects of the active faults.
 	cutBoth, cutOut map[int]bool // zones
 	deaf            map[int]bool // edge nodes
 	loss            float64
-	lost, reset     float64 // of answers, of connections
-	shared          float64 // slowness of all servers
+	lost, reset     float64 // probability that an answer is lost, that a connection is reset
+	shared          float64 // slowdown factor of all servers
 	late            time.Duration
-	down            time.Duration // discovery is silent until then
+	down            time.Duration // discovery does not answer until this time
 	eager           float64
-	callAt          time.Duration // when discovery has served the calls it has
+	callAt          time.Duration // when discovery has served all calls it has accepted
 }
 
 type customer struct {
@@ -84,7 +83,7 @@
 	account *tally.Account
 }
 
-// New builds a run of a world that has passed Check.
+// New creates a run of a world that has passed Check.
 func New(w *world.World, seed uint64, mk Maker) *Sim {
 	s := &Sim{w: w, seed: seed, make: mk, now: epoch, Book: tally.NewBook(w), byID: map[policy.ServerID]*server{}, loss: w.Net.Loss, shared: 1,
 		eager: 1, cutBoth: map[int]bool{}, cutOut: map[int]bool{}, deaf: map[int]bool{}, work: world.Stream(seed, world.StreamWork),
@@ -104,7 +103,7 @@
 	return s
 }
 
-// at schedules something; a moment that has passed is now.
+// at schedules a call; a time in the past means now.
 func (s *Sim) at(t time.Duration, do func()) {
 	s.seq++
 	s.queue.push(event{max(t, s.now), s.seq, do})
@@ -112,11 +111,11 @@
 
 func (s *Sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
 
-// since is the time since the run began.
+// since returns the time since the run began.
 func (s *Sim) since() time.Duration { return s.now - epoch }
 
-// Run plays to the end. arrivals are the times at which clients ask, since the
-// beginning. step, if not nil, is called at each second.
+// Run runs the simulation to its end. arrivals gives the times of new client requests since the start of
+// the run. step, if not nil, is called every simulated second.
 func (s *Sim) Run(arrivals load.Source, step func(second int)) (*tally.Result, error) {
 	for _, n := range s.nodes {
 		s.at(s.now+time.Duration(n.rng.Int64N(int64(50*time.Millisecond))), n.start)
@@ -142,8 +141,7 @@
 			step(int(s.since() / time.Second))
 		}
 	})
-	// Clients that are still waiting are waited for; none does for longer than the
-	// longest deadline.
+	// The run goes on until no client waits; the longest deadline bounds that time.
 	longest := time.Duration(0)
 	for i := range s.w.Classes {
 		longest = max(longest, s.w.Classes[i].Deadline.D())
@@ -164,9 +162,10 @@
 	return s.Book.Result(s.seed), nil
 }
 
-// settle is how long edge nodes have to come up before clients do.
+// settle is the time that edge nodes have to start before the first client request.
 const settle = 300 * time.Millisecond
 
+// every calls do at a fixed interval until the end of the run.
 func (s *Sim) every(d time.Duration, do func()) {
 	var tick func()
 	tick = func() {
@@ -178,17 +177,17 @@
 	s.after(d, tick)
 }
 
-// anyone draws a customer by demand.
+// anyone draws a customer, weighted by demand.
 func (s *Sim) anyone() *customer { return s.customers[s.drawn.Anyone(s.clients)] }
 
-// finish charges what is left: servers' work, mail.
+// finish enters the peak datagram rate of the edge nodes into the book.
 func (s *Sim) finish() {
 	for _, n := range s.nodes {
 		s.Book.MailPeak = max(s.Book.MailPeak, n.mailPeak)
 	}
 }
 
-// draw is an exponential time of a given mean.
+// draw returns an exponentially distributed time with the given mean.
 func draw(rng *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(rng.ExpFloat64() * float64(mean))
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -33,7 +33,7 @@
 	return w
 }
 
-// play plays a world by a decider.
+// play runs a world with the deciders that mk creates.
 func play(t testing.TB, w *world.World, seed uint64, mk sim.Maker) *tally.Result {
 	t.Helper()
 	source, err := load.New(&w.Load, seed, nil)
@@ -47,15 +47,16 @@
 	return r
 }
 
-// Equal worlds and seeds give equal results, whatever the number of workers, on every
-// day: no map's order, no time of day and no neighbour has a say.
+// TestEqualSeedsEqualBytes checks that equal worlds and seeds give equal results on every preset day,
+// with one worker or several. It guards against results that depend on map order, wall-clock time or
+// concurrent runs.
 func TestEqualSeedsEqualBytes(t *testing.T) {
 	var runs []experiment.Run
 	for _, day := range []string{"roll", "herd", "zone", "split", "join"} {
 		for i := range max(1, *seeds/5) {
 			runs = append(runs, experiment.Run{Fault: day, Seed: uint64(i + 1), Variant: experiment.Variant{Name: "module"},
 				World: small(t, 45, 20, 24*time.Second/5, day)})
-			for k := range runs[len(runs)-1].World.Faults { // into the shorter run
+			for k := range runs[len(runs)-1].World.Faults { // scaled to the shorter run
 				f := &runs[len(runs)-1].World.Faults[k]
 				f.Start, f.For = f.Start/5, max(1, f.For/5)
 			}
@@ -83,7 +84,7 @@
 	}
 }
 
-// faulty is the module with a fault planted.
+// faulty is the module with a planted fault.
 type faulty struct {
 	sim.Decider
 	see func(ev policy.Event, acts []policy.Action) []policy.Action
@@ -100,8 +101,8 @@
 	}
 }
 
-// The module keeps the rules where its checkers see the same module with a fault
-// planted break them.
+// TestCheckersCatchPlantedFaults checks that each rule checker reports a module with a planted fault, and
+// reports nothing for the unchanged module in the same world.
 func TestCheckersCatchPlantedFaults(t *testing.T) {
 	type seeing = func(ev policy.Event, acts []policy.Action) []policy.Action
 	for _, c := range []struct {
@@ -115,8 +116,8 @@
 			w.Plans = w.Plans[2:3] // under a cap alone
 			w.Plans[0].Parallel = 4
 			w.SetRate(400)
-			w.Load.Customers, w.Load.Spread = 2, 2 // each has some eight out when nobody holds it back
-			w.Rules.Beyond = 0.5                   // reports tell of means: by design a part passes a small cap
+			w.Load.Customers, w.Load.Spread = 2, 2 // without a cap each has about eight in flight
+			w.Rules.Beyond = 0.5                   // reports carry means; some requests exceed a small cap
 			return w
 		}(), func(me int, w *world.World, seed uint64, truth *sim.Truth) (sim.Decider, error) {
 			s, err := w.Settings(me)
@@ -128,7 +129,7 @@
 			}
 			return policy.New(s, seed)
 		}},
-		{"sends what must not run twice again", tally.SecondCopy, func() *world.World {
+		{"retries a request that must not run twice", tally.SecondCopy, func() *world.World {
 			w := small(t, 6, 6, 8*time.Second, "resets")
 			w.Faults[0].Size = 0.5
 			return w
@@ -149,7 +150,7 @@
 				return append(acts, policy.Send{ID: o.ID, Server: o.Server})
 			}
 		})},
-		{"goes on sending to a server that drains", tally.Drain, func() *world.World {
+		{"keeps sending to a draining server", tally.Drain, func() *world.World {
 			w := small(t, 6, 8, 9*time.Second, "")
 			w.Faults = []world.Fault{{Kind: "release", Start: world.Duration(time.Second), For: world.Duration(time.Second), Part: 0.5, Size: 1}}
 			return w
@@ -172,7 +173,7 @@
 				return acts
 			}
 		})},
-		{"loses one answer in a thousand", tally.AnswerLost, small(t, 6, 6, 8*time.Second, "burst"), planted(func() seeing {
+		{"loses one refusal in a hundred", tally.AnswerLost, small(t, 6, 6, 8*time.Second, "burst"), planted(func() seeing {
 			n := 0
 			return func(_ policy.Event, acts []policy.Action) []policy.Action {
 				return slices.DeleteFunc(acts, func(a policy.Action) bool {
@@ -184,7 +185,7 @@
 				})
 			}
 		})},
-		{"has two attempts out at once", tally.Overlap, small(t, 4, 6, 2*time.Second, ""), planted(func() seeing {
+		{"has two attempts in flight at once", tally.Overlap, small(t, 4, 6, 2*time.Second, ""), planted(func() seeing {
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if r, ok := ev.(policy.Request); ok {
 					for _, a := range acts {
@@ -235,7 +236,7 @@
 			}
 			return policy.New(s, seed)
 		}},
-		{"sends all to the server that started last", tally.Cold, func() *world.World {
+		{"sends all requests to the server that started last", tally.Cold, func() *world.World {
 			w := small(t, 8, 8, 8*time.Second, "")
 			w.Faults = []world.Fault{{Kind: "cold-bulk", Start: world.Duration(time.Second), For: world.Duration(time.Second), Part: 0.2, Size: 1}}
 			return w
@@ -271,7 +272,7 @@
 		})},
 	} {
 		if r := play(t, c.w, 1, c.mk); r.Rules[c.rule] == 0 {
-			t.Errorf("%s: not seen, %v", c.name, r.Rules)
+			t.Errorf("%s: breach not reported, rules %v", c.name, r.Rules)
 		} else if len(r.Breaches) == 0 || r.Breaches[0].At <= 0 {
 			t.Errorf("%s: %+v", c.name, r.Breaches)
 		}
@@ -281,8 +282,8 @@
 	}
 }
 
-// A fleet does better than one that lets all in, and no better than one that sees the
-// truth; a trouble costs something.
+// TestBaselinesBracketTheModule checks that the module and the oracle beat the baseline that admits every
+// request, and that a zone cut costs the module something.
 func TestBaselinesBracketTheModule(t *testing.T) {
 	worth := map[string]float64{}
 	for _, name := range append([]string{"module"}, baseline.Names...) {
@@ -300,8 +301,7 @@
 	}
 }
 
-// BenchmarkSim tells how fast fleets are played: simulated seconds a second of one
-// core, and the cost of a request.
+// BenchmarkSim measures simulated seconds per second of one core, and the time per request.
 func BenchmarkSim(b *testing.B) {
 	for _, n := range []int{10, 80, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("%d edge nodes", n), func(b *testing.B) {
--- a/internal/lab/sim/truth.go
+++ b/internal/lab/sim/truth.go
@@ -2,12 +2,10 @@
 
 import "valvering.example/valvering/policy"
 
-// Truth is the true state, for a policy that no real one can be: it is what a module
-// is measured against.
+// Truth gives access to the true state of a run, for ideal baselines that modules are compared with.
 type Truth struct{ s *Sim }
 
-// Server tells how much is at hand at a server, against its capacity, and whether it
-// serves.
+// Server returns the load of a server relative to its capacity, and whether it serves requests.
 func (t *Truth) Server(id policy.ServerID) (load float64, serves bool) {
 	v := t.s.byID[id]
 	if v == nil || v.dead || v.silent || v.state != policy.Running {
@@ -17,7 +15,7 @@
 	return float64(working+waiting+1) * (1 + 10*(v.wrong+v.spoilt)) / v.desk.Capacity(), true
 }
 
-// Room tells whether a customer's request fits under its quota and cap.
+// Room reports whether a request fits within the customer's quota and cap.
 func (t *Truth) Room(key string, units float64) bool {
 	for _, c := range t.s.customers {
 		if c.key == key {
--- a/internal/lab/stats/stats.go
+++ b/internal/lab/stats/stats.go
@@ -1,5 +1,4 @@
-// Package stats compares results that were played in pairs: same world, same seed, two
-// variants.
+// Package stats compares the results of paired runs: two variants with the same world and seed.
 package stats
 
 import (
@@ -9,27 +8,27 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Diff is a paired difference: of the medians, with the interval that holds it in 95
-// of 100 samples drawn anew from the pairs.
+// Diff is the difference between the medians of paired results, with its 95% bootstrap confidence interval.
 type Diff struct {
 	Pairs           int
 	A, B            float64 // medians
-	Diff            float64 // of B to A
+	Diff            float64 // B - A
 	Low, High       float64
-	Better, Worse   int // pairs in which B is above, below A
+	Better, Worse   int // pairs in which B is above A, below A
 	Least, Greatest float64
 }
 
-// Resamples of the bootstrap, and the parts cut off at either end.
+// Number of bootstrap samples, and the fraction outside the interval at each end.
 const (
 	resamples = 4000
 	tail      = 0.025
 )
 
-// Seen tells whether the interval lies on one side of nothing.
+// Seen reports whether the difference is significant: there are at least three pairs and the interval
+// excludes zero.
 func (d Diff) Seen() bool { return d.Pairs >= 3 && (d.Low > 0 || d.High < 0) }
 
-// Median of a list; 0 of none.
+// Median returns the median of a list; 0 if it is empty.
 func Median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -41,8 +40,8 @@
 	return s[len(s)/2]
 }
 
-// Paired compares b with a, pair by pair. The bootstrap's seed is fixed: equal figures
-// give an equal interval.
+// Paired compares b with a, pair by pair. The bootstrap's seed is fixed, so that equal values give an equal
+// interval.
 func Paired(a, b []float64) Diff {
 	d := Diff{Pairs: len(a), A: Median(a), B: Median(b)}
 	if len(a) == 0 {
--- a/internal/lab/stats/stats_test.go
+++ b/internal/lab/stats/stats_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An interval holds a true difference in about 95 of 100 experiments, and where there
-// is none a difference is seen in few.
+// TestIntervalsHold checks that the interval contains the true difference in about 95 of 100
+// experiments, and that a difference is seldom reported where there is none.
 func TestIntervalsHold(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	const experiments, pairs = 60, 12
@@ -27,7 +27,7 @@
 		}
 	}
 	if held < experiments*85/100 || seen > experiments*15/100 {
-		t.Errorf("of %d experiments %d intervals hold the difference, %d see one that is not", experiments, held, seen)
+		t.Errorf("of %d experiments, %d intervals contain the difference, %d report one that does not exist", experiments, held, seen)
 	}
 	if d := Paired([]float64{1, 2}, []float64{3, 4}); d.Seen() || d.Diff != 2 {
 		t.Errorf("two pairs: %+v", d)
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -1,7 +1,7 @@
-// Package store keeps the results of an experiment in a folder: a manifest that says
-// what was played by which build, a line of JSON for each run, and the stories of
-// requests where they are kept. A line is written whole or is passed over when the
-// folder is read again, so that a run that was killed half way can be resumed.
+// Package store stores the results of an experiment in a folder: a manifest that names the experiment
+// and the build, a JSON line for each run, and the traces of requests if they are recorded. An
+// incomplete last line is ignored when the folder is read, so that an experiment that was killed can be
+// resumed.
 package store
 
 import (
@@ -26,11 +26,11 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// Manifest says what a folder holds.
+// Manifest describes the contents of a folder.
 type Manifest struct {
 	Name    string    `json:"name"`
 	Command []string  `json:"command"`
-	File    string    `json:"file,omitempty"` // the experiment's text
+	File    string    `json:"file,omitempty"` // text of the experiment's file
 	Digest  string    `json:"digest"`         // of that text, or of the command
 	Engine  string    `json:"engine"`
 	Runs    int       `json:"runs"`
@@ -41,7 +41,7 @@
 	Begun   time.Time `json:"begun"`
 }
 
-// Line is one run's.
+// Line is the stored record of one run.
 type Line struct {
 	Key    string        `json:"key"`
 	World  *world.World  `json:"world"`
@@ -50,26 +50,26 @@
 	Error  string        `json:"error,omitempty"`
 }
 
-// Folder is an open folder of results. Add may be called by several goroutines.
+// Folder is an open folder of results. Add is safe for concurrent use.
 type Folder struct {
 	Dir      string
 	Manifest Manifest
-	Lines    []Line // those that were there already
+	Lines    []Line // all complete lines, including those of earlier sessions
 	mu       sync.Mutex
 	out      *os.File
-	size     int64 // of the whole lines
-	broken   error // why no further line is written
+	size     int64 // bytes of all complete lines
+	broken   error // first write error; no line is written after it
 }
 
 const (
 	manifestFile = "manifest.json"
 	runsFile     = "runs.jsonl"
 	storiesDir   = "stories"
-	// ReportFile is the report for people.
+	// ReportFile is the name of the HTML report.
 	ReportFile = "report.html"
 )
 
-// Build says which build this is.
+// Build returns the version and revision of this program.
 func Build() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -87,8 +87,8 @@
 	return strings.TrimSpace(info.Main.Version + " " + rev + dirty)
 }
 
-// Create makes a folder, or opens it again to resume: then the experiment must be the
-// same. A folder that holds something else is left alone.
+// Create creates a folder, or opens an existing one to resume its experiment. It returns an error and
+// changes nothing if the folder holds results and resume is false, or results of another experiment.
 func Create(dir string, m Manifest, resume bool) (*Folder, error) {
 	m.Build, m.Go, m.CPUs, m.Begun = Build(), runtime.Version(), runtime.NumCPU(), time.Now().UTC().Truncate(time.Second)
 	if m.Digest = fmt.Sprintf("%016x", xxhash.Sum64String(m.File)); m.File == "" {
@@ -123,7 +123,7 @@
 	return f, f.mend()
 }
 
-// replace puts a file in place whole, or leaves what is there.
+// replace replaces a file atomically.
 func replace(path string, data []byte) error {
 	part := path + ".part"
 	err := os.WriteFile(part, data, 0o644)
@@ -131,12 +131,12 @@
 		err = os.Rename(part, path)
 	}
 	if err != nil {
-		_ = os.Remove(part) // the disc may be full of it
+		_ = os.Remove(part) // it may have filled the disk
 	}
 	return err
 }
 
-// mend cuts off a last line that was not written whole.
+// mend truncates an incomplete last line.
 func (f *Folder) mend() error {
 	data, err := io.ReadAll(f.out)
 	if err != nil {
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// Add writes a run's line. One that can't be written whole is taken back, and none comes
-// behind it: the folder can be resumed.
+// Add writes the line of a run. If the write fails, Add truncates the file to its complete lines and every
+// later call returns the same error, so that the folder can be resumed.
 func (f *Folder) Add(l Line) error {
 	data, err := json.Marshal(l)
 	if err != nil {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// Close makes sure that what was added is kept.
+// Close syncs the added lines to disk and closes the file.
 func (f *Folder) Close() error {
 	if f.out == nil {
 		return nil
@@ -179,12 +179,12 @@
 	return errors.Join(f.out.Sync(), f.out.Close())
 }
 
-// storyFile is where the stories of a run are.
+// storyFile returns the path of a run's stories.
 func (f *Folder) storyFile(key string) string {
 	return filepath.Join(f.Dir, storiesDir, strings.ReplaceAll(key, "/", "_")+".jsonl.gz")
 }
 
-// Stories writes what happened to the requests of a run.
+// Stories writes the traces of a run.
 func (f *Folder) Stories(key string, log *trace.Log) error {
 	if err := os.MkdirAll(filepath.Join(f.Dir, storiesDir), 0o755); err != nil {
 		return err
@@ -196,11 +196,11 @@
 	return errors.Join(log.Write(out), out.Close())
 }
 
-// EachStory calls each for the stories of all runs, until it is false.
+// EachStory calls each for the stories of all runs until each returns false.
 func (f *Folder) EachStory(each func(run string, s *trace.Story) bool) error {
 	list, err := os.ReadDir(filepath.Join(f.Dir, storiesDir))
 	if errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("%s holds no stories of requests: play it with stories kept", f.Dir)
+		return fmt.Errorf("%s holds no traces of requests: run the experiment with stories enabled", f.Dir)
 	}
 	if err != nil {
 		return err
@@ -227,7 +227,7 @@
 	return nil
 }
 
-const mostLine = 64 << 20
+const mostLine = 64 << 20 // bytes of a run's line
 
 // Open reads a folder of results.
 func Open(dir string) (*Folder, error) {
@@ -251,14 +251,14 @@
 	for no := 1; ; no++ {
 		line, err := r.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return f, nil // a last line that is not whole is none
+			return f, nil // an incomplete last line is ignored
 		}
 		if err != nil {
 			return nil, err
 		}
 		var l Line
 		if err := json.Unmarshal(line, &l); err != nil || len(line) > mostLine || l.Result == nil && l.Error == "" {
-			return nil, fmt.Errorf("%s, line %d: no result of a run", filepath.Join(dir, runsFile), no)
+			return nil, fmt.Errorf("%s, line %d: not a result of a run", filepath.Join(dir, runsFile), no)
 		}
 		f.Lines = append(f.Lines, l)
 	}
--- a/internal/lab/store/store_test.go
+++ b/internal/lab/store/store_test.go
@@ -9,8 +9,8 @@
 	"valvering.example/valvering/internal/lab/trace"
 )
 
-// A folder whose writer was killed within a line is read as far as it is whole, and
-// goes on from there; another experiment's is left alone.
+// TestResume checks that a folder whose last line is incomplete because the writer was killed can be
+// resumed after the last complete line, and that a folder of another experiment is not changed.
 func TestResume(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
 	m := Manifest{Name: "x", File: "name = 'x'", Runs: 3}
@@ -32,10 +32,10 @@
 		t.Fatal(err)
 	}
 	if _, err := Create(dir, m, false); err == nil {
-		t.Error("results were about to be mixed with others")
+		t.Error("Create without resume accepted a folder with results")
 	}
 	if _, err := Create(dir, Manifest{File: "name = 'y'"}, true); err == nil {
-		t.Error("another experiment's folder was taken")
+		t.Error("Create accepted the folder of another experiment")
 	}
 	f, err = Create(dir, m, true)
 	if err != nil || len(f.Lines) != 1 || f.Lines[0].Key != "a" {
@@ -70,6 +70,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(dir); err == nil {
-		t.Error("a line that is no result passed")
+		t.Error("Open accepted a line that is not a result")
 	}
 }
--- a/internal/lab/tally/book.go
+++ b/internal/lab/tally/book.go
@@ -1,8 +1,7 @@
-// Package tally keeps the accounts of a run: what was asked for, what became of it
-// and what that was worth; the true quotas; and the platform's rules. Both engines
-// feed it. Latencies count from the time a request was meant to be made, not from when
-// a late generator or a stalled edge node got round to it. Equal runs give
-// equal bytes.
+// Package tally keeps the statistics of a run: the requests, their outcomes and their value, the
+// customers' true quotas, and the breaches of the platform's rules. Both engines report to it. Latencies
+// count from the scheduled time of a request, so that delays of the load generator or of a stalled edge
+// node are included. Equal runs give equal bytes.
 package tally
 
 import (
@@ -19,69 +18,69 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// How a request ended.
+// How is the outcome of a request.
 type How int
 
-// The ends of a request, over all its tries.
+// Outcomes of a request, over all its tries.
 const (
 	Served  How = iota
 	Late        // served after its aim
 	Refused     // its last answer said that trying again is harmless
-	Failed      // it got another answer, or none in time
-	Lost        // no final answer came from an edge node that took it
+	Failed      // it got another error, or no answer in time
+	Lost        // an edge node accepted it and gave no final answer
 )
 
 var hows = [...]string{"served", "late", "refused", "failed", "lost"}
 
 func (h How) String() string { return hows[h] }
 
-// End is what became of one request of a client.
+// End describes how one request of a client ended.
 type End struct {
 	Class, Plan int
-	Node        int           // that gave the last answer
-	Units       float64       //
-	At          time.Duration // when it was meant to be made, since the run began
-	Latency     time.Duration // from then to the last answer
+	Node        int // edge node that gave the last answer; -1: none
+	Units       float64
+	At          time.Duration // scheduled time, since the start of the run
+	Latency     time.Duration // from the scheduled time to the last answer
 	How         How
-	Inside      bool // what was to be had: its units fitted as it came
-	Beyond      bool // it was sent on beyond quota or cap
+	Inside      bool // its units fitted within the quota when it arrived
+	Beyond      bool // it was sent to a server beyond quota or cap
 	Tries       int
 	Sends       int
-	HeldBack    bool // given up after half of its time with nothing sent on
+	HeldBack    bool // it ended unserved after half of its time without any attempt
 }
 
-// Histograms hold latencies in microseconds, up to two minutes, to three digits.
+// Range and precision of the latency histograms: microseconds, up to two minutes, three significant digits.
 const (
 	leastLatency, mostLatency = 1, 120_000_000
 	latencyDigits             = 3
 )
 
-// Book adds up the ends of requests, and the rest that is charged.
+// Book accumulates the outcomes of requests and the other quantities that enter a run's result.
 type Book struct {
 	Referee
 	w       *world.World
-	windows []Window // of one second, by the time of asking
+	windows []Window // of one second, by scheduled time of the request
 	classes []Part
 	plans   []Part
 	all     Part
-	lat     []*hdrhistogram.Histogram // by class, of what was served
+	lat     []*hdrhistogram.Histogram // of served requests, by class
 	nodes   []NodePart
 
 	FirstSends, Beyond int
 	Sends              int     // attempts
-	Wasted, Worked     float64 // seconds of work at lending servers
+	Wasted, Worked     float64 // work at servers in core-seconds
 	Handshakes         int
-	Rude, RudeIgnored  int    // clients that sent what can't be read, and that got neither an error nor a close
-	Mail, MailLost     int    // datagrams that came, and that did not
-	MailBytes          int64  // that came
-	MailPeak           int    // most that one edge node took in within a second
-	Unsound            string // why the run proves nothing; empty: it does
+	Rude, RudeIgnored  int    // clients with unreadable requests; those without error or close
+	Mail, MailLost     int    // datagrams received; datagrams lost
+	MailBytes          int64  // received
+	MailPeak           int    // maximum datagrams that one edge node received in a second
+	Unsound            string // why the run is not valid; empty: it is
 	digest             *xxhash.Digest
 
-	lateWorth, overWorth, heldWorth float64 // worth that is charged for
+	lateWorth, overWorth, heldWorth float64 // value subject to charges
 }
 
-// Part adds up the requests of a class, a plan or all.
+// Part accumulates the requests of a class, of a plan or of the whole run.
 type Part struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"requests"`
@@ -90,18 +89,18 @@
 	Refused  int     `json:"refused"`
 	Failed   int     `json:"failed"`
 	Lost     int     `json:"lost"`
-	Asked    float64 `json:"asked"`  // worth that was to be had
-	Earned   float64 `json:"earned"` // worth earned
-	Share    float64 `json:"share"`  // of the one in the other
+	Asked    float64 `json:"asked"`  // value of the requests within quota
+	Earned   float64 `json:"earned"` // value earned
+	Share    float64 `json:"share"`  // Earned / Asked, at most 1
 	P50      float64 `json:"p50_ms"`
 	P99      float64 `json:"p99_ms"`
 	P999     float64 `json:"p999_ms"`
-	// Latencies is the whole histogram, of a class: HdrHistogram's own encoding (V2,
-	// compressed, base64), in microseconds. Those of several runs merge without loss.
+	// Latencies is the histogram of a class in microseconds, in HdrHistogram's encoding (V2, compressed,
+	// base64). Histograms of several runs merge without loss.
 	Latencies string `json:"latencies,omitempty"`
 }
 
-// Window is one second.
+// Window accumulates one second of a run.
 type Window struct {
 	Second    int     `json:"second"`
 	Requests  int     `json:"requests"`
@@ -111,22 +110,22 @@
 	Lost      int     `json:"lost"`
 	Asked     float64 `json:"asked"`
 	Earned    float64 `json:"earned"`
-	Sent      int     `json:"sent"`   // first sends
-	Beyond    int     `json:"beyond"` // of them beyond quota or cap
+	Sent      int     `json:"sent"`   // first attempts of tries
+	Beyond    int     `json:"beyond"` // first attempts beyond quota or cap
 	Mail      int     `json:"mail"`
-	Out       int     `json:"out"` // most attempts out at once
+	Out       int     `json:"out"` // maximum attempts in flight
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
 	latencies []float64
 }
 
-// NodePart is one edge node's.
+// NodePart accumulates the requests of one edge node.
 type NodePart struct {
 	Requests int `json:"requests"`
 	Served   int `json:"served"`
 }
 
-// NewBook begins the accounts of a run.
+// NewBook returns an empty book for a run of a world.
 func NewBook(w *world.World) *Book {
 	b := &Book{w: w, windows: make([]Window, int(math.Ceil(w.For.D().Seconds()))), digest: xxhash.New(), nodes: make([]NodePart, w.Nodes)}
 	for i := range b.windows {
@@ -142,12 +141,12 @@
 	return b
 }
 
-// Worth is what a request earns when it is served inside its aim and quota.
+// Worth returns the value that a request earns if it is served within its aim and quota.
 func (b *Book) Worth(class, plan int, units float64) float64 {
 	return b.w.Classes[class].Value * b.w.Plans[plan].Price * units
 }
 
-// Window is the second that a moment lies in; nil: none of the run.
+// Window returns the window of a time, or nil if the time is outside the run.
 func (b *Book) Window(at time.Duration) *Window {
 	if i := int(at / time.Second); at >= 0 && i < len(b.windows) {
 		return &b.windows[i]
@@ -155,7 +154,7 @@
 	return nil
 }
 
-// Close enters the end of a request.
+// Close records the end of a request.
 func (b *Book) Close(e End) {
 	fmt.Fprintf(b.digest, "%d %d %d %d %d %d %v %d\n", e.Class, e.Plan, e.Node, e.At, e.Latency, e.How, e.Beyond, e.Sends)
 	if e.At < b.w.Warm.D() {
@@ -210,7 +209,7 @@
 		if e.Node >= 0 {
 			b.nodes[e.Node].Served++
 		}
-		// A latency outside the histogram's range can't be: clients give up before.
+		// Recording can't fail: the value is clamped to the histogram's range.
 		_ = b.lat[e.Class].RecordValue(max(leastLatency, min(e.Latency.Microseconds(), mostLatency)))
 	}
 	if win == nil {
@@ -232,7 +231,7 @@
 	}
 }
 
-// Result is a run's outcome, as it is printed and kept.
+// Result is the outcome of a run, as printed and stored.
 type Result struct {
 	Seed     uint64             `json:"seed"`
 	Engine   string             `json:"engine"`
@@ -245,19 +244,19 @@
 	Refused  int                `json:"refused"`
 	Failed   int                `json:"failed"`
 	Lost     int                `json:"lost"`
-	Worth    float64            `json:"worth"` // the figure of the run: goals less charges
+	Worth    float64            `json:"worth"` // score of the run: goals less charges
 	Goals    map[string]float64 `json:"goals"`
 	Charges  map[string]float64 `json:"charges"`
-	Rules    map[Rule]int       `json:"rules"` // broken, how often; empty: none
+	Rules    map[Rule]int       `json:"rules"` // number of breaches per rule; empty: none
 	Breaches []Breach           `json:"breaches,omitempty"`
 	Unsound  string             `json:"unsound,omitempty"`
-	Beyond   float64            `json:"beyond"`                 // share of first sends beyond quota or cap
-	Sends    float64            `json:"sends"`                  // attempts a request
-	Mail     float64            `json:"mail"`                   // datagrams an edge node and second
-	MailPeak int                `json:"mailpeak"`               // most in a second at one
-	MailLost float64            `json:"maillost"`               // share that did not come
-	Rude     int                `json:"rude,omitempty"`         // clients that sent what can't be read
-	Ignored  int                `json:"rude_ignored,omitempty"` // of them, got neither an error nor a close in time
+	Beyond   float64            `json:"beyond"`                 // share of first attempts beyond quota or cap
+	Sends    float64            `json:"sends"`                  // attempts per request
+	Mail     float64            `json:"mail"`                   // datagrams received per edge node and second
+	MailPeak int                `json:"mailpeak"`               // maximum datagrams at one edge node in a second
+	MailLost float64            `json:"maillost"`               // share of datagrams that were lost
+	Rude     int                `json:"rude,omitempty"`         // clients that sent unreadable requests
+	Ignored  int                `json:"rude_ignored,omitempty"` // those that got no error or close in time
 	Digest   string             `json:"digest"`
 	Classes  []Part             `json:"classes"`
 	Plans    []Part             `json:"plans"`
@@ -265,13 +264,13 @@
 	PerNode  []NodePart         `json:"pernode"`
 }
 
-// Weights of the goals, and the span of the worst window, as on the platform.
+// Weights of the goals and length of the worst window in seconds, as on the platform.
 const (
 	goalWhole, goalWindow, goalTenant, goalClass = 0.5, 0.25, 0.15, 0.1
 	worstSpan                                    = 10
 )
 
-// Result closes the accounts.
+// Result computes the result of the run.
 func (b *Book) Result(seed uint64) *Result {
 	share := func(p *Part) float64 { return min(1, p.Earned/max(p.Asked, 1e-9)) }
 	first := float64(max(1, b.all.Requests))
@@ -334,14 +333,14 @@
 		N []Window
 	}{r.Worth, r.Goals, r.Charges, r.Windows})
 	if err != nil {
-		panic(err) // plain figures
+		panic(err) // can't happen: plain numbers
 	}
-	_, _ = b.digest.Write(figures) // a hash takes all
+	_, _ = b.digest.Write(figures) // writing to a hash never fails
 	r.Digest = fmt.Sprintf("%016x", b.digest.Sum64())
 	return r
 }
 
-// worstWindow is the least share over worstSpan seconds.
+// worstWindow returns the lowest share earned over worstSpan consecutive seconds.
 func (b *Book) worstWindow() float64 {
 	list := b.windows[min(len(b.windows), int(b.w.Warm.D()/time.Second)):]
 	low := 1.0
@@ -361,7 +360,7 @@
 	return low
 }
 
-// quantileOf sorts the list.
+// quantileOf returns a quantile of a list, which it sorts in place.
 func quantileOf(list []float64, q float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -370,30 +369,30 @@
 	return stat.Quantile(q, stat.Empirical, list, nil)
 }
 
-// encode words a histogram; it can't fail for one that is empty or whole.
+// encode encodes a histogram.
 func encode(h *hdrhistogram.Histogram) string {
 	data, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
-		panic(err) // it is made here
+		panic(err) // can't happen: the histogram is valid
 	}
 	return string(data)
 }
 
-// Merged is a class of several runs taken together.
+// Merged holds the latencies of a class over several runs.
 type Merged struct {
 	Name           string
 	Served         int64
 	P50, P99, P999 float64 // ms
 }
 
-// Merge takes the classes of several runs together, whichever worker played them.
+// Merge merges the latency histograms of several runs by class.
 func Merge(runs []*Result) ([]Merged, error) {
 	var list []Merged
 	all := map[string]*hdrhistogram.Histogram{}
 	for _, r := range runs {
 		for _, p := range r.Classes {
 			if p.Latencies == "" {
-				continue // of an older program
+				continue // result of a version that stored no histograms
 			}
 			h, err := hdrhistogram.Decode([]byte(p.Latencies))
 			if err != nil {
@@ -419,7 +418,7 @@
 	return float64(h.ValueAtPercentile(q)) / 1000
 }
 
-// Shorten ends the accounts where a run was broken off.
+// Shorten drops the windows after the time at which a run was interrupted.
 func (b *Book) Shorten(played time.Duration) {
 	b.windows = b.windows[:min(len(b.windows), int(math.Ceil(played.Seconds())))]
 }
--- a/internal/lab/tally/merge_test.go
+++ b/internal/lab/tally/merge_test.go
@@ -8,8 +8,8 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// Runs taken together have the quantiles of one run that saw it all; what is no histogram is
-// refused, and runs of an older program, which kept none, are passed over.
+// TestMerge checks that merged runs have the same quantiles as one run with all requests, that an invalid
+// histogram gives an error, and that results of versions that stored no histogram are skipped.
 func TestMerge(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	w := world.Default(3, 3)
@@ -42,7 +42,7 @@
 	}
 }
 
-// Histograms come from files.
+// FuzzMerge checks that arbitrary histogram text from a file causes no panic.
 func FuzzMerge(f *testing.F) {
 	b := NewBook(world.Default(3, 3))
 	b.Close(End{At: time.Hour, How: Served, Latency: time.Second})
--- a/internal/lab/tally/quota.go
+++ b/internal/lab/tally/quota.go
@@ -6,33 +6,33 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// Account is a customer's true quota, over all edge nodes: it sees every first send.
+// Account is a customer's true quota over all edge nodes. It sees the first attempt of every try.
 type Account struct {
 	Plan    *world.Plan
 	store   float64
 	ceiling float64
 	at      time.Duration
-	out     int // attempts out, of the tries that count
+	out     int // attempts in flight
 	ideal   ideal
 }
 
-// ideal is the same quota under a policy that lets in what fits as it comes: it says
-// what was to be had.
+// ideal is the same quota under a policy that admits each request that fits when it arrives. It determines
+// which requests lie within the quota.
 type ideal struct {
 	store float64
 	at    time.Duration
 }
 
-// NewAccount starts with full stores.
+// NewAccount returns an account with full token buckets.
 func NewAccount(p *world.Plan, now time.Duration) *Account {
 	return &Account{Plan: p, store: p.Store, ceiling: p.HardSize, at: now, ideal: ideal{p.Store, now}}
 }
 
-// Fits tells whether a request that comes now lies inside the quota, were each let in
-// as it comes.
+// Fits reports whether a request that arrives now lies within the quota of the ideal policy, and charges
+// it.
 func (a *Account) Fits(units float64, now time.Duration) bool {
 	if a.Plan.Rate == 0 {
-		return true // a cap alone: it may wait
+		return true // a plan with a cap alone: the request may wait
 	}
 	i := &a.ideal
 	i.store = min(a.Plan.Store, i.store+a.Plan.Rate*(now-i.at).Seconds())
@@ -43,6 +43,7 @@
 	return true
 }
 
+// advance refills the token buckets up to now.
 func (a *Account) advance(now time.Duration) {
 	dt := (now - a.at).Seconds()
 	if a.at = max(a.at, now); dt > 0 {
@@ -51,8 +52,8 @@
 	}
 }
 
-// Send takes a try's units at its first send. It tells whether that lies inside the
-// quota, and by how much the ceiling is passed.
+// Send charges a try's units at its first attempt. It returns whether the try lies within the quota and
+// cap, and by how many units the customer exceeds its ceiling.
 func (a *Account) Send(units float64, now time.Duration) (inside bool, over float64) {
 	a.advance(now)
 	inside = (a.Plan.Rate == 0 || a.store >= units) && (a.Plan.Parallel == 0 || a.out < a.Plan.Parallel)
@@ -66,10 +67,10 @@
 	return inside, over
 }
 
-// Out counts attempts that begin (1) or end (-1).
+// Out changes the number of attempts in flight by d.
 func (a *Account) Out(d int) { a.out += d }
 
-// Room tells whether a try of so many units would lie inside the quota now.
+// Room reports whether a try of the given units would lie within quota, cap and ceiling now.
 func (a *Account) Room(units float64, now time.Duration) bool {
 	a.advance(now)
 	return (a.Plan.Rate == 0 || a.store >= units) && (a.Plan.Parallel == 0 || a.out < a.Plan.Parallel) &&
--- a/internal/lab/tally/rules.go
+++ b/internal/lab/tally/rules.go
@@ -9,29 +9,29 @@
 // Rule names one of the platform's rules, which a run must not break.
 type Rule string
 
-// The rules that the lab checks, after the platform's protocol.
+// Rules of the platform's protocol that the lab checks.
 const (
-	AnswerLost  Rule = "answer-lost"  // a request that an edge node took got no final answer
-	AnswerLate  Rule = "answer-late"  // or one too late
-	AnswerTwice Rule = "answer-twice" // or another behind the first
-	SecondCopy  Rule = "second-copy"  // sent again though it may have run and must not twice
-	Overlap     Rule = "overlap"      // two attempts out at once
-	Attempts    Rule = "attempts"     // more than a request may have
-	Drain       Rule = "drain"        // sent to a server that drains or is gone, after the grace
-	Cold        Rule = "cold"         // a starting server pushed over by those who knew
-	Datagram    Rule = "datagram"     // over 256 bytes
-	Quota       Rule = "quota"        // too large a share sent on beyond quota or cap
-	Ceiling     Rule = "ceiling"      // a hard ceiling passed
-	Foreign     Rule = "foreign"      // a lending server was sent what no client had sent in that form
-	Crash       Rule = "crash"        // an edge node's process ended that nobody had ended
+	AnswerLost  Rule = "answer-lost"  // an edge node accepted a request and gave no final answer
+	AnswerLate  Rule = "answer-late"  // a final answer came too late
+	AnswerTwice Rule = "answer-twice" // a second final answer
+	SecondCopy  Rule = "second-copy"  // sent again although it may have run and must not run twice
+	Overlap     Rule = "overlap"      // two attempts of a request in flight at once
+	Attempts    Rule = "attempts"     // more attempts than a request may have
+	Drain       Rule = "drain"        // sent to a draining or removed server after the grace period
+	Cold        Rule = "cold"         // a cold server overloaded by edge nodes that knew of its start
+	Datagram    Rule = "datagram"     // a datagram over 256 bytes
+	Quota       Rule = "quota"        // too large a share of first attempts beyond quota or cap
+	Ceiling     Rule = "ceiling"      // a hard ceiling exceeded
+	Foreign     Rule = "foreign"      // a server received a request that no client sent in that form
+	Crash       Rule = "crash"        // an edge node's process ended unexpectedly
 )
 
-// Breach is a rule broken: by which request, where and when.
+// Breach is one breach of a rule: the request, the edge node and the time.
 type Breach struct {
 	Rule    Rule          `json:"rule"`
 	Request string        `json:"request"`
 	Node    int           `json:"node"`
-	At      time.Duration `json:"at"` // since the run began
+	At      time.Duration `json:"at"` // since the start of the run
 	What    string        `json:"what"`
 }
 
@@ -39,17 +39,17 @@
 	return fmt.Sprintf("%s at %.3f s: request %s, edge node %d: %s", b.Rule, b.At.Seconds(), b.Request, b.Node, b.What)
 }
 
-// mostBreaches are kept of each rule; the rest is counted.
+// mostBreaches is the number of breaches stored per rule; further ones are only counted.
 const mostBreaches = 20
 
-// Referee keeps the breaches. It may be used by several goroutines at once.
+// Referee records breaches. It is safe for concurrent use.
 type Referee struct {
 	mu     sync.Mutex
 	list   []Breach
 	counts map[Rule]int
 }
 
-// Broken notes a breach.
+// Broken records a breach.
 func (r *Referee) Broken(rule Rule, request string, node int, at time.Duration, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// Breaches are the first of each rule, and how many there were.
+// Breaches returns the first breaches of each rule, and the number of breaches per rule.
 func (r *Referee) Breaches() ([]Breach, map[Rule]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -1,6 +1,6 @@
-// Package trace keeps what happened to each request of a run: where it came in, what
-// was asked of whom, where it was sent and how that ended. A Log holds at most as many
-// notes as it is told; what comes beyond is counted and left out.
+// Package trace records what happened to each request of a run: where it arrived, what was asked of
+// roots, where it was sent and with which outcome. A Log holds a limited number of notes; it drops and
+// counts the rest.
 package trace
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// What says what happened.
+// What is the kind of a note.
 type What string
 
-// The things that happen to a request.
+// Kinds of notes.
 const (
 	Asked    What = "client asks"
 	Came     What = "comes in"
@@ -33,7 +33,7 @@
 	Ended    What = "ends"
 )
 
-// Note is one thing that happened.
+// Note is one step in the course of a request.
 type Note struct {
 	At     time.Duration `json:"at"`
 	Node   int           `json:"node"`
@@ -41,30 +41,30 @@
 	Detail string        `json:"detail,omitempty"`
 }
 
-// Story is all that happened to one request of a client.
+// Story is the trace of one request of a client.
 type Story struct {
 	ID    string  `json:"id"`
 	Class string  `json:"class"`
 	Plan  string  `json:"plan"`
 	Key   string  `json:"customer"`
-	Worth float64 `json:"worth"` // it would have earned
-	Lost  float64 `json:"lost"`  // of it
-	// Inside says that it was to be had: it fitted its quota as it came.
+	Worth float64 `json:"worth"` // value if served within aim and quota
+	Lost  float64 `json:"lost"`  // value lost
+	// Inside is true if the request fitted within the quota when it arrived.
 	Inside bool   `json:"inside"`
 	How    string `json:"how"`
 	Cause  string `json:"cause,omitempty"`
 	Notes  []Note `json:"notes"`
 }
 
-// Log keeps the stories of a run.
+// Log holds the stories of a run.
 type Log struct {
 	Stories []*Story
-	Most    int // notes
+	Most    int // maximum number of notes
 	notes   int
-	Dropped int // notes beyond
+	Dropped int // notes and stories beyond Most
 }
 
-// Begin starts the story of a request.
+// Begin starts the story of a request. It returns nil for a nil log or a full one.
 func (l *Log) Begin(s Story) *Story {
 	if l == nil || l.notes >= l.Most {
 		if l != nil {
@@ -76,7 +76,7 @@
 	return &s
 }
 
-// Add adds a note to a story that was begun.
+// Add adds a note to a story; a nil story is ignored.
 func (l *Log) Add(s *Story, at time.Duration, node int, what What, format string, args ...any) {
 	if s == nil {
 		return
@@ -93,7 +93,7 @@
 	s.Notes = append(s.Notes, Note{at, node, what, detail})
 }
 
-// Write writes the stories, a line of JSON each, compressed.
+// Write writes the stories as gzip-compressed JSON lines.
 func (l *Log) Write(w io.Writer) error {
 	z := gzip.NewWriter(w)
 	enc := json.NewEncoder(z)
@@ -108,9 +108,9 @@
 	return nil
 }
 
-const mostLine = 1 << 20 // of a story
+const mostLine = 1 << 20 // bytes of a story's line
 
-// Read calls each for every story until it is false.
+// Read calls each for every story until each returns false.
 func Read(r io.Reader, each func(*Story) bool) error {
 	z, err := gzip.NewReader(r)
 	if err != nil {
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -7,29 +7,28 @@
 	"valvering.example/valvering/policy"
 )
 
-// MayRepeat tells whether a client may be told that a repeat is harmless though an
-// attempt may have run.
+// MayRepeat reports whether an answer may call a retry harmless although an attempt may have run.
 func (c *Class) MayRepeat() bool {
 	effect, group := c.Kind()
 	return effect == policy.Safe || effect == policy.Keyed && group == policy.GroupAll
 }
 
-// Retry is what a client goes by when a try of its was not served.
+// Retry is what a client knows when it decides whether to retry a request that was not served.
 type Retry struct {
 	Class    *Class
-	Harmless bool          // it was refused, or never taken
-	MayRan   bool          // an attempt may have run,
-	RanSince time.Duration // and was sent so long ago
-	Tries    int           // that were made
-	Advice   time.Duration // when to come again, of the answer; 0: none
-	Left     time.Duration // that the client still waits
-	Eager    float64       // it comes so many times as often and as soon
+	Harmless bool          // the last try was refused or never reached an edge node
+	MayRan   bool          // an attempt may have run
+	RanSince time.Duration // time since that attempt was sent
+	Tries    int           // tries made so far
+	Advice   time.Duration // retry delay that the answer advises; 0: none
+	Left     time.Duration // time that the client still waits
+	Eager    float64       // factor on the number of tries and divisor of the wait between them
 }
 
-// leastTry is the least time that a client leaves a try.
+// leastTry is the shortest time that a client allows for a try.
 const leastTry = 10 * time.Millisecond
 
-// Again tells whether a client comes again, and how long it waits first.
+// Again decides whether a client retries, and how long it waits first.
 func (w *World) Again(rng *rand.Rand, r Retry) (wait time.Duration, again bool) {
 	c := r.Class
 	may := r.Harmless || c.MayRepeat() && (c.Effect != "by_key" || !r.MayRan || r.RanSince < c.Window.D())
--- a/internal/lab/world/draw.go
+++ b/internal/lab/world/draw.go
@@ -7,9 +7,9 @@
 	"sort"
 )
 
-// Streams of random numbers: one for each purpose, so that one more draw for one of
-// them does not shift the others. Both engines draw the world and its faults from the
-// same ones: equal seeds give the same customers, servers and victims in both.
+// Streams of random numbers. Each purpose has its own, so that an additional draw in one does not shift the
+// others. Both engines draw the world and its faults from the same streams: equal seeds give the same
+// customers, servers and fault victims in both.
 const (
 	StreamWorld = iota + 1
 	StreamWork
@@ -17,30 +17,30 @@
 	StreamMail
 	StreamClients
 	StreamFaults
-	StreamNodes // and one for each further edge node
+	StreamNodes // first of one stream for each edge node
 )
 
-// Stream makes the random numbers of a seed for a purpose.
+// Stream returns the random number generator of a seed for a purpose.
 func Stream(seed uint64, purpose int) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, uint64(purpose)*0x9e3779b97f4a7c15))
 }
 
-// Person is a customer as it is drawn.
+// Person is a customer drawn from the seed.
 type Person struct {
 	Key           string
 	Plan          int
-	First, Spread int // its set of edge nodes
+	First, Spread int // its set of edge nodes: the first one and the size
 }
 
-// Drawn is what a seed makes of a world.
+// Drawn holds the servers and customers that a seed gives for a world.
 type Drawn struct {
-	Sizes  []float64 // of servers, against the mean
+	Sizes  []float64 // capacities of servers relative to the mean
 	People []Person
-	sums   []float64 // of their demand
+	sums   []float64 // cumulative demand of customers
 }
 
-// Draw draws servers and customers: plans by their parts, demand by plan and skew, sets
-// by how much of the traffic each edge node sees.
+// Draw draws servers and customers: plans by their fractions, demand by plan and skew, and sets of edge
+// nodes by each node's share of the traffic.
 func (w *World) Draw(seed uint64) *Drawn {
 	rng := Stream(seed, StreamWorld)
 	d := &Drawn{}
@@ -72,12 +72,12 @@
 	return d
 }
 
-// Anyone draws a customer by demand.
+// Anyone draws a customer, weighted by demand.
 func (d *Drawn) Anyone(rng *rand.Rand) int {
 	return min(sort.SearchFloat64s(d.sums, rng.Float64()*d.sums[len(d.sums)-1]), len(d.sums)-1)
 }
 
-// Share is the part of all demand that some customers have.
+// Share returns the fraction of all demand that comes from the listed customers.
 func (d *Drawn) Share(list []int) float64 {
 	sum := 0.0
 	for _, i := range list {
@@ -90,7 +90,7 @@
 	return sum / d.sums[len(d.sums)-1]
 }
 
-// ClassOf draws a class by its part.
+// ClassOf draws a class, weighted by its fraction of the requests.
 func (w *World) ClassOf(rng *rand.Rand) int {
 	sum := 0.0
 	for i := range w.Classes {
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Fault is one trouble: what, from when, for how long, how much of the fleet and how
-// bad. What a part and a size mean stands with each kind.
+// Fault is one fault of the platform: its kind, start, duration, scope and severity. Kinds explains what
+// the part and the size mean for each kind.
 type Fault struct {
 	Kind  string   `toml:"kind" json:"kind"`
-	Start Duration `toml:"start" json:"start"` // from the beginning of the run
+	Start Duration `toml:"start" json:"start"` // since the start of the run
 	For   Duration `toml:"for" json:"for"`
-	Part  float64  `toml:"part" json:"part"` // of edge nodes, servers or customers
+	Part  float64  `toml:"part" json:"part"` // fraction of edge nodes, servers or customers
 	Size  float64  `toml:"size" json:"size"`
-	Zone  int      `toml:"zone" json:"zone"` // where it concerns one; -1: drawn from the seed
+	Zone  int      `toml:"zone" json:"zone"` // for faults of one zone; -1: drawn from the seed
 }
 
-// End is when it is over.
+// End returns the time at which the fault ends.
 func (f *Fault) End() time.Duration { return f.Start.D() + f.For.D() }
 
-// Turn is when the turn of the i-th of n comes, where they are dealt with in so many steps
-// that are spread over the fault's time.
+// Turn returns the time at which the fault affects the i-th of n members, if it affects them in steps
+// that are spread evenly over its duration.
 func (f *Fault) Turn(i, n, steps int) time.Duration {
 	return f.Start.D() + f.For.D()*time.Duration(i*steps/n)/time.Duration(steps)
 }
 
-// Of a release: the new server is there first, then the old one drains, and ends.
+// Times of a release, after the new server is listed: the old server begins to drain, and ends.
 const (
 	DrainAfter = 500 * time.Millisecond
 	EndAfter   = 4 * time.Second
 )
 
-// Kinds are the faults by name, with what they do and their defaults.
+// Kinds holds the kinds of fault by name, with their effect and their defaults.
 var Kinds = map[string]struct {
 	What       string
 	For        time.Duration
@@ -65,7 +65,7 @@
 	"burst":          {"size times the load is asked for", 5 * time.Second, 1, 1.5},
 }
 
-// Days are compositions by name: the platform's own days, and calm.
+// Days holds named combinations of faults: the days that the platform defines, and calm.
 var Days = map[string][]Fault{
 	"calm":  {day("burst", 10, 5, 1, 1.5)},
 	"roll":  {day("roll", 2.5, 16, 0.1, 1), day("release", 3.5, 11, 0.5, 10)},
@@ -80,8 +80,8 @@
 	return Fault{Kind: kind, Start: s(start), For: s(length), Part: part, Size: size, Zone: -1}
 }
 
-// Named is a fault by kind with its defaults, a third into a run, or a whole day; nil:
-// there is none of that name.
+// Named returns the faults of a day, or one fault of a kind with its defaults that starts after a third
+// of the run. It returns nil if the name is unknown.
 func Named(name string, length time.Duration) []Fault {
 	if list, known := Days[name]; known {
 		return slices.Clone(list)
@@ -93,7 +93,7 @@
 	return []Fault{{Kind: name, Start: Duration(length / 3), For: Duration(min(k.For, length/3)), Part: k.Part, Size: k.Size, Zone: -1}}
 }
 
-// Names are all that Named knows.
+// Names returns all names that Named accepts.
 func Names() []string {
 	return append(slices.Sorted(maps.Keys(Days)), slices.Sorted(maps.Keys(Kinds))...)
 }
--- a/internal/lab/world/settings.go
+++ b/internal/lab/world/settings.go
@@ -11,8 +11,7 @@
 // obj is an object of the platform's settings.
 type obj = map[string]any
 
-// Facts are the settings that edge node me is told, nested as in its configuration
-// file and named as on the wire.
+// Facts returns the settings of edge node me, nested as in its configuration file and named as on the wire.
 func (w *World) Facts(me int) obj {
 	ms := func(d Duration) float64 { return d.D().Seconds() * 1000 }
 	var classes, plans []any
@@ -46,7 +45,7 @@
 	}
 }
 
-// facts are the same in the form that both programs read.
+// facts returns the same settings in the form that the edge node and the simulator's wire use.
 func (w *World) facts(me int) (wire.Facts, error) {
 	data, err := json.Marshal(w.Facts(me))
 	if err != nil {
@@ -55,7 +54,7 @@
 	return wire.FactsFromJSON(data)
 }
 
-// Settings is what the module of edge node me is told, read as the edge node reads it.
+// Settings returns the policy settings of edge node me, parsed as the edge node parses its configuration.
 func (w *World) Settings(me int) (policy.Settings, error) {
 	f, err := w.facts(me)
 	if err != nil {
@@ -64,7 +63,7 @@
 	return f.Settings()
 }
 
-// Pairs are the settings as the simulator's wire tells them.
+// Pairs returns the settings in the format of the simulator's wire.
 func (w *World) Pairs(me int) ([]string, error) {
 	f, err := w.facts(me)
 	return f.Pairs(), err
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -1,8 +1,7 @@
-// Package world says what the lab emulates: customers and their plans, classes of
-// request, edge nodes, lending servers, the network between them, discovery, and what
-// goes wrong. A World is plain data: both engines play it from a seed, and one that
-// passes Check can be played by either. Times are durations, rates are per second,
-// shares lie from 0 to 1.
+// Package world describes the platform that the lab emulates: customers and their plans, classes of
+// request, edge nodes, servers, the network between them, discovery, and faults. A World is plain data.
+// Both engines run it from a seed, and either can run a World that passes Check. Times are durations,
+// rates are per second, and shares lie between 0 and 1.
 package world
 
 import (
@@ -17,13 +16,13 @@
 	"valvering.example/valvering/policy"
 )
 
-// Duration is a time in a description, written as Go writes it: "250ms".
+// Duration is a duration in a description, written in Go's format: "250ms".
 type Duration time.Duration
 
-// D is the time as the rest of the program counts it.
+// D returns the value as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// UnmarshalText reads "1.5s" and the like.
+// UnmarshalText parses Go's format, such as "1.5s".
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -33,7 +32,7 @@
 	return nil
 }
 
-// MarshalText writes it in the same form.
+// MarshalText writes the format that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 // World is one emulated platform.
@@ -42,7 +41,7 @@
 	Servers int      `toml:"servers" json:"servers"`
 	Zones   int      `toml:"zones" json:"zones"`
 	For     Duration `toml:"for" json:"for"`
-	Warm    Duration `toml:"warm" json:"warm"` // cut off the front of what is counted
+	Warm    Duration `toml:"warm" json:"warm"` // initial time that is left out of the results
 
 	Load    Load    `toml:"load" json:"load"`
 	Client  Client  `toml:"client" json:"client"`
@@ -56,47 +55,47 @@
 	Faults  []Fault `toml:"fault" json:"fault"`
 }
 
-// Load is what is asked for.
+// Load is the load that clients generate.
 type Load struct {
-	Rate      float64  `toml:"rate" json:"rate"`           // first tries a second, over all edge nodes
-	Shape     string   `toml:"shape" json:"shape"`         // poisson, steady, wave, burst, trace
-	Swing     float64  `toml:"swing" json:"swing"`         // of a wave or burst, as a part of the rate
-	Period    Duration `toml:"period" json:"period"`       // of a wave; of a burst: from one to the next
-	Trace     string   `toml:"trace" json:"trace"`         // a file of arrival times in seconds, one a line
-	Customers int      `toml:"customers" json:"customers"` //
-	Spread    int      `toml:"spread" json:"spread"`       // edge nodes of a customer's set
-	Skew      float64  `toml:"skew" json:"skew"`           // Zipf exponent of customers' demand; 0: by their plans alone
-	Uneven    float64  `toml:"uneven" json:"uneven"`       // log-normal spread of edge nodes' parts of the traffic
-	Units     int      `toml:"units" json:"units"`         // most units of one request
+	Rate      float64  `toml:"rate" json:"rate"`     // first tries per second over all edge nodes
+	Shape     string   `toml:"shape" json:"shape"`   // poisson, steady, wave, burst, trace
+	Swing     float64  `toml:"swing" json:"swing"`   // amplitude of a wave or burst as a fraction of the rate
+	Period    Duration `toml:"period" json:"period"` // of a wave, or between the starts of two bursts
+	Trace     string   `toml:"trace" json:"trace"`   // file of arrival times in seconds, one per line
+	Customers int      `toml:"customers" json:"customers"`
+	Spread    int      `toml:"spread" json:"spread"` // mean number of edge nodes in a customer's set
+	Skew      float64  `toml:"skew" json:"skew"`     // spread of customers' demand; 0: by plan alone
+	Uneven    float64  `toml:"uneven" json:"uneven"` // log-normal spread of edge nodes' shares of the traffic
+	Units     int      `toml:"units" json:"units"`   // maximum units of one request
 }
 
-// Client is how clients behave.
+// Client describes the behaviour of clients.
 type Client struct {
-	Tries   int      `toml:"tries" json:"tries"`     // at most, the first included
-	Backoff Duration `toml:"backoff" json:"backoff"` // mean wait before a further try without advice
-	Heed    float64  `toml:"heed" json:"heed"`       // share that heeds Retry-After
-	Leave   float64  `toml:"leave" json:"leave"`     // share that gives up early
-	Notice  Duration `toml:"notice" json:"notice"`   // until the front notices that an edge node has died
+	Tries   int      `toml:"tries" json:"tries"`     // maximum, including the first
+	Backoff Duration `toml:"backoff" json:"backoff"` // mean wait before a retry without Retry-After
+	Heed    float64  `toml:"heed" json:"heed"`       // share of retries that observe Retry-After
+	Leave   float64  `toml:"leave" json:"leave"`     // share of requests that the client abandons early
+	Notice  Duration `toml:"notice" json:"notice"`   // delay until the front-end detects a crash
 }
 
 // Class is a class of request.
 type Class struct {
 	Name     string   `toml:"name" json:"name"`
-	Part     float64  `toml:"part" json:"part"` // of the requests
+	Part     float64  `toml:"part" json:"part"` // share of the requests
 	Aim      Duration `toml:"aim" json:"aim"`
 	Deadline Duration `toml:"deadline" json:"deadline"`
 	Effect   string   `toml:"effect" json:"effect"` // repeatable, by_key, once
 	Group    string   `toml:"group" json:"group"`   // all, zone, cell
 	Window   Duration `toml:"window" json:"window"`
 	Value    float64  `toml:"value" json:"value"`
-	Late     float64  `toml:"late" json:"late"` // share of the worth after the aim
-	Work     Duration `toml:"work" json:"work"` // mean time on an idle core
+	Late     float64  `toml:"late" json:"late"` // share of the value if served after the aim
+	Work     Duration `toml:"work" json:"work"` // mean processing time on an idle core
 }
 
 // Plan is a plan with its quotas for each customer.
 type Plan struct {
 	Name     string  `toml:"name" json:"name"`
-	Part     float64 `toml:"part" json:"part"` // of the customers
+	Part     float64 `toml:"part" json:"part"` // share of the customers
 	Rate     float64 `toml:"rate" json:"rate"`
 	Store    float64 `toml:"store" json:"store"`
 	Parallel int     `toml:"parallel" json:"parallel"`
@@ -108,18 +107,18 @@
 	Asks     float64 `toml:"asks" json:"asks"` // demand as a multiple of the quota, on average
 }
 
-// Server is a lending server; all are drawn from it.
+// Server describes the servers; each one is drawn from it.
 type Server struct {
-	Load        float64  `toml:"load" json:"load"`     // work asked for against the capacity of all
-	Slots       int      `toml:"slots" json:"slots"`   // requests worked on at once
-	Queue       int      `toml:"queue" json:"queue"`   // and waiting
-	Spread      float64  `toml:"spread" json:"spread"` // log-normal spread of the work of a request
-	Thrash      float64  `toml:"thrash" json:"thrash"` // capacity lost for each request at work beyond the cores, as a part
+	Load        float64  `toml:"load" json:"load"`     // offered work relative to the capacity of all servers
+	Slots       int      `toml:"slots" json:"slots"`   // maximum requests processed at once
+	Queue       int      `toml:"queue" json:"queue"`   // maximum requests waiting
+	Spread      float64  `toml:"spread" json:"spread"` // log-normal spread of the work per request
+	Thrash      float64  `toml:"thrash" json:"thrash"` // relative slowdown per request beyond the cores
 	Connections int      `toml:"connections" json:"connections"`
-	Handshake   Duration `toml:"handshake" json:"handshake"` // work of a new connection
-	Idle        Duration `toml:"idle" json:"idle"`           // an idle connection is closed after
+	Handshake   Duration `toml:"handshake" json:"handshake"` // work per new connection
+	Idle        Duration `toml:"idle" json:"idle"`           // time until an idle connection is closed
 	ColdShare   float64  `toml:"cold_share" json:"cold_share"`
-	Warm        Duration `toml:"warm" json:"warm"` // until a cold one has all its capacity
+	Warm        Duration `toml:"warm" json:"warm"` // time until a cold server reaches its full capacity
 	Unequal     float64  `toml:"unequal" json:"unequal"`
 }
 
@@ -127,46 +126,46 @@
 type Net struct {
 	Near      Duration `toml:"near" json:"near"` // one way, inside a zone
 	Far       Duration `toml:"far" json:"far"`   // one way, between zones
-	Peer      Duration `toml:"peer" json:"peer"` // least time of a datagram
+	Peer      Duration `toml:"peer" json:"peer"` // minimum latency of a datagram
 	PeerMore  Duration `toml:"peer_more" json:"peer_more"`
 	Loss      float64  `toml:"loss" json:"loss"`
 	Duplicate float64  `toml:"duplicate" json:"duplicate"`
-	Mail      float64  `toml:"mail" json:"mail"` // datagrams a second that an edge node takes in
-	Dial      Duration `toml:"dial" json:"dial"` // a connection that does not come up is given up after
+	Mail      float64  `toml:"mail" json:"mail"` // datagrams per second that an edge node can receive
+	Dial      Duration `toml:"dial" json:"dial"` // connect timeout
 }
 
 // Disc is discovery.
 type Disc struct {
-	Watch bool     `toml:"watch" json:"watch"` // must be asked; else changes come by themselves
-	Late  Duration `toml:"late" json:"late"`   // mean time until an edge node is told
-	Calls float64  `toml:"calls" json:"calls"` // calls a second that it serves; 0: any number
+	Watch bool     `toml:"watch" json:"watch"` // edge nodes call for lists; otherwise they are pushed
+	Late  Duration `toml:"late" json:"late"`   // mean delay until an edge node receives a change
+	Calls float64  `toml:"calls" json:"calls"` // calls per second that it can serve; 0: unlimited
 }
 
-// Rules are the figures of the rules, and what the lab lets pass.
+// Rules holds the limits of the rules and the tolerances of the lab's checks.
 type Rules struct {
 	Tick      Duration `toml:"tick" json:"tick"`
 	Attempts  int      `toml:"attempts" json:"attempts"`
-	Slack     Duration `toml:"slack" json:"slack"` // of a final answer, behind the client's deadline
-	Grace     Duration `toml:"grace" json:"grace"` // of a draining server
-	Fall      float64  `toml:"fall" json:"fall"`   // a cold server falls at this multiple of its capacity
+	Slack     Duration `toml:"slack" json:"slack"` // allowed delay of an answer after the deadline
+	Grace     Duration `toml:"grace" json:"grace"` // time in which a draining server may still get attempts
+	Fall      float64  `toml:"fall" json:"fall"`   // a cold server crashes at this multiple of its capacity
 	FallFor   Duration `toml:"fall_for" json:"fall_for"`
-	Retry     Duration `toml:"retry" json:"retry"`   // longest advice that clients heed
-	Beyond    float64  `toml:"beyond" json:"beyond"` // share of first sends beyond quota or cap that breaks a rule
+	Retry     Duration `toml:"retry" json:"retry"`   // maximum Retry-After that clients observe
+	Beyond    float64  `toml:"beyond" json:"beyond"` // maximum share of first sends beyond quota or cap
 	Tolerance float64  `toml:"tolerance" json:"tolerance"`
 }
 
-// Charges are taken off the result, as the platform does.
+// Charges holds the weights of the deductions from the result, as on the platform.
 type Charges struct {
 	Waste     float64 `toml:"waste" json:"waste"`
 	LateFail  float64 `toml:"late_fail" json:"late_fail"`
 	Handshake float64 `toml:"handshake" json:"handshake"`
 	Peer      float64 `toml:"peer" json:"peer"`
 	HeldBack  float64 `toml:"held_back" json:"held_back"`
-	Rude      float64 `toml:"rude" json:"rude"` // for the share of clients that can't be read and get neither an error nor a close
+	Rude      float64 `toml:"rude" json:"rude"` // per share of unreadable clients without error or close
 }
 
-// Default is a fleet of the project's own kind of platform, with so many edge nodes
-// and lending servers.
+// Default returns a fleet with the given numbers of edge nodes and servers and the platform's usual
+// settings.
 func Default(nodes, servers int) *World {
 	ms := func(n float64) Duration { return Duration(n * float64(time.Millisecond)) }
 	w := &World{Nodes: nodes, Servers: servers, Zones: 3, For: Duration(30 * time.Second), Warm: ms(2000),
@@ -197,13 +196,13 @@
 	return w
 }
 
-// SetRate sets the rate asked for, with as many customers as it takes.
+// SetRate sets the rate of first tries and the number of customers that generates it.
 func (w *World) SetRate(rate float64) {
 	w.Load.Rate = rate
 	w.Load.Customers = max(10, int(rate/w.meanDemand()))
 }
 
-// meanDemand is the first tries a second that a customer asks for, on average.
+// meanDemand returns the mean demand of a customer in first tries per second.
 func (w *World) meanDemand() float64 {
 	sum, parts := 0.0, 0.0
 	for _, p := range w.Plans {
@@ -212,18 +211,18 @@
 	return sum / max(parts, 1e-9)
 }
 
-// Demand is what a customer on a plan asks for, in first tries a second, before the
-// figures are scaled to the load's rate.
+// Demand returns the demand of a customer on a plan in first tries per second, before it is scaled to the
+// load's rate.
 func (w *World) Demand(p Plan) float64 {
 	units := float64(1+max(1, w.Load.Units)) / 2
 	if p.Rate > 0 {
 		return p.Asks * p.Rate / units
 	}
-	// Under a cap alone: what would keep a part of the places busy.
+	// A plan with a cap alone: the demand that would use a fraction of the cap.
 	return p.Asks * 0.5 * float64(max(1, p.Parallel)) / max(w.MeanWork()*3, 0.01) / 4
 }
 
-// MeanWork is the mean work of a request, in seconds of a core.
+// MeanWork returns the mean work of a request in core-seconds.
 func (w *World) MeanWork() float64 {
 	sum, parts := 0.0, 0.0
 	for _, c := range w.Classes {
@@ -232,25 +231,26 @@
 	return sum / max(parts, 1e-9)
 }
 
-// Cores is the capacity of one lending server, in cores: so many that the load asked
-// for is Server.Load of what all have.
+// Cores returns the capacity of one server in cores, such that the offered load is Server.Load times the
+// capacity of all servers.
 func (w *World) Cores() float64 {
 	return w.Load.Rate * w.MeanWork() / (w.Server.Load * float64(max(1, w.Servers)))
 }
 
-// ZoneOf deals edge nodes and lending servers out among the zones.
+// ZoneOf assigns edge nodes and servers to the zones in turn.
 func (w *World) ZoneOf(i int) int { return i % max(1, w.Zones) }
 
-// ZoneName is a zone's name on the wire.
+// ZoneName returns a zone's name on the wire.
 func ZoneName(z int) string { return "zone-" + string(rune('a'+z)) }
 
 var effects = map[string]policy.Effect{"repeatable": policy.Safe, "by_key": policy.Keyed, "once": policy.Unsafe}
 var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
 
-// Kind is what a repeat of the class does, and which servers know of it.
+// Kind returns the effect of a repeated request of the class and the group of servers that recognize the
+// repeat.
 func (c *Class) Kind() (policy.Effect, policy.Group) { return effects[c.Effect], groups[c.Group] }
 
-// Most that a description may ask for: beyond it a run would not end, or not fit.
+// Upper limits of a description. Larger runs would take too long or need too much memory.
 const (
 	MostNodes     = 3000
 	MostServers   = 2000
@@ -260,12 +260,12 @@
 	mostCustomers = 1_000_000
 )
 
-// Problem is one thing wrong with a description: where, and what.
+// Problem is one error in a description: the field and what is wrong.
 type Problem struct{ Field, What string }
 
 func (p Problem) Error() string { return p.Field + ": " + p.What }
 
-// Check returns all that is wrong with the description, each naming its field.
+// Check returns all errors of the description, each with its field.
 func (w *World) Check() (list []Problem) {
 	need := func(ok bool, field, format string, args ...any) {
 		if !ok {
