--- a/internal/lab/world/settings.go
+++ b/internal/lab/world/settings.go
@@ -46,12 +46,12 @@
 }
 
 // facts returns the same settings in the form that the edge node and the simulator's wire use.
-func (w *World) facts(me int) (wire.Facts, error) {
+func (w *World) facts(me int) (wire.SettingPairs, error) {
 	data, err := json.Marshal(w.Facts(me))
 	if err != nil {
-		return wire.Facts{}, fmt.Errorf("settings: %w", err)
+		return wire.SettingPairs{}, fmt.Errorf("settings: %w", err)
 	}
-	return wire.FactsFromJSON(data)
+	return wire.SettingPairsFromJSON(data)
 }
 
 // Settings returns the policy settings of edge node me, parsed as the edge node parses its configuration.
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -18,299 +18,327 @@
 	"valvering.example/valvering/policy"
 )
 
-// serverList is discovery's form of the list of app servers, target a line of it.
 type (
+	// serverList is the server list as discovery sends it.
 	serverList = roster.List
-	target     = roster.Target
+
+	// target is one line of a serverList.
+	target = roster.Target
 )
 
 const (
-	watchPause = 50 * time.Millisecond // a watch goes on if the next call comes within 200 ms
+	watchPause = 50 * time.Millisecond // discovery continues a watch if the next call arrives within 200 ms
 	minBackoff = 25 * time.Millisecond
-	maxHasty   = 4 // calls in a row that are given up early
 
-	// Of the grace in which sends to a draining server must end, where lists are pushed.
-	waitPart, slackPart, answerPart, backoffPart = 0.25, 0.125, 0.25, 0.125
-	minWait                                      = 50 * time.Millisecond
-	minAnswer                                    = 100 * time.Millisecond
+	// Calls in a row that get a short timeout.
+	maxShortCalls = 4
+
+	// Fractions of the drain grace period, within which requests to a draining server must end; used where
+	// discovery pushes the list.
+	pollTimeoutFraction, pollSlackFraction, hedgeDelayFraction, maxBackoffFraction = 0.25, 0.125, 0.25, 0.125
+
+	// Lower bounds of the times computed from these fractions.
+	minPollTime   = 50 * time.Millisecond
+	minHedgeDelay = 100 * time.Millisecond
 
-	pacingSeed = 0x64697363 // the stream of random numbers that pacing draws from
+	// Selects the stream of random numbers for the timing of calls.
+	callTimingSeed = 0x64697363
 
-	maxCalls = 8 // beside one another, of those that are not answered
+	// Calls in flight at once that have no response yet.
+	maxDiscoveryCalls = 8
 
-	answerStep = 64 << 10         // bytes of an answer after which it counts as coming
-	maxAnswer  = 10 * time.Second // and then it may go on so long
+	progressStepBytes = 64 << 10         // bytes by which a response makes progress
+	maxResponseTime   = 10 * time.Second // limit on a response that makes progress
 )
 
-// pacing is for how long discovery is waited for. A call that is not answered can't be
-// told from one that has nothing to tell, and a call swallowed by a silent agent is never
-// answered, though the agent may be back a moment later and what it has counts as told.
-type pacing struct {
-	wait    time.Duration // a watch is answered by then, with or without news
-	slack   time.Duration // and is held to be broken so much later
-	answer  time.Duration // all other calls are answered by then, or another is made beside them
-	patient time.Duration // and given up so long after they were made
-	hasty   time.Duration // most of those behind a failure so long; 0: none is
-	spread  time.Duration // the longest pause behind news, drawn at random: edge nodes get them at once
-	calls   int           // most of them beside one another
-	backoff time.Duration // the longest pause behind a call that failed
-	jitter  float64       // part of a pause and of some patience that is drawn at random: edge nodes must not call in step
+// callTiming holds the timeouts and pauses of calls to discovery. A watch that got lost looks like one
+// without changes. A call that a silent agent dropped is never answered, although the agent may
+// be back a moment later; from then on its changes count as announced to this edge node.
+type callTiming struct {
+	pollTimeout  time.Duration // long-poll time: discovery answers a watch by then, with or without changes
+	pollSlack    time.Duration // a watch fails this much after its long-poll time
+	hedgeDelay   time.Duration // delay before a parallel call is made to an unanswered one; not for watches
+	callTimeout  time.Duration // timeout of a call, except of watches
+	shortTimeout time.Duration // shorter timeout of most calls that follow a failure; 0: not used
+
+	// Upper bound of the random pause after a change, which discovery announces to all edge nodes at once.
+	maxChangePause time.Duration
+
+	maxCalls   int           // limit on calls in flight at once
+	maxBackoff time.Duration // upper bound of the pause after a failed call
+
+	// Fraction of a pause or a short timeout that is random, so that edge nodes don't call in lockstep.
+	jitter float64
 }
 
-// asked is the pacing where lists are asked for: the service is one for all edge nodes
-// and overrun by many calls. What a silent watch misses counts as told 6 s after it fell
-// silent; it is found out after 4 s, and the call that follows does not wait.
-var asked = pacing{wait: 3 * time.Second, slack: time.Second, answer: 2 * time.Second, patient: 2 * time.Second,
-	hasty: 500 * time.Millisecond, spread: 150 * time.Millisecond, calls: 1, backoff: 400 * time.Millisecond, jitter: 0.5}
+// pollTiming is the timing where the edge node must poll for the list: all edge nodes share one service,
+// which many calls overload. A change that a silent watch misses counts as announced 6 s after the
+// watch fell silent. The watch fails after 4 s, and the call that follows does not long-poll.
+var pollTiming = callTiming{pollTimeout: 3 * time.Second, pollSlack: time.Second,
+	hedgeDelay: 2 * time.Second, callTimeout: 2 * time.Second, shortTimeout: 500 * time.Millisecond,
+	maxChangePause: 150 * time.Millisecond, maxCalls: 1, maxBackoff: 400 * time.Millisecond, jitter: 0.5}
 
-// shorten takes a random part off a time.
-func (p pacing) shorten(rng *rand.Rand, d time.Duration) time.Duration {
+// subtractJitter subtracts a random part of a duration, up to the fraction jitter.
+func (p callTiming) subtractJitter(rng *rand.Rand, d time.Duration) time.Duration {
 	return d - time.Duration(p.jitter*rng.Float64()*float64(d))
 }
 
-// paceFor finds the pacing by a file. Where lists are pushed the agent answers at once and at
-// no cost, and what it has counts as told from the moment it is back. So nothing is waited for
-// longer than the grace bears: the sum of wait, slack, backoff and answer is at most three
-// quarters of it (where that leaves the least of each), and the rest is for the way.
-func paceFor(f *config.File) pacing {
-	if f.Settings.MustAsk {
-		return asked
+// timingFor returns the timing for a configuration. Where discovery pushes the list, its agent answers
+// at once and at no cost, and its changes count as announced from the moment that the agent is back.
+// The sum of pollTimeout, pollSlack, maxBackoff and hedgeDelay is therefore at most three quarters of
+// the drain grace period, unless their lower bounds are longer. The last quarter is for network and
+// processing delays.
+func timingFor(f *config.File) callTiming {
+	if f.Settings.MustWatch {
+		return pollTiming
 	}
-	part := func(p float64, least time.Duration) time.Duration {
-		return max(least, time.Duration(p*float64(f.DrainGrace)))
+	fractionOfGrace := func(fraction float64, minimum time.Duration) time.Duration {
+		return max(minimum, time.Duration(fraction*float64(f.DrainGrace)))
 	}
-	answer, calls := min(asked.answer, part(answerPart, minAnswer)), maxCalls
-	if n, _ := usable(f); n > 0 {
-		calls = callsFor(n)
+	hedgeDelay, maxCalls := min(pollTiming.hedgeDelay,
+		fractionOfGrace(hedgeDelayFraction, minHedgeDelay)), maxDiscoveryCalls
+	if n, _ := usableDescriptors(f); n > 0 {
+		maxCalls = discoveryCalls(n)
 	}
-	return pacing{wait: min(asked.wait, part(waitPart, minWait)), slack: min(asked.slack, part(slackPart, minWait)),
-		answer: answer, patient: min(asked.patient, time.Duration(calls)*answer), calls: calls,
-		backoff: min(asked.backoff, part(backoffPart, minBackoff))}
+	return callTiming{pollTimeout: min(pollTiming.pollTimeout,
+		fractionOfGrace(pollTimeoutFraction, minPollTime)),
+		pollSlack:   min(pollTiming.pollSlack, fractionOfGrace(pollSlackFraction, minPollTime)),
+		hedgeDelay:  hedgeDelay,
+		callTimeout: min(pollTiming.callTimeout, time.Duration(maxCalls)*hedgeDelay),
+		maxCalls:    maxCalls,
+		maxBackoff:  min(pollTiming.maxBackoff, fractionOfGrace(maxBackoffFraction, minBackoff))}
 }
 
-// discovery follows the list of app servers.
+// discovery is a client of the discovery service that keeps the server list current.
 type discovery struct {
-	tell func(*serverList, policy.MembersKind)
-	http http.Client
-	rng  *rand.Rand // of run alone
-
-	mu     sync.Mutex
-	addr   string
-	pace   pacing
-	limits roster.Limits
-	moved  context.CancelFunc // ends the watch at the address before
+	deliver func(*serverList, policy.UpdateKind) // a nil list reports a failed call
+	client  http.Client
+	rng     *rand.Rand // used by run only
+
+	mu           sync.Mutex
+	addr         string
+	timing       callTiming
+	limits       roster.Limits
+	cancelFollow context.CancelFunc // ends the calls to the previous address
 }
 
-func newDiscovery(f *config.File, tell func(*serverList, policy.MembersKind)) *discovery {
-	return &discovery{addr: f.Discovery, pace: paceFor(f), limits: roster.LimitsFor(f.MemoryMB), tell: tell, moved: func() {},
-		rng: rand.New(rand.NewPCG(f.Seed, pacingSeed)), http: http.Client{
-			Transport:     &http.Transport{DisableCompression: true, MaxIdleConns: 1, IdleConnTimeout: asked.wait},
+func newDiscovery(f *config.File, deliver func(*serverList, policy.UpdateKind)) *discovery {
+	return &discovery{addr: f.Discovery, timing: timingFor(f), limits: roster.LimitsFor(f.MemoryMB),
+		deliver: deliver, cancelFollow: func() {},
+		rng: rand.New(rand.NewPCG(f.Seed, callTimingSeed)), client: http.Client{
+			Transport: &http.Transport{DisableCompression: true, MaxIdleConns: 1,
+				IdleConnTimeout: pollTiming.pollTimeout},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}}
 }
 
-// apply takes over a file. Where it names another address, the open watch ends and
-// another begins there, with the whole list.
-func (d *discovery) apply(f *config.File) {
+// applyConfig applies a configuration. If it names another address, the calls to the old one are
+// cancelled and run fetches the whole list from the new one.
+func (d *discovery) applyConfig(f *config.File) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.pace, d.limits = paceFor(f), roster.LimitsFor(f.MemoryMB)
+	d.timing, d.limits = timingFor(f), roster.LimitsFor(f.MemoryMB)
 	if d.addr != f.Discovery {
 		d.addr = f.Discovery
-		d.moved()
+		d.cancelFollow()
 	}
 }
 
-// run follows the list, at whatever address is in force, until ctx ends.
+// run follows the list at the configured address until ctx is done.
 func (d *discovery) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		at, moved := context.WithCancel(ctx)
+		followCtx, cancel := context.WithCancel(ctx)
 		d.mu.Lock()
 		addr := d.addr
-		d.moved = moved
+		d.cancelFollow = cancel
 		d.mu.Unlock()
-		d.follow(at, addr)
-		moved()
-		d.http.CloseIdleConnections()
+		d.follow(followCtx, addr)
+		cancel()
+		d.client.CloseIdleConnections()
 	}
 }
 
-// follow fetches the whole list, then watches it, until ctx ends. What can't be
-// had is asked for again soon, without waiting for news; the list held stays in force
-// meanwhile.
+// follow fetches the whole list and then watches it until ctx is done. It retries a failed call
+// after a short backoff, without long-polling; the current list stays in force meanwhile.
 func (d *discovery) follow(ctx context.Context, addr string) {
-	f := &follower{d: d, url: "http://" + addr + "/v1/servers", backoff: minBackoff, heard: time.Now()}
+	f := &follower{d: d, url: "http://" + addr + "/v1/servers", backoff: minBackoff, silentSince: time.Now()}
 	for ctx.Err() == nil {
 		d.mu.Lock()
-		f.pace = d.pace
+		f.timing = d.timing
 		d.mu.Unlock()
 		began := time.Now()
-		l, err := f.call(ctx)
+		l, err := f.next(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && l.Twice != nil && (l.All || !f.have) {
-			err = l.Twice // it contradicts itself; among changes the last line counts
-			f.failed(err)
+		if err == nil && l.DuplicateErr != nil && (l.All || !f.hasList) {
+			err = l.DuplicateErr // a whole list must not repeat a server; among changes the last line counts
+			f.reportFailure(err)
 		}
 		if err != nil {
 			f.failures++
-			sleep(ctx, f.pace.shorten(d.rng, f.backoff))
-			f.backoff = min(2*f.backoff, f.pace.backoff)
+			sleep(ctx, f.timing.subtractJitter(d.rng, f.backoff))
+			f.backoff = min(2*f.backoff, f.timing.maxBackoff)
 			continue
 		}
-		f.take(l)
+		f.accept(l)
 		f.pauseBeforeWatch(ctx, began)
 	}
 }
 
-// follower follows the list at one address.
+// follower follows the list at one address of the discovery service.
 type follower struct {
-	d    *discovery
-	url  string
-	pace pacing
-
-	rev  int64
-	have bool // a list of version rev, which changes can be asked for of
-	news bool // the last answer brought changes to a list that was there
-
-	failures int // in a row
-	backoff  time.Duration
-	heard    time.Time // when discovery last answered, or a failure was told of
-	warned   bool      // since the last answer
-	bad      int       // lines passed over in the last list
+	d      *discovery
+	url    string
+	timing callTiming
+
+	rev     int64
+	hasList bool // a list of version rev was received; the next call may ask for changes since
+	changed bool // the last response brought a new version of the list
+
+	failures    int // in a row
+	backoff     time.Duration
+	silentSince time.Time // when discovery last answered or a failure was last reported
+	warned      bool      // a failure was logged since the last response
+	badLines    int       // invalid lines of the last list
 }
 
-// call asks for the whole list, for changes, or waits for changes.
-func (f *follower) call(ctx context.Context) (*serverList, error) {
+// next fetches the whole list if there is none. After a failure it fetches the changes at once;
+// otherwise it long-polls for changes.
+func (f *follower) next(ctx context.Context) (*serverList, error) {
 	changes := fmt.Sprintf("%s?since=%d&timeout_ms=", f.url, f.rev)
 	switch {
-	case !f.have:
-		return f.d.ask(ctx, f.url, f.patience(), f.failed)
+	case !f.hasList:
+		return f.d.fetch(ctx, f.url, f.nextTiming(), f.reportFailure)
 	case f.failures > 0:
-		return f.d.ask(ctx, changes+"0", f.patience(), f.failed)
+		return f.d.fetch(ctx, changes+"0", f.nextTiming(), f.reportFailure)
 	}
-	wait := strconv.FormatInt(f.pace.wait.Milliseconds(), 10)
-	l, err := f.d.get(ctx, changes+wait, f.pace.wait+f.pace.slack, new(atomic.Int64))
+	wait := strconv.FormatInt(f.timing.pollTimeout.Milliseconds(), 10)
+	l, err := f.d.fetchOnce(ctx, changes+wait, f.timing.pollTimeout+f.timing.pollSlack, new(atomic.Int64))
 	if err != nil && ctx.Err() == nil {
-		f.failed(err)
+		f.reportFailure(err)
 	}
 	return l, err
 }
 
-// patience is the pacing with the time that the next call is given. A call that was swallowed is
-// given up early, by an edge node that was unlucky among many; each maxHasty+1st has all the time,
-// for a service that needs it.
-func (f *follower) patience() pacing {
-	pace := f.pace
-	if pace.hasty > 0 && f.failures%(maxHasty+1) < maxHasty {
-		pace.patient = pace.shorten(f.d.rng, pace.hasty)
+// nextTiming returns the timing with the timeout of the next call. The timeout after a failure is
+// short, since a dropped call is never answered. Every (maxShortCalls+1)th call in a row of failures has
+// the full timeout, for a service that is slow.
+func (f *follower) nextTiming() callTiming {
+	timing := f.timing
+	if timing.shortTimeout > 0 && f.failures%(maxShortCalls+1) < maxShortCalls {
+		timing.callTimeout = timing.subtractJitter(f.d.rng, timing.shortTimeout)
 	}
-	return pace
+	return timing
 }
 
-// failed tells of a call that failed. One that was given up early says little: it is told of once
-// nothing was heard for half of the time that a patient call has.
-func (f *follower) failed(err error) {
-	var unanswered unansweredError
-	if errors.As(err, &unanswered) && unanswered.limit < f.pace.patient && time.Since(f.heard) < f.pace.patient/2 {
+// reportFailure reports a failed call. A call with a short timeout says little about the service: its
+// failure is reported only after a silence of half the full timeout.
+func (f *follower) reportFailure(err error) {
+	var timedOut callTimeoutError
+	if errors.As(err, &timedOut) && timedOut.timeout < f.timing.callTimeout &&
+		time.Since(f.silentSince) < f.timing.callTimeout/2 {
 		return
 	}
 	if !f.warned {
-		slog.Warn("discovery does not answer; the list held stays in force", "err", err)
+		slog.Warn("discovery does not answer; the current server list stays in force", "err", err)
 	}
-	f.warned, f.heard = true, time.Now()
-	f.d.tell(nil, policy.AskFailed)
+	f.warned, f.silentSince = true, time.Now()
+	f.d.deliver(nil, policy.WatchFailed)
 }
 
-// take hands on a list.
-func (f *follower) take(l *serverList) {
+// accept delivers a list or changes and resets the state of failures.
+func (f *follower) accept(l *serverList) {
 	if f.warned {
 		slog.Info("discovery answers again", "rev", l.Rev)
 	}
-	f.warned, f.heard, f.backoff, f.failures = false, time.Now(), minBackoff, 0
-	if l.Bad != f.bad && l.Bad > 0 {
-		slog.Warn("lines of discovery's list passed over", "lines", l.Bad, "first", l.BadWhy)
+	f.warned, f.silentSince, f.backoff, f.failures = false, time.Now(), minBackoff, 0
+	if l.Invalid != f.badLines && l.Invalid > 0 {
+		slog.Warn("invalid lines of discovery's list passed over", "lines", l.Invalid, "first", l.InvalidErr)
 	}
-	f.bad = l.Bad
+	f.badLines = l.Invalid
 	switch {
-	case l.All || !f.have:
-		f.d.tell(l, policy.Whole)
+	case l.All || !f.hasList:
+		f.d.deliver(l, policy.FullList)
 	case len(l.Targets) > 0:
-		f.d.tell(l, policy.Changes)
+		f.d.deliver(l, policy.Changes)
 	}
-	f.news = !f.have || l.Rev != f.rev
-	// A version that goes back is another's: what changed since is not known of it.
-	f.rev, f.have = l.Rev, l.All || !f.have || l.Rev >= f.rev
+	f.changed = !f.hasList || l.Rev != f.rev
+	// A lower version comes from another instance of the service: versions known here mean nothing to it,
+	// so the next call fetches the whole list.
+	f.rev, f.hasList = l.Rev, l.All || !f.hasList || l.Rev >= f.rev
 }
 
-// pauseBeforeWatch waits where the service does not, and where it has just answered all edge
-// nodes at once: most calls of all of them together would find it busy.
+// pauseBeforeWatch pauses if discovery answered a watch early without changes, which would otherwise
+// become a busy loop. It also pauses after a change, which reaches all edge nodes at once: most of
+// their next calls would find the service busy.
 func (f *follower) pauseBeforeWatch(ctx context.Context, began time.Time) {
 	switch {
-	case !f.news && time.Since(began) < watchPause:
+	case !f.changed && time.Since(began) < watchPause:
 		sleep(ctx, watchPause)
-	case f.news && f.pace.spread > 0:
-		sleep(ctx, time.Duration(f.d.rng.Int64N(int64(f.pace.spread))))
+	case f.changed && f.timing.maxChangePause > 0:
+		sleep(ctx, time.Duration(f.d.rng.Int64N(int64(f.timing.maxChangePause))))
 	}
 }
 
-// ask makes a call that does not wait for news. While it is not answered others are made
-// beside it: it may have been swallowed, and the agent back; or the agent is slow, and to
-// give it up would be to hear nothing. While an answer is coming none is made. Each call that fails is told of; the error comes
-// when none is out any more.
-func (d *discovery) ask(ctx context.Context, url string, pace pacing, failed func(error)) (*serverList, error) {
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	type answer struct {
+// fetch makes a call without long-polling. While the call is unanswered, fetch makes further calls in
+// parallel. The first one may have been dropped by an agent that is back by now, and if the agent is
+// slow, cancelling the first call would lose its response. While a response is arriving, fetch makes no
+// further call. Each failed call is passed to onFailure; fetch returns an error once no call is in flight.
+func (d *discovery) fetch(ctx context.Context, url string, timing callTiming,
+	onFailure func(error)) (*serverList, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	type response struct {
 		l   *serverList
 		err error
 	}
-	answers, out := make(chan answer, maxCalls), 0
-	var steps atomic.Int64 // of the answers that are coming
-	seen := int64(0)
-	call := func() {
-		out++
+	responses, inFlight := make(chan response, maxDiscoveryCalls), 0
+	var steps atomic.Int64 // progress of the arriving responses
+	lastSteps := int64(0)
+	startCall := func() {
+		inFlight++
 		go func() {
-			l, err := d.get(ctx, url, pace.patient, &steps)
-			answers <- answer{l, err}
+			l, err := d.fetchOnce(ctx, url, timing.callTimeout, &steps)
+			responses <- response{l, err}
 		}()
 	}
-	call()
-	again := time.NewTicker(pace.answer)
-	defer again.Stop()
-	if pace.answer >= pace.patient { // where calls cost
-		again.Stop()
+	startCall()
+	hedgeTicker := time.NewTicker(timing.hedgeDelay)
+	defer hedgeTicker.Stop()
+	if timing.hedgeDelay >= timing.callTimeout { // parallel calls would load a shared service
+		hedgeTicker.Stop()
 	}
 	for {
 		select {
-		case a := <-answers:
-			if out--; a.err == nil {
-				return a.l, nil
+		case r := <-responses:
+			if inFlight--; r.err == nil {
+				return r.l, nil
 			}
 			if ctx.Err() == nil {
-				failed(a.err)
+				onFailure(r.err)
 			}
-			if out == 0 {
-				return nil, a.err
+			if inFlight == 0 {
+				return nil, r.err
 			}
-		case <-again.C:
-			coming := steps.Load() > seen
-			seen = steps.Load()
-			if !coming && out < pace.calls && ctx.Err() == nil {
-				call()
+		case <-hedgeTicker.C:
+			progressed := steps.Load() > lastSteps
+			lastSteps = steps.Load()
+			if !progressed && inFlight < timing.maxCalls && ctx.Err() == nil {
+				startCall()
 			}
 		}
 	}
 }
 
-// get makes one call. It is given up where nothing comes for the limit; steps counts the
-// full steps of its answer.
-func (d *discovery) get(ctx context.Context, url string, limit time.Duration, steps *atomic.Int64) (*serverList, error) {
-	ctx, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	giveUp := time.AfterFunc(limit, func() { end(unansweredError{limit}) })
-	defer giveUp.Stop()
+// fetchOnce makes one call. The call fails if it neither completes nor receives a full step of its
+// response within timeout. steps counts the full steps.
+func (d *discovery) fetchOnce(ctx context.Context, url string, timeout time.Duration,
+	steps *atomic.Int64) (*serverList, error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	timer := time.AfterFunc(timeout, func() { cancel(callTimeoutError{timeout}) })
+	defer timer.Stop()
 	d.mu.Lock()
 	limits := d.limits
 	d.mu.Unlock()
@@ -318,7 +346,7 @@
 	if err != nil {
 		return nil, err
 	}
-	resp, err := d.http.Do(req)
+	resp, err := d.client.Do(req)
 	if err != nil {
 		return nil, err
 	}
@@ -326,35 +354,35 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	body := &answerReader{from: resp.Body, steps: steps, began: time.Now(), limit: limit, giveUp: giveUp}
+	body := &progressReader{body: resp.Body, steps: steps, began: time.Now(), timeout: timeout, timer: timer}
 	return roster.Decode(body, limits)
 }
 
-// unansweredError is the end of a call that was given up.
-type unansweredError struct{ limit time.Duration }
+// callTimeoutError is the error of a call that timed out.
+type callTimeoutError struct{ timeout time.Duration }
 
-func (e unansweredError) Error() string { return fmt.Sprintf("no answer within %v", e.limit) }
+func (e callTimeoutError) Error() string { return fmt.Sprintf("no response within %v", e.timeout) }
 
-// answerReader reads an answer that may be large. Whoever sends it without a stop is
-// given more time, within a bound.
-type answerReader struct {
-	from   io.Reader
-	steps  *atomic.Int64
-	part   int // bytes since the last step
-	began  time.Time
-	limit  time.Duration
-	giveUp *time.Timer
+// progressReader reads the body of a response. Each full step extends the timeout of the call, until
+// maxResponseTime has passed.
+type progressReader struct {
+	body        io.Reader
+	steps       *atomic.Int64
+	partialStep int // bytes since the last full step
+	began       time.Time
+	timeout     time.Duration
+	timer       *time.Timer // cancels the call
 }
 
-func (r *answerReader) Read(b []byte) (int, error) {
-	n, err := r.from.Read(b)
-	if r.part += n; r.part < answerStep {
+func (r *progressReader) Read(b []byte) (int, error) {
+	n, err := r.body.Read(b)
+	if r.partialStep += n; r.partialStep < progressStepBytes {
 		return n, err
 	}
-	r.part = 0
+	r.partialStep = 0
 	r.steps.Add(1)
-	if time.Since(r.began) < maxAnswer {
-		r.giveUp.Reset(r.limit)
+	if time.Since(r.began) < maxResponseTime {
+		r.timer.Reset(r.timeout)
 	}
 	return n, err
 }
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -18,52 +18,57 @@
 )
 
 const (
-	firstRequest  = 2 * time.Second  // from the connect to the end of the first request
-	wholeRequest  = 2 * time.Second  // from a later request's first byte to its last
-	clientIdle    = 10 * time.Second // between requests
-	writeTimeout  = 5 * time.Second
-	acceptPause   = 5 * time.Millisecond // after an error, doubled with each that follows
-	acceptMost    = time.Second
-	maxEmptyLines = 4                      // passed over ahead of a request
-	maxBad        = 3                      // requests in a row that can't be used, then the connection is closed
-	badPause      = 100 * time.Millisecond // before the next is read: one client must not take the core from others
+	// Timeouts of a client connection.
+	firstRequestTimeout = 2 * time.Second  // from the accept to the last byte of the first request
+	requestTimeout      = 2 * time.Second  // from the first to the last byte of a later request
+	clientIdleTimeout   = 10 * time.Second // between requests
+	writeTimeout        = 5 * time.Second
+
+	// Delay after a failed accept. It doubles with each further error.
+	minAcceptDelay = 5 * time.Millisecond
+	maxAcceptDelay = time.Second
+
+	// Limits on invalid input.
+	maxEmptyLines   = 4                      // skipped ahead of a request
+	maxBadRequests  = 3                      // invalid requests in a row after which the connection is closed
+	badRequestDelay = 100 * time.Millisecond // delay after each: a single client must not use up the CPU
 )
 
-// server is the clients' side: it reads their requests, hands them to the
-// loop, carries out what the loop commands and writes the one answer.
-type server struct {
-	clock    clock
-	gen      atomic.Pointer[config.Generation] // in force
-	up       *upstream
-	events   chan<- any
-	ready    atomic.Bool
-	draining atomic.Bool
-	tight    atomic.Bool // more connections are open than may be kept
-
-	mu     sync.Mutex
-	most   int // connections kept open at once
-	spare  int // and so many more that are being closed
-	conns  map[*clientConn]struct{}
-	shut   int           // of them, being closed
-	active time.Duration // when a request was last taken
+// httpServer is the HTTP server for clients. It reads requests, passes them to the loop, carries out the
+// loop's commands and writes one response to each request.
+type httpServer struct {
+	clock      clock
+	generation atomic.Pointer[config.Generation] // in force
+	upstream   *upstream
+	events     chan<- any
+	ready      atomic.Bool
+	draining   atomic.Bool
+	overLimit  atomic.Bool // set when more connections than the limit are open
+
+	mu           sync.Mutex
+	maxConns     int // limit on open connections, without those that are being closed
+	maxClosing   int // limit on connections that are being closed
+	conns        map[*clientConn]struct{}
+	closingConns int           // number of conns that are being closed
+	lastRequest  time.Duration // when the last request began to be processed
 }
 
-// clientConn is a client's connection.
+// clientConn is the connection of a client.
 type clientConn struct {
 	net.Conn
-	in        stream
-	readAhead readAhead
-	req       clientRequest
-	out       []byte
-	bad       int // requests that couldn't be used since the last that could
-
-	// Under the server's mutex.
-	state connState
-	since time.Duration
-	good  bool // a request that could be used has come
-	probe bool // or else one for readiness, which nobody loses
-	shut  bool // this edge node sends nothing more on it, and takes no request
-	// closed without waiting: others needed its descriptor
+	input       stream
+	readAhead   readAhead
+	request     clientRequest
+	writeBuf    []byte
+	badRequests int // invalid requests since the last valid one
+
+	// Guarded by the server's mutex.
+	state          connState
+	stateSince     time.Duration // start of the state
+	carriedRequest bool          // has carried a valid request
+	carriedProbe   bool          // has carried a readiness probe
+	closing        bool          // is being closed: nothing more is sent, and no request is processed
+	// closed is set when the lingering close was cut short because its descriptor was needed.
 	closed bool
 }
 
@@ -71,215 +76,222 @@
 
 const (
 	connIdle    connState = iota
-	connReading           // a request has begun to come
-	connBusy              // one has been taken and not answered
+	connReading           // part of a request has been received
+	connBusy              // a request is being processed
 )
 
-// clientRequest is a request as it came.
+// clientRequest is a request as received.
 type clientRequest struct {
 	head
 	method, target []byte
 	body           []byte
 }
 
-// newServer keeps at most so many connections open at once.
-func newServer(c clock, gen *config.Generation, up *upstream, events chan<- any, most int) *server {
-	s := &server{clock: c, up: up, events: events, conns: map[*clientConn]struct{}{}}
-	s.bound(most)
-	s.gen.Store(gen)
+// newHTTPServer returns a server for at most so many connections at once, including those that are being
+// closed.
+func newHTTPServer(c clock, generation *config.Generation, up *upstream, events chan<- any,
+	limit int) *httpServer {
+	s := &httpServer{clock: c, upstream: up, events: events, conns: map[*clientConn]struct{}{}}
+	s.divideLimit(limit)
+	s.generation.Store(generation)
 	return s
 }
 
-// bound deals out descriptors. The caller holds the mutex, or is alone.
-func (s *server) bound(most int) {
-	s.spare = int(lingerPart * float64(most))
-	s.most = most - s.spare
+// divideLimit divides the limit between open connections and those that are being closed. The caller holds
+// the mutex or is the only user.
+func (s *httpServer) divideLimit(limit int) {
+	s.maxClosing = int(lingerShare * float64(limit))
+	s.maxConns = limit - s.maxClosing
 }
 
-// keepTo changes how many connections may be open. Of those beyond, what is idle
-// is closed at once, the oldest first, and the others with their next answer.
-func (s *server) keepTo(most int) {
+// setLimit changes the limit on connections. To meet it, idle connections are closed at once, the longest
+// idle first, and others after their next response.
+func (s *httpServer) setLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bound(most)
+	s.divideLimit(limit)
 	var idle []*clientConn
 	for cc := range s.conns {
-		if !cc.shut && cc.state == connIdle {
+		if !cc.closing && cc.state == connIdle {
 			idle = append(idle, cc)
 		}
 	}
-	slices.SortFunc(idle, func(a, b *clientConn) int { return cmp.Compare(a.since, b.since) })
+	slices.SortFunc(idle, func(a, b *clientConn) int { return cmp.Compare(a.stateSince, b.stateSince) })
 	for _, cc := range idle {
-		if len(s.conns)-s.shut > s.most {
-			s.end(cc)
+		if len(s.conns)-s.closingConns > s.maxConns {
+			s.beginClose(cc)
 		}
 	}
-	s.tight.Store(len(s.conns)-s.shut > s.most)
+	s.overLimit.Store(len(s.conns)-s.closingConns > s.maxConns)
 }
 
-// crowded tells whether an answered connection has to go.
-func (s *server) crowded() bool {
-	if !s.tight.Load() {
+// exceedsLimit reports whether a connection must be closed after its response to meet the limit.
+func (s *httpServer) exceedsLimit() bool {
+	if !s.overLimit.Load() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	over := len(s.conns)-s.shut > s.most
-	s.tight.Store(over)
+	over := len(s.conns)-s.closingConns > s.maxConns
+	s.overLimit.Store(over)
 	return over
 }
 
-// serve accepts connections until the listener is closed. Its deadline has it close the
-// listener itself, behind what has come by then: what the system has accepted counts as
-// taken, and closed over it would be reset. An error ends it only where
-// the listener is none any more. All others pass: the system hands on what went wrong
-// on the way of a connection that nobody has accepted yet, whatever that is.
-func (s *server) serve(ln net.Listener) error {
-	last := false
-	for pause := acceptPause; ; {
+// serve accepts connections until the listener is closed. When the listener's deadline expires, serve first
+// accepts the connections that the kernel has queued and then closes the listener itself, since a close would
+// reset queued connections. An accept error ends serve only if the listener is unusable. Any other error may
+// belong to a single connection that failed before it was accepted, so serve retries after a delay.
+func (s *httpServer) serve(ln net.Listener) error {
+	finalAccepts := false
+	for pause := minAcceptDelay; ; {
 		c, err := ln.Accept()
 		switch {
 		case err == nil:
-			pause = acceptPause
-			go s.talk(s.enter(c))
+			pause = minAcceptDelay
+			go s.serveConn(s.addConn(c))
 			continue
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			d, ok := ln.(interface{ SetDeadline(time.Time) error })
-			if last || !ok || d.SetDeadline(time.Now().Add(lastAccept)) != nil {
+			if finalAccepts || !ok || d.SetDeadline(time.Now().Add(shutdownFinalAccept)) != nil {
 				return ln.Close()
 			}
-			last = true
+			finalAccepts = true
 			continue
-		case among(err, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK):
+		case isAny(err, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK):
 			return err
-		case among(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM): // all are in use
+		// Out of descriptors or memory.
+		case isAny(err, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM):
 			s.mu.Lock()
-			s.shutOne()
-			s.closeOldestLingering() // its descriptor is wanted now
+			s.closeLeastUseful()
+			s.closeOldestLingering() // frees a descriptor at once
 			s.mu.Unlock()
-			pause = acceptPause
-		case pause == acceptPause:
+			pause = minAcceptDelay
+		case pause == minAcceptDelay:
 			slog.Warn("a connection could not be accepted", "err", err)
 		}
 		time.Sleep(pause)
-		pause = min(2*pause, acceptMost)
+		pause = min(2*pause, maxAcceptDelay)
 	}
 }
 
-func among(err error, list ...error) bool {
+// isAny reports whether err is one of list.
+func isAny(err error, list ...error) bool {
 	return slices.ContainsFunc(list, func(e error) bool { return errors.Is(err, e) })
 }
 
-// enter counts a new connection. Over the bound another is closed for it, or
-// itself when all others are busy.
-func (s *server) enter(c net.Conn) *clientConn {
+// addConn registers a new connection. At the limit it closes another connection, or the new one if all others
+// are busy.
+func (s *httpServer) addConn(c net.Conn) *clientConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	full := len(s.conns)-s.shut >= s.most && !s.shutOne()
-	cc := &clientConn{Conn: c, since: s.clock.now()}
-	cc.in.src = cc
+	full := len(s.conns)-s.closingConns >= s.maxConns && !s.closeLeastUseful()
+	cc := &clientConn{Conn: c, stateSince: s.clock.now()}
+	cc.input.src = cc
 	s.conns[cc] = struct{}{}
 	if full {
-		s.end(cc)
+		s.beginClose(cc)
 	}
 	return cc
 }
 
-// shutOne closes the connection that is missed least: one that has brought nothing
-// of use, then one that is idle; the oldest first.
-func (s *server) shutOne() bool {
-	var least *clientConn
+// closeLeastUseful closes one connection that is not busy. It prefers connections without a valid request
+// so far, then the one that has been in its state for the longest time. It returns false if all are busy.
+func (s *httpServer) closeLeastUseful() bool {
+	var candidate *clientConn
 	rank := func(cc *clientConn) int {
-		if cc.good {
+		if cc.carriedRequest {
 			return 1
 		}
 		return 0
 	}
 	for cc := range s.conns {
-		if cc.state == connBusy || cc.shut {
+		if cc.state == connBusy || cc.closing {
 			continue
 		}
-		if least == nil || rank(cc) < rank(least) || rank(cc) == rank(least) && cc.since < least.since {
-			least = cc
+		if candidate == nil || rank(cc) < rank(candidate) ||
+			rank(cc) == rank(candidate) && cc.stateSince < candidate.stateSince {
+			candidate = cc
 		}
 	}
-	if least != nil {
-		s.end(least)
+	if candidate != nil {
+		s.beginClose(candidate)
 	}
-	return least != nil
+	return candidate != nil
 }
 
-// shutIdle closes the connections that have been idle for so long, and those
-// whose requests don't come to an end.
-func (s *server) shutIdle(least time.Duration) {
+// closeIdle closes the connections that have been idle for at least the given time, and those that have been
+// sending a request for shutdownReadTimeout.
+func (s *httpServer) closeIdle(minIdle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.now()
 	for cc := range s.conns {
-		age := now - cc.since
-		if !cc.shut && (cc.state == connIdle && age >= least || cc.state == connReading && age >= stopReading) {
-			s.end(cc)
+		age := now - cc.stateSince
+		if !cc.closing && (cc.state == connIdle && age >= minIdle ||
+			cc.state == connReading && age >= shutdownReadTimeout) {
+			s.beginClose(cc)
 		}
 	}
 }
 
-// state tells how many connections are open and how long ago a request was taken,
-// or something began to come that may be one. Questions for readiness don't count:
-// the front asks them for as long as an edge node leaves.
-func (s *server) state() (open int, quiet time.Duration) {
+// activity returns the number of connections and the time since the last sign of a client's request: a
+// request that was processed, a partial request, or a new connection. Readiness probes don't count, since
+// the load balancer in front continues to send them during a shutdown.
+func (s *httpServer) activity() (open int, quiet time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := s.active
+	last := s.lastRequest
 	for cc := range s.conns {
-		if !cc.shut && (cc.state == connReading || cc.state == connIdle && !cc.good && !cc.probe) {
-			last = max(last, cc.since)
+		if !cc.closing && (cc.state == connReading ||
+			cc.state == connIdle && !cc.carriedRequest && !cc.carriedProbe) {
+			last = max(last, cc.stateSince)
 		}
 	}
 	return len(s.conns), s.clock.now() - last
 }
 
-// become notes what a connection does now, and how long it may be read for; 0: as
-// long as before. It is false when the connection is being closed: nothing is read on it.
-func (s *server) become(cc *clientConn, state connState, wait time.Duration) bool {
+// setState sets the state of a connection and its read timeout; 0 leaves the read deadline unchanged. It
+// returns false if nothing may be read because the connection is being closed.
+func (s *httpServer) setState(cc *clientConn, state connState, readTimeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cc.shut {
+	if cc.closing {
 		return false
 	}
-	cc.state, cc.since = state, s.clock.now()
-	return wait == 0 || cc.SetReadDeadline(time.Now().Add(wait)) == nil
+	cc.state, cc.stateSince = state, s.clock.now()
+	return readTimeout == 0 || cc.SetReadDeadline(time.Now().Add(readTimeout)) == nil
 }
 
-// take marks the request's connection as busy if it is still open on this
-// side. A request that crossed the closing of its connection is sent again by
-// the client, so it must not be worked on here.
-func (s *server) take(cc *clientConn) bool {
+// markBusy sets the state of a connection to busy. It returns false if the connection is being closed. A
+// client repeats a request that crossed the close of its connection, so that request must not be processed
+// here.
+func (s *httpServer) markBusy(cc *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cc.shut {
+	if cc.closing {
 		return false
 	}
-	cc.state, cc.good, s.active = connBusy, true, s.clock.now()
+	cc.state, cc.carriedRequest, s.lastRequest = connBusy, true, s.clock.now()
 	return true
 }
 
-// talk serves a connection, one request after another.
-func (s *server) talk(cc *clientConn) {
-	defer s.leave(cc)
-	whole := time.Duration(0) // the first request has its time from the connect on
-	for wait := firstRequest; ; wait, whole = clientIdle, wholeRequest {
-		cc.in.begin()
-		if !s.awaitRequest(cc, wait) {
-			return // idle for long, gone, or being closed
+// serveConn serves a connection, one request at a time.
+func (s *httpServer) serveConn(cc *clientConn) {
+	defer s.finishClose(cc)
+	readTimeout := time.Duration(0) // firstRequestTimeout covers the whole first request
+	for idleTimeout := firstRequestTimeout; ; idleTimeout, readTimeout = clientIdleTimeout, requestTimeout {
+		cc.input.discardRead()
+		if !s.awaitRequest(cc, idleTimeout) {
+			return // idle timeout, disconnected, or being closed
 		}
-		if !s.become(cc, connReading, whole) {
+		if !s.setState(cc, connReading, readTimeout) {
 			return
 		}
-		if err := cc.read(); err != nil {
-			if status := statusOf(err); status != 0 {
-				s.turnAway(cc, status, err)
+		if err := cc.readRequest(); err != nil {
+			if status := errorStatus(err); status != 0 {
+				s.rejectAndClose(cc, status, err)
 			}
 			return
 		}
@@ -289,43 +301,43 @@
 	}
 }
 
-// awaitRequest waits for the first bytes of a request. Empty lines ahead of one are passed over,
-// as HTTP/1.1 asks of servers (RFC 9112, section 2.2): they begin none, so that a client may rest
-// behind them. What comes behind too many of them is left to be turned away.
-func (s *server) awaitRequest(cc *clientConn, wait time.Duration) bool {
+// awaitRequest waits for the first bytes of a request. It skips empty lines ahead of the request, as RFC
+// 9112, section 2.2, asks of servers. A connection on which only such lines were received counts as idle.
+// Any further empty line after maxEmptyLines is left to the parser, which rejects it.
+func (s *httpServer) awaitRequest(cc *clientConn, idleTimeout time.Duration) bool {
 	for lines := 0; ; {
-		for ; lines < maxEmptyLines && cc.in.dropEmptyLine(); lines++ {
+		for ; lines < maxEmptyLines && cc.input.dropEmptyLine(); lines++ {
 		}
-		if cc.in.buffered() > 0 {
+		if cc.input.buffered() > 0 {
 			return true
 		}
-		if !s.become(cc, connIdle, wait) || cc.in.more() != nil {
+		if !s.setState(cc, connIdle, idleTimeout) || cc.input.fill() != nil {
 			return false
 		}
 	}
 }
 
-// read reads a whole request.
-func (cc *clientConn) read() error {
-	r := &cc.req
-	if err := cc.in.readHead(&r.head, ""); err != nil {
+// readRequest reads a whole request into cc.req.
+func (cc *clientConn) readRequest() error {
+	r := &cc.request
+	if err := cc.input.readHead(&r.head, ""); err != nil {
 		return err
 	}
-	if err := r.startLine(); err != nil {
+	if err := r.parseRequestLine(); err != nil {
 		return err
 	}
-	if _, n := r.one("Expect"); n > 0 && r.length > cc.in.buffered() {
-		if err := cc.write(append(cc.out[:0], "HTTP/1.1 100 Continue\r\n\r\n"...)); err != nil {
+	if _, n := r.lookup("Expect"); n > 0 && r.bodyLength > cc.input.buffered() {
+		if err := cc.write(append(cc.writeBuf[:0], "HTTP/1.1 100 Continue\r\n\r\n"...)); err != nil {
 			return err
 		}
 	}
 	var err error
-	r.body, err = cc.in.readBody(&r.head)
+	r.body, err = cc.input.readBody(&r.head)
 	return err
 }
 
-// statusOf is the answer to a request that can't be read; 0: none is owed.
-func statusOf(err error) int {
+// errorStatus returns the status of the response to a request that can't be read, or 0 for no response.
+func errorStatus(err error) int {
 	switch {
 	case errors.Is(err, errLongBody):
 		return 413
@@ -339,23 +351,24 @@
 	return 0
 }
 
-// turnAway answers what can't be read; the connection ends with it.
-func (s *server) turnAway(cc *clientConn, status int, err error) {
-	if s.become(cc, connReading, 0) { // it may be closed meanwhile
-		_ = s.answer(cc, status, "Connection: close\r\n", err.Error())
+// rejectAndClose answers an invalid request, after which the connection is closed.
+func (s *httpServer) rejectAndClose(cc *clientConn, status int, err error) {
+	if s.setState(cc, connReading, 0) { // false: it is being closed already
+		_ = s.writeResponse(cc, status, "Connection: close\r\n", err.Error())
 	}
 }
 
-// answer writes an answer in one piece.
-func (s *server) answer(cc *clientConn, status int, fields, body string) error {
-	return cc.write(append(appendHead(cc.out[:0], status, fields, len(body)), body...))
+// writeResponse writes a response with a single write.
+func (s *httpServer) writeResponse(cc *clientConn, status int, fields, body string) error {
+	return cc.write(append(appendResponseHead(cc.writeBuf[:0], status, fields, len(body)), body...))
 }
 
-func appendHead(b []byte, status int, fields string, length int) []byte {
+// appendResponseHead appends the head of a response. Each of fields ends with CRLF.
+func appendResponseHead(b []byte, status int, fields string, length int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[status]...)
+	b = append(b, reasonPhrases[status]...)
 	b = append(b, "\r\n"...)
 	b = append(b, fields...)
 	b = append(b, "Content-Length: "...)
@@ -363,13 +376,14 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 408: "Request Timeout", 409: "Conflict",
-	413: "Content Too Large", 429: "Too Many Requests", 431: "Request Header Fields Too Large", 502: "Bad Gateway",
-	503: "Service Unavailable"}
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 408: "Request Timeout", 409: "Conflict",
+	413: "Content Too Large", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
+	502: "Bad Gateway", 503: "Service Unavailable"}
 
+// write writes b, whose memory is reused for the next response.
 func (cc *clientConn) write(b []byte) error {
-	if cc.out = b; cap(b) > 4*minBuf {
-		cc.out = nil // a large one is not kept
+	if cc.writeBuf = b; cap(b) > 4*minBufferBytes {
+		cc.writeBuf = nil // frees a large buffer
 	}
 	if err := cc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -378,82 +392,81 @@
 	return err
 }
 
-// handle answers a request that could be read; it is false when the connection
-// is over.
-func (s *server) handle(cc *clientConn) bool {
-	r := &cc.req
-	if path(r.target) == "/healthz" && string(r.method) == "GET" {
+// handle processes a request that has been read. It returns false if the connection must be closed.
+func (s *httpServer) handle(cc *clientConn) bool {
+	r := &cc.request
+	if requestPath(r.target) == "/healthz" && string(r.method) == "GET" {
 		s.mu.Lock()
-		cc.probe = true
+		cc.carriedProbe = true
 		s.mu.Unlock()
 		if !s.ready.Load() || s.draining.Load() {
-			return s.reply(cc, 503, "", "not ready")
+			return s.respond(cc, 503, "", "not ready")
 		}
-		return s.reply(cc, 200, "", "")
+		return s.respond(cc, 200, "", "")
 	}
 	c, err := s.parse(r)
 	if err != nil {
-		return s.bad(cc, 400, err.Error())
+		return s.rejectInvalid(cc, 400, err.Error())
 	}
-	if !s.take(cc) {
+	if !s.markBusy(cc) {
 		return false
 	}
 	c.client = cc
-	cc.readAhead.await()
+	cc.readAhead.beginWait()
 	s.events <- c
-	for cmd := range c.cmd {
+	for cmd := range c.commands {
 		if cmd.attempt == nil {
-			return s.final(cc, cmd)
+			return s.respondUnserved(cc, cmd)
 		}
-		res := s.up.do(cmd.attempt, r)
+		res := s.upstream.do(cmd.attempt, r)
 		s.events <- outcome{c, cmd.attempt, res}
 		if res.code == policy.OK {
-			cc.bad = 0
+			cc.badRequests = 0
 			fields := ""
 			if len(res.contentType) > 0 {
 				fields = "Content-Type: " + res.contentType + "\r\n"
 			}
-			return s.reply(cc, 200, fields, res.body)
+			return s.respond(cc, 200, fields, res.body)
 		}
 	}
 	return false
 }
 
-// reply answers a request; the connection goes on if both sides want it.
-func (s *server) reply(cc *clientConn, status int, fields, body string) bool {
-	cc.readAhead.answered()
-	over := s.draining.Load() || cc.req.over() || s.crowded()
-	if over {
+// respond writes the response to a request. It returns false if the connection must be closed.
+func (s *httpServer) respond(cc *clientConn, status int, fields, body string) bool {
+	cc.readAhead.endWait()
+	closeAfter := s.draining.Load() || cc.request.wantsClose() || s.exceedsLimit()
+	if closeAfter {
 		fields += "Connection: close\r\n"
 	}
-	return s.answer(cc, status, fields, body) == nil && !over
+	return s.writeResponse(cc, status, fields, body) == nil && !closeAfter
 }
 
-// bad answers a request that can't be used, at once; the next one waits. A
-// client that sends nothing else is let go.
-func (s *server) bad(cc *clientConn, status int, why string) bool {
-	if cc.bad++; cc.bad < maxBad {
-		on := s.reply(cc, status, "", why)
-		time.Sleep(badPause)
-		return on
+// rejectInvalid answers an invalid request at once and delays the next one. After maxBadRequests invalid
+// requests in a row the connection is closed. It returns false if the connection must be closed.
+func (s *httpServer) rejectInvalid(cc *clientConn, status int, reason string) bool {
+	if cc.badRequests++; cc.badRequests < maxBadRequests {
+		keepOpen := s.respond(cc, status, "", reason)
+		time.Sleep(badRequestDelay)
+		return keepOpen
 	}
-	s.turnAway(cc, status, errors.New(why))
+	s.rejectAndClose(cc, status, errors.New(reason))
 	return false
 }
 
-// final writes the answer to what was not served.
-func (s *server) final(cc *clientConn, cmd command) bool {
+// respondUnserved writes the response to a request that was not served successfully.
+func (s *httpServer) respondUnserved(cc *clientConn, cmd command) bool {
 	switch {
-	case cmd.bad != 0:
-		return s.bad(cc, cmd.bad, "this request can't be used")
+	case cmd.badStatus != 0:
+		return s.rejectInvalid(cc, cmd.badStatus, "this request can't be used")
 	case !cmd.refuse:
-		cc.bad = 0
-		return s.reply(cc, 502, "", "failed")
+		cc.badRequests = 0
+		return s.respond(cc, 502, "", "failed")
 	}
-	cc.bad = 0
+	cc.badRequests = 0
 	fields := ""
 	if cmd.retryAfter > 0 {
 		fields = "Retry-After: " + strconv.FormatFloat(cmd.retryAfter.Seconds(), 'f', -1, 64) + "\r\n"
 	}
-	return s.reply(cc, 429, fields, "refused")
+	return s.respond(cc, 429, fields, "refused")
 }
--- a/internal/node/unsolicited.go
+++ b/internal/node/unsolicited.go
@@ -13,34 +13,37 @@
 	"valvering.example/valvering/policy"
 )
 
-// errUnsolicited ends an attempt on whose connection bytes came that can't be its answer.
+// errUnsolicited fails an attempt whose connection received bytes that can't be the response.
 var errUnsolicited = errors.New("the server sent bytes that answer no request")
 
-// Unsolicited counts connections on which servers sent bytes that nobody had asked for, by where
-// these were noticed. Each such connection was closed.
+// Unsolicited counts the connections on which servers sent bytes that answer no request, by where
+// the bytes were detected. Each such connection was closed.
 type Unsolicited struct {
-	Idle   int64 // on an idle connection
-	Write  int64 // right before the write of a request, which was not written then
-	Answer int64 // in place of the answer to a request, or beside it
+	Idle     int64 // on an idle connection
+	Write    int64 // right before the write of a request, which was then not written
+	Response int64 // in place of the response to a request, or in addition to it
 
-	Unchecked int64 // answers served although the system does not tell what the server had received
+	// Responses accepted without the check because the operating system doesn't report what the server has
+	// acknowledged.
+	Unchecked int64
 }
 
-// unsolicitedCounts is Unsolicited while it is being counted.
+// unsolicitedCounts holds the live counters of Unsolicited.
 type unsolicitedCounts struct{ idle, write, answer, unchecked atomic.Int64 }
 
 func (c *unsolicitedCounts) load() Unsolicited {
 	return Unsolicited{c.idle.Load(), c.write.Load(), c.answer.Load(), c.unchecked.Load()}
 }
 
-// socketQueues is what the system holds of a connection.
+// socketQueues holds the lengths of a socket's buffers.
 type socketQueues struct {
-	unread         int // bytes that came and were not read yet
-	unacknowledged int // bytes written that the server's system has not acknowledged yet
+	unread         int // bytes received and not read yet
+	unacknowledged int // bytes written that the server's host has not acknowledged yet
 }
 
-// queues is false where the system does not tell.
-func (c *upConn) queues() (q socketQueues, known bool) {
+// queues returns the lengths of the socket's buffers; known is false if the operating system
+// doesn't report them.
+func (c *upstreamConn) queues() (q socketQueues, known bool) {
 	err := c.control(func(fd int) (err error) {
 		if q.unacknowledged, err = unix.IoctlGetInt(fd, unix.SIOCOUTQ); err == nil {
 			q.unread, err = unix.IoctlGetInt(fd, unix.SIOCINQ)
@@ -50,8 +53,8 @@
 	return q, err == nil
 }
 
-// control calls the system for the connection's descriptor.
-func (c *upConn) control(call func(fd int) error) error {
+// control runs a system call on the connection's file descriptor.
+func (c *upstreamConn) control(call func(fd int) error) error {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return errors.ErrUnsupported
@@ -67,16 +70,16 @@
 	return callErr
 }
 
-// checkFirstBytes looks at the connection right behind the first read since a request was written.
-// An answer comes behind the acknowledgment of the request's first byte, since the server can't
-// answer what has not come to it. So bytes that are there while the whole request is
-// unacknowledged answer something else.
-func (c *upConn) checkFirstBytes(request int) error {
+// checkFirstBytes checks the connection right after the first read that follows the write of a
+// request. A server can't respond to a request before it has received the first byte, and the
+// acknowledgment of that byte arrives no later than the response. Bytes that arrive while the whole
+// request is unacknowledged therefore belong to something else.
+func (c *upstreamConn) checkFirstBytes(requestLength int) error {
 	q, known := c.queues()
 	switch {
 	case !known:
 		c.counts.unchecked.Add(1)
-	case q.unacknowledged >= request:
+	case q.unacknowledged >= requestLength:
 		c.counts.answer.Add(1)
 		c.unsolicited = true
 		return errUnsolicited
@@ -85,23 +88,23 @@
 	return nil
 }
 
-// readAvailable reads what has come, without waiting.
-func (c *upConn) readAvailable() {
-	if len(c.in.buf) == cap(c.in.buf) {
-		c.in.buf = slices.Grow(c.in.buf, minBuf)
+// readAvailable reads the bytes in the receive buffer without blocking.
+func (c *upstreamConn) readAvailable() {
+	if len(c.input.buf) == cap(c.input.buf) {
+		c.input.buf = slices.Grow(c.input.buf, minBufferBytes)
 	}
-	space := c.in.buf[len(c.in.buf):cap(c.in.buf)]
+	space := c.input.buf[len(c.input.buf):cap(c.input.buf)]
 	_ = c.control(func(fd int) error {
 		n, _, err := syscall.Recvfrom(fd, space, syscall.MSG_DONTWAIT)
-		c.in.buf = c.in.buf[:len(c.in.buf)+max(0, n)]
-		return err // nothing has come, or the end: the next look at the connection shows it
+		c.input.buf = c.input.buf[:len(c.input.buf)+max(0, n)]
+		return err // no bytes, or a closed connection: the next check of the connection detects it
 	})
 }
 
-// quietBeforeWrite looks at a connection once more, right before a request is written on it. The
-// connection may not be used if it is false.
-func (c *upConn) quietBeforeWrite() bool {
-	state := c.idleState()
+// quietBeforeWrite checks a connection again right before a request is written on it. If it returns
+// false, the connection must not be used.
+func (c *upstreamConn) quietBeforeWrite() bool {
+	state := c.checkIdle()
 	if state == idleUnsolicited {
 		c.counts.write.Add(1)
 		c.unsolicited = true
@@ -109,16 +112,16 @@
 	return state == idleQuiet
 }
 
-// ambiguous tells whether another answer came right behind the one that was read, on a connection
-// that has carried a request before. One of the two may be a late one to that, and nothing tells
-// which; a second copy of the first does no harm.
-func (c *upConn) ambiguous() bool {
-	if c.moreUnread && c.in.buffered() == 0 {
+// ambiguous reports whether a second response follows the one that was read, on a connection that
+// has carried a request before. Either may be a late response to the earlier request, and nothing
+// shows which. A second copy of the same response is harmless.
+func (c *upstreamConn) ambiguous() bool {
+	if c.moreUnread && c.input.buffered() == 0 {
 		c.readAvailable()
 	}
-	first, second := c.in.buf[:c.in.off], c.in.buf[c.in.off:]
+	first, second := c.input.buf[:c.input.off], c.input.buf[c.input.off:]
 	length := min(len(first), len(second))
-	if !bytes.HasPrefix(second, []byte(answerStart)) || bytes.Equal(first[:length], second[:length]) {
+	if !bytes.HasPrefix(second, []byte(responsePrefix)) || bytes.Equal(first[:length], second[:length]) {
 		return false
 	}
 	c.counts.answer.Add(1)
@@ -131,31 +134,31 @@
 	maxReusePause = time.Minute
 )
 
-// reusePauses tells to which servers connections are not used again, since such a server has sent
-// bytes that nobody asked for. Once a request is written nothing tells such bytes from its answer.
-// The pause doubles each time the server does so again soon behind it.
+// reusePauses holds the servers whose connections are not reused because they have sent unsolicited
+// bytes. Once a request is written, such bytes can't be told from its response. The pause doubles
+// each time the server sends such bytes again soon after the previous pause.
 type reusePauses map[policy.ServerID]reusePause
 
 type reusePause struct {
-	until  time.Duration
+	until  time.Duration // when the pause ends
 	length time.Duration
 }
 
-// pause begins a pause, or begins the one that is on anew.
+// pause starts a pause. During a pause it restarts that one with the same length.
 func (p reusePauses) pause(id policy.ServerID, now time.Duration) {
 	length := minReusePause
-	switch before, ok := p[id]; {
-	case ok && now < before.until:
-		length = before.length
+	switch previous, ok := p[id]; {
+	case ok && now < previous.until:
+		length = previous.length
 	case ok:
-		length = min(2*before.length, maxReusePause)
+		length = min(2*previous.length, maxReusePause)
 	}
 	p[id] = reusePause{until: now + length, length: length}
 }
 
 func (p reusePauses) paused(id policy.ServerID, now time.Duration) bool { return now < p[id].until }
 
-// expire forgets servers that have sent nothing of the kind for maxReusePause behind their pause.
+// expire removes the servers that have sent no unsolicited bytes for maxReusePause after their pause.
 func (p reusePauses) expire(now time.Duration) {
 	for id, last := range p {
 		if now >= last.until+maxReusePause {
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -17,80 +17,86 @@
 )
 
 const (
-	idlePart    = 0.6 // of the time after which app servers close idle connections
-	graceMargin = 50 * time.Millisecond
-	maxLoad     = 1e6 // a figure beyond is none
+	// The age at which an idle connection is closed, as a fraction of the server's own idle timeout.
+	idleTimeoutFraction = 0.6
 
-	// An idle connection rests before it is used again: what comes behind an
-	// answer must not be taken for the next one.
-	restFor = 5 * time.Millisecond
+	// Requests to a draining server stop this long before its grace period ends, to allow for network delay.
+	drainGraceMargin = 50 * time.Millisecond
+
+	// A load report with a larger value is rejected.
+	maxLoadValue = 1e6
+
+	// An idle connection is not reused before this delay: stray bytes that follow a response must not be
+	// read as the response to the next request.
+	reuseDelay = 5 * time.Millisecond
 )
 
-// upstream keeps the connections to the app servers and carries attempts out.
-// Each attempt is written here, once: the stock clients send a request again
-// by themselves and don't tell whether its last byte was written.
+// upstream pools the connections to the servers and executes attempts.
+// It writes each attempt itself, exactly once: http.Transport may retry a request
+// on its own and doesn't report whether the last byte was written.
 type upstream struct {
-	clock  clock
-	rest   time.Duration // before an idle connection is used again
-	fields []string      // of load reports, by the module's order
+	clock      clock
+	reuseDelay time.Duration // delay before an idle connection is reused
+	loadFields []string      // names of the fields of load reports, in the order of the policy module
 
-	list        *roster.Directory
+	directory   *roster.Directory
 	unsolicited unsolicitedCounts
 
-	mu      sync.Mutex
-	dial    net.Dialer
-	idleFor time.Duration
-	grace   time.Duration
-	most    int // connections at once, to all servers
-	open    int
-	ages    idleAges
-	reuse   reusePauses
-	idle    map[policy.ServerID][]*upConn // newest last; only of servers that have, or lately had, any
+	mu          sync.Mutex
+	dialer      net.Dialer
+	idleTimeout time.Duration
+	drainGrace  time.Duration
+	maxOpen     int // limit on open connections, over all servers
+	open        int // open connections, idle ones included
+	ages        idleAgeStats
+	reusePauses reusePauses
+	idle        map[policy.ServerID][]*upstreamConn // most recently used last
 }
 
-func newUpstream(c clock, list *roster.Directory, loadNames []string) *upstream {
-	return &upstream{clock: c, rest: restFor, fields: loadNames, list: list, idle: map[policy.ServerID][]*upConn{}, reuse: reusePauses{}}
+func newUpstream(c clock, directory *roster.Directory, loadFields []string) *upstream {
+	return &upstream{clock: c, reuseDelay: reuseDelay, loadFields: loadFields, directory: directory,
+		idle: map[policy.ServerID][]*upstreamConn{}, reusePauses: reusePauses{}}
 }
 
-// clientState tells of the client that waits for an attempt.
+// clientState reports on the client that waits for an attempt.
 type clientState interface {
-	gone() bool
-	hidden() bool // whether it is there can't be seen
+	disconnected() bool     // the client has closed, half-closed or reset its connection
+	disconnectHidden() bool // a disconnect could not be detected
 }
 
-// attempt is one sending of a request to an app server.
+// attempt sends a request to a server once.
 type attempt struct {
-	id       policy.RequestID
-	num      int
-	server   policy.ServerID
-	sent     time.Duration // when the module asked for it
-	deadline time.Duration // when it is given up
-	writeBy  time.Duration // written later it might run twice: its repeat would not be known as one
-	client   clientState   // nil: it can't be asked
-
-	mu        sync.Mutex
-	cancelled bool
-	withdrawn bool // cancelled before its request was written, and never is written
-	begun     bool // its request may have been written
-	left      bool // its client had gone when it would have been
-	unseen    bool // or could not be seen then
-	conn      *upConn
-	stopDial  context.CancelFunc
+	id            policy.RequestID
+	num           int
+	server        policy.ServerID
+	startedAt     time.Duration // when the policy module requested the attempt
+	deadline      time.Duration // when the attempt times out
+	writeDeadline time.Duration // after this, the server may no longer recognize a keyed retry as a duplicate
+	client        clientState   // nil: the state of the client is unknown
+
+	mu                 sync.Mutex
+	cancelled          bool
+	withdrawn          bool // cancelled before the write of the request, which is never written
+	writeBegun         bool // the request may have been written
+	clientDisconnected bool // the client had disconnected by the time of the write
+	disconnectHidden   bool // a disconnect could not be detected at the time of the write
+	conn               *upstreamConn
+	cancelDial         context.CancelFunc
 }
 
-// cancel gives the attempt up; the goroutine that carries it out ends it.
+// cancel aborts the attempt. The goroutine that executes the attempt then reports its outcome.
 func (a *attempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stop()
 }
 
-// withdraw gives the attempt up unless its request may have been written; it is false
-// then, and where it was given up before.
+// withdraw cancels the attempt unless its request may have been written. It returns
+// false in that case, and if the attempt was already cancelled.
 func (a *attempt) withdraw() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.begun || a.cancelled {
+	if a.writeBegun || a.cancelled {
 		return false
 	}
 	a.withdrawn = true
@@ -98,79 +104,80 @@
 	return true
 }
 
+// stop aborts the dial or closes the connection. The caller holds a.mu.
 func (a *attempt) stop() {
 	a.cancelled = true
-	if a.stopDial != nil {
-		a.stopDial()
+	if a.cancelDial != nil {
+		a.cancelDial()
 	}
 	if a.conn != nil {
 		a.conn.Close()
 	}
 }
 
-// begin puts the attempt on a connection to be written. It is false when it was
-// cancelled, or when its client has gone: who decides that it is not written and who
-// writes it go by one mark.
-func (a *attempt) begin(c *upConn) bool {
-	gone := a.client != nil && a.client.gone()
+// beginWrite assigns the attempt a connection and marks its request as possibly written. It returns
+// false if the attempt was cancelled or its client has disconnected. withdraw checks the same
+// mark under the same lock, so an attempt is never both withdrawn and written.
+func (a *attempt) beginWrite(c *upstreamConn) bool {
+	disconnected := a.client != nil && a.client.disconnected()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = c
-	a.left = gone && !a.cancelled
-	a.withdrawn = a.withdrawn || a.left
-	a.begun = !a.cancelled && !gone
-	a.unseen = a.begun && a.client != nil && a.client.hidden()
-	return a.begun
+	a.clientDisconnected = disconnected && !a.cancelled
+	a.withdrawn = a.withdrawn || a.clientDisconnected
+	a.writeBegun = !a.cancelled && !disconnected
+	a.disconnectHidden = a.writeBegun && a.client != nil && a.client.disconnectHidden()
+	return a.writeBegun
 }
 
-// leave takes it off its connection; it is false when it was cancelled meanwhile.
-func (a *attempt) leave() bool {
+// detach detaches the attempt from its connection. It returns false if the attempt was cancelled.
+func (a *attempt) detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = nil
 	return !a.cancelled
 }
 
-// unsent is how an attempt ended that was not written: one without a client says
-// nothing of the server.
-func (a *attempt) unsent() result {
+// unsentResult returns the result of an attempt that was not written. A withdrawn attempt
+// says nothing about the server and is NotSent.
+func (a *attempt) unsentResult() result {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.withdrawn {
-		return result{code: policy.Moot}
+		return result{code: policy.NotSent}
 	}
 	return result{code: policy.ConnectFailed}
 }
 
-// limit takes over a generation's figures, and how many connections may be open. Of connections beyond, the idle ones
-// are closed, the oldest first; the others go as they come to rest.
-func (u *upstream) limit(f *config.File, most int) {
+// applyConfig applies the timeouts of a configuration and the limit on open connections. Over the limit it
+// closes idle connections at once, oldest first; putIdle closes busy ones once they become idle.
+func (u *upstream) applyConfig(f *config.File, maxOpen int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.dial = net.Dialer{Timeout: f.DialTimeout, KeepAlive: -1}
-	u.idleFor = time.Duration(idlePart * float64(f.ConnIdle))
-	u.grace, u.most = f.DrainGrace, most
-	for u.open > u.most && u.dropOldest() {
+	u.dialer = net.Dialer{Timeout: f.DialTimeout, KeepAlive: -1}
+	u.idleTimeout = time.Duration(idleTimeoutFraction * float64(f.ConnIdle))
+	u.drainGrace, u.maxOpen = f.DrainGrace, maxOpen
+	for u.open > u.maxOpen && u.closeOldestIdle() {
 	}
 }
 
-// update takes over the list or changes to it. What is gone is forgotten: an attempt that
-// is out has its connection, and nothing new finds a way there. What drains wants nothing
-// new: its connections are scarce.
+// update applies a whole list or changes to it. It closes the idle connections of servers that
+// were removed, replaced or are draining: these get no new requests, and the limit on connections
+// is better spent on others. Attempts in flight hold their own connection and go on.
 func (u *upstream) update(l *serverList, whole bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.list.Update(l, whole, u.clock.now(), u.dropIdle)
+	u.directory.Update(l, whole, u.clock.now(), u.closeIdle)
 }
 
-// pauseReuse has no connection to a server used again for a while. The caller holds u.mu.
+// pauseReuse suspends connection reuse for a server. The caller holds u.mu.
 func (u *upstream) pauseReuse(id policy.ServerID) {
-	u.reuse.pause(id, u.clock.now())
-	u.dropIdle(id)
+	u.reusePauses.pause(id, u.clock.now())
+	u.closeIdle(id)
 }
 
-// dropIdle closes the idle connections to a server. The caller holds u.mu.
-func (u *upstream) dropIdle(id policy.ServerID) {
+// closeIdle closes the idle connections to a server. The caller holds u.mu.
+func (u *upstream) closeIdle(id policy.ServerID) {
 	for _, c := range u.idle[id] {
 		c.Close()
 		u.open--
@@ -178,37 +185,39 @@
 	delete(u.idle, id)
 }
 
-// closed tells whether new work to a process of the server is over: another is there by
-// now, or it drains. It is so before the grace runs out: the bytes have a way to go yet.
-func (u *upstream) closed(id policy.ServerID, incarnation uint64) bool {
+// closedToRequests reports whether a process of a server gets no further requests: the server was removed,
+// another process has replaced this one, or its drain grace period is about to end. The margin
+// before the end of the grace period covers the time on the network.
+func (u *upstream) closedToRequests(id policy.ServerID, incarnation uint64) bool {
 	u.mu.Lock()
-	grace := u.grace
+	grace := u.drainGrace
 	u.mu.Unlock()
-	s, listed := u.list.Find(id)
-	return !listed || s.Incarnation != incarnation || s.State != policy.Running && u.clock.now()-s.Since > max(0, grace-graceMargin)
+	s, listed := u.directory.Find(id)
+	return !listed || s.Incarnation != incarnation ||
+		s.State != policy.Running && u.clock.now()-s.DrainingSince > max(0, grace-drainGraceMargin)
 }
 
-// take returns the newest idle connection that is still good, or else one to the
-// address that is to be dialed; ok is false when there are too many connections or no
-// such server.
-func (u *upstream) take(id policy.ServerID) (c *upConn, addr string, ok bool) {
+// acquire returns the most recently used idle connection that is usable. Without one it returns an
+// undialed connection and the address to dial. ok is false if the limit on connections is reached
+// or the server is not listed.
+func (u *upstream) acquire(id policy.ServerID) (c *upstreamConn, addr string, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s, listed := u.list.Find(id)
+	s, listed := u.directory.Find(id)
 	if !listed {
 		return nil, "", false
 	}
-	now, most := u.clock.now(), u.ages.most(u.idleFor)
+	now, maxAge := u.clock.now(), u.ages.maxIdleAge(u.idleTimeout)
 	idle := u.idle[id]
 	for i := len(idle) - 1; i >= 0; i-- {
 		c := idle[i]
-		if now-c.used < u.rest {
+		if now-c.lastUsed < u.reuseDelay {
 			continue
 		}
 		idle = slices.Delete(idle, i, i+1)
 		u.idle[id] = idle
-		state := c.idleState()
-		if now-c.used < most && state == idleQuiet {
+		state := c.checkIdle()
+		if now-c.lastUsed < maxAge && state == idleQuiet {
 			return c, "", true
 		}
 		c.Close()
@@ -219,33 +228,34 @@
 			break
 		}
 	}
-	if u.open >= u.most && !u.dropOldest() {
+	if u.open >= u.maxOpen && !u.closeOldestIdle() {
 		return nil, "", false
 	}
 	u.open++
-	return &upConn{incarnation: s.Incarnation, counts: &u.unsolicited}, s.Addr.String(), true
+	return &upstreamConn{incarnation: s.Incarnation, counts: &u.unsolicited}, s.Addr.String(), true
 }
 
-// dropOldest closes the connection that is idle for longest.
-func (u *upstream) dropOldest() bool {
-	var from policy.ServerID
-	var oldest *upConn
+// closeOldestIdle closes the connection that has been idle the longest. It returns false if none is
+// idle. The caller holds u.mu.
+func (u *upstream) closeOldestIdle() bool {
+	var server policy.ServerID
+	var oldest *upstreamConn
 	for id, idle := range u.idle {
-		if len(idle) > 0 && (oldest == nil || idle[0].used < oldest.used) {
-			from, oldest = id, idle[0]
+		if len(idle) > 0 && (oldest == nil || idle[0].lastUsed < oldest.lastUsed) {
+			server, oldest = id, idle[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
 	oldest.Close()
-	u.idle[from] = slices.Delete(u.idle[from], 0, 1)
+	u.idle[server] = slices.Delete(u.idle[server], 0, 1)
 	u.open--
 	return true
 }
 
-// discard closes a connection that can't be used again, or never came up.
-func (u *upstream) discard(c *upConn) {
+// discard closes a connection that can't be reused or whose dial failed.
+func (u *upstream) discard(c *upstreamConn) {
 	if c.Conn != nil {
 		c.Close()
 	}
@@ -254,31 +264,33 @@
 	u.mu.Unlock()
 }
 
-// keep puts a connection back.
-func (u *upstream) keep(id policy.ServerID, c *upConn) {
+// putIdle returns a connection to the pool, or closes it if it should not be reused.
+func (u *upstream) putIdle(id policy.ServerID, c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s, listed := u.list.Find(id)
-	if !listed || s.State != policy.Running || s.Incarnation != c.incarnation || u.open > u.most || u.reuse.paused(id, u.clock.now()) {
+	s, listed := u.directory.Find(id)
+	if !listed || s.State != policy.Running || s.Incarnation != c.incarnation ||
+		u.open > u.maxOpen || u.reusePauses.paused(id, u.clock.now()) {
 		c.Close()
 		u.open--
 		return
 	}
-	c.used = u.clock.now()
+	c.lastUsed = u.clock.now()
 	u.idle[id] = append(u.idle[id], c)
 }
 
-// sweep closes connections that are idle for long or that the server closed.
+// sweep closes the connections that have been idle too long, were closed by the server or
+// received unsolicited bytes.
 func (u *upstream) sweep() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now, most := u.clock.now(), u.ages.most(u.idleFor)
-	u.ages.fade()
+	now, maxAge := u.clock.now(), u.ages.maxIdleAge(u.idleTimeout)
+	u.ages.decay()
 	for id, idle := range u.idle {
 		unsolicited := false
-		idle = slices.DeleteFunc(idle, func(c *upConn) bool {
-			state := c.idleState()
-			if now-c.used < most && state == idleQuiet {
+		idle = slices.DeleteFunc(idle, func(c *upstreamConn) bool {
+			state := c.checkIdle()
+			if now-c.lastUsed < maxAge && state == idleQuiet {
 				return false
 			}
 			if state == idleUnsolicited {
@@ -296,22 +308,22 @@
 			delete(u.idle, id)
 		}
 	}
-	u.reuse.expire(now)
+	u.reusePauses.expire(now)
 }
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	code        policy.Code
 	load        []float64
-	unfit       bool   // the app server says that the request is at fault
-	contentType string // of a served answer
+	badRequest  bool   // the server answered with a 4xx status
+	contentType string // of a successful response
 	body        string
 }
 
-// do carries an attempt out. The connection of one that did not come to its end
-// is closed before do returns.
+// do executes an attempt. Unless the response was complete, do closes the connection before it
+// returns.
 func (u *upstream) do(a *attempt, req *clientRequest) result {
-	c, addr, ok := u.take(a.server)
+	c, addr, ok := u.acquire(a.server)
 	if !ok {
 		return result{code: policy.ConnectFailed}
 	}
@@ -319,26 +331,26 @@
 		var err error
 		if c.Conn, err = u.connect(a, addr); err != nil {
 			u.discard(c)
-			return a.unsent()
+			return a.unsentResult()
 		}
-		c.in.src = c
+		c.input.src = c
 	}
 	now := u.clock.now()
 	switch {
 	case now >= a.deadline:
 		u.discard(c)
-		return result{code: policy.Moot}
-	case now >= a.writeBy || u.closed(a.server, c.incarnation) || !a.begin(c):
+		return result{code: policy.NotSent}
+	case now >= a.writeDeadline || u.closedToRequests(a.server, c.incarnation) || !a.beginWrite(c):
 		u.discard(c)
-		return a.unsent()
+		return a.unsentResult()
 	}
 	r, reuse := u.exchange(a, c, req, a.deadline-now)
-	if c.used > 0 {
+	if c.lastUsed > 0 {
 		u.mu.Lock()
-		u.ages.note(now-c.used, u.clock.now()-now, r.code, len(c.in.buf) > 0 || c.unsolicited)
+		u.ages.record(now-c.lastUsed, u.clock.now()-now, r.code, len(c.input.buf) > 0 || c.unsolicited)
 		u.mu.Unlock()
 	}
-	if !a.leave() { // cancelled: its connection is closed already
+	if !a.detach() { // cancelled: the connection is already closed
 		reuse = false
 		if r.code == policy.Reset || r.code == policy.TimedOut {
 			r.code = policy.Cancelled
@@ -350,55 +362,58 @@
 		u.mu.Unlock()
 	}
 	if reuse {
-		u.keep(a.server, c)
+		u.putIdle(a.server, c)
 	} else {
 		u.discard(c)
 	}
 	return r
 }
 
+// connect dials a server. Cancelling the attempt aborts the dial.
 func (u *upstream) connect(a *attempt, addr string) (net.Conn, error) {
-	ctx, stop := context.WithDeadline(context.Background(), u.clock.time(a.deadline))
-	defer stop()
+	ctx, cancel := context.WithDeadline(context.Background(), u.clock.time(a.deadline))
+	defer cancel()
 	a.mu.Lock()
 	if a.cancelled {
 		a.mu.Unlock()
 		return nil, context.Canceled
 	}
-	a.stopDial = stop
+	a.cancelDial = cancel
 	a.mu.Unlock()
 	u.mu.Lock()
-	dial := u.dial
+	dialer := u.dialer
 	u.mu.Unlock()
-	return dial.DialContext(ctx, "tcp", addr)
+	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// exchange writes the request in one call and reads the answer. The number of
-// bytes written decides: before the last one the request can't have run, after
-// it may have.
-func (u *upstream) exchange(a *attempt, c *upConn, req *clientRequest, left time.Duration) (result, bool) {
-	if c.SetDeadline(u.clock.time(a.deadline)) != nil || c.SetWriteDeadline(u.clock.time(a.writeBy)) != nil {
+// exchange writes the request in one call and reads the response. It also reports whether the
+// connection can be reused. The number of bytes written decides the outcome of a failure: until the
+// last byte is written the request can't have run; after that it may have.
+func (u *upstream) exchange(a *attempt, c *upstreamConn, req *clientRequest,
+	remaining time.Duration) (result, bool) {
+	if c.SetDeadline(u.clock.time(a.deadline)) != nil ||
+		c.SetWriteDeadline(u.clock.time(a.writeDeadline)) != nil {
 		return result{code: policy.ConnectFailed}, false
 	}
-	msg := buffers.Get().(*[]byte)
-	b := appendRequest((*msg)[:0], req, left)
+	msg := requestBuffers.Get().(*[]byte)
+	b := appendRequest((*msg)[:0], req, remaining)
 	if !c.quietBeforeWrite() {
-		buffers.Put(msg)
+		requestBuffers.Put(msg)
 		return result{code: policy.ConnectFailed}, false
 	}
-	c.request, c.moreUnread = len(b), false
+	c.requestLength, c.moreUnread = len(b), false
 	n, err := c.Write(b)
-	whole := n == len(b)
-	if *msg = b; cap(b) <= 4*minBuf {
-		buffers.Put(msg)
+	complete := n == len(b)
+	if *msg = b; cap(b) <= 4*minBufferBytes {
+		requestBuffers.Put(msg)
 	}
-	if !whole {
+	if !complete {
 		return result{code: policy.ConnectFailed}, false
 	}
 	var r result
 	status, body, framed := 0, []byte(nil), false
 	if err == nil {
-		status, body, framed, err = c.answer()
+		status, body, framed, err = c.readResponse()
 	}
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) && u.clock.now() >= a.deadline {
@@ -406,37 +421,38 @@
 		}
 		return result{code: policy.Reset}, false
 	}
-	if c.used > 0 && c.ambiguous() {
+	if c.lastUsed > 0 && c.ambiguous() {
 		return result{code: policy.Reset}, false
 	}
-	r.code, r.load = policy.Error, u.load(&c.head)
+	r.code, r.load = policy.Error, u.parseLoad(&c.head)
 	switch {
 	case status == 200 && !framed:
-		r.code = policy.Reset // its end can't be told from a break
+		r.code = policy.Reset // the end of the body can't be told from a broken connection
 	case status == 200:
 		r.code, r.contentType, r.body = policy.OK, string(c.head.get("Content-Type")), string(body)
 	case (status == 503 || status == 504) && string(c.head.get("X-Not-Run")) == "1":
 		r.code = policy.Full
 	case status/100 == 4:
-		r.code, r.unfit = policy.Moot, true
+		r.code, r.badRequest = policy.NotSent, true
 	}
-	// What comes behind an answer belongs to none.
-	reuse := framed && c.in.buffered() == 0 && !c.head.has("Connection", "close")
-	c.in.begin()
+	// Bytes that follow a response belong to no request.
+	reuse := framed && c.input.buffered() == 0 && !c.head.listContains("Connection", "close")
+	c.input.discardRead()
 	return r, reuse
 }
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
+var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
-var passedOn = []string{"Host", "X-Request-Id", "Idempotency-Key", "X-Class", "Content-Type"}
+var forwardedHeaders = []string{"Host", "X-Request-Id", "Idempotency-Key", "X-Class", "Content-Type"}
 
-// appendRequest writes what goes on to an app server.
-func appendRequest(b []byte, req *clientRequest, left time.Duration) []byte {
+// appendRequest appends the request as it is sent to a server. Of the client's headers it
+// forwards only those in forwardedHeaders.
+func appendRequest(b []byte, req *clientRequest, remaining time.Duration) []byte {
 	b = append(b, req.method...)
 	b = append(b, ' ')
 	b = append(b, req.target...)
 	b = append(b, " HTTP/1.1"...)
-	for _, key := range passedOn {
+	for _, key := range forwardedHeaders {
 		if v := req.get(key); len(v) > 0 {
 			b = append(b, "\r\n"...)
 			b = append(b, key...)
@@ -445,7 +461,7 @@
 		}
 	}
 	b = append(b, "\r\nX-Deadline-Ms: "...)
-	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
+	b = strconv.AppendInt(b, max(1, remaining.Milliseconds()), 10)
 	if string(req.method) != "GET" {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(req.body)), 10)
@@ -454,34 +470,34 @@
 	return append(b, req.body...)
 }
 
-// loadNames gives the names in a load report for the settings' own, where
-// these differ.
-var loadNames = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
-	"rps": "qps", "err_rps": "eps"}
+// loadFieldAliases maps field names of the settings to the names that servers use in load reports,
+// where the two differ.
+var loadFieldAliases = map[string]string{"active": "inflight", "waiting": "queue", "cpu": "util",
+	"avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps"}
 
-// load reads a load report: a word, then name=value pairs. One that lacks a
-// field, or can't be meant, counts for nothing.
-func (u *upstream) load(h *head) []float64 {
-	text, n := h.one("X-Load")
-	if n != 1 || len(u.fields) == 0 {
+// parseLoad parses a load report: a word, then name=value pairs. It returns nil for a report that lacks
+// a field or has a value out of range.
+func (u *upstream) parseLoad(h *head) []float64 {
+	text, n := h.lookup("X-Load")
+	if n != 1 || len(u.loadFields) == 0 {
 		return nil
 	}
-	out, found := make([]float64, len(u.fields)), 0
+	out, found := make([]float64, len(u.loadFields)), 0
 	_, rest, _ := strings.Cut(string(text), " ")
 	for pair := range strings.SplitSeq(rest, ",") {
 		k, v, _ := strings.Cut(strings.Trim(pair, " \t"), "=")
-		i := slices.IndexFunc(u.fields, func(f string) bool { return f == k || loadNames[f] == k })
+		i := slices.IndexFunc(u.loadFields, func(f string) bool { return f == k || loadFieldAliases[f] == k })
 		if i < 0 {
 			continue
 		}
 		x, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(x >= 0 && x <= maxLoad) { // NaN is neither
+		if err != nil || !(x >= 0 && x <= maxLoadValue) { // also rejects NaN
 			return nil
 		}
 		out[i] = x
 		found++
 	}
-	if found < len(u.fields) {
+	if found < len(u.loadFields) {
 		return nil
 	}
 	return out
--- a/internal/wire/json_test.go
+++ b/internal/wire/json_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// The edge node's nested settings must come out as the simulator's pairs do:
-// otherwise the two programs decide differently.
+// Nested JSON and the simulator's pairs must give the same settings. Otherwise the edge node
+// and the simulator would decide differently.
 func TestNestedSettingsAreThePairs(t *testing.T) {
-	pairs, err := settings(strings.Split("me=1 balancers=3 zone=north_hall tick_ms=4.0 caps.cancel=true caps.peers=true "+
+	pairs, err := parseSettings(strings.Split("me=1 balancers=3 zone=north_hall tick_ms=4.0 caps.cancel=true caps.peers=true "+
 		"caps.retry_after=true caps.max_retry_after_ms=2000.0 report.names=cpu,rps weight_kind=nominal discovery=push "+
 		"rules.cold_share=0.21 family_info.mail_per_s=60 classes.count=2 classes.0.name=a classes.0.aim_ms=400.0 "+
 		"classes.0.semantics=repeatable classes.1.name=b classes.1.semantics=by_key classes.1.group=cell "+
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := FactsFromJSON([]byte(`{"me":1,"balancers":3,"zone":"north hall","tick_ms":4.0,"empty":null,"none":[],
+	f, err := SettingPairsFromJSON([]byte(`{"me":1,"balancers":3,"zone":"north hall","tick_ms":4.0,"empty":null,"none":[],
 		"caps":{"cancel":true,"peers":true,"retry_after":true,"max_retry_after_ms":2000.0,"conn_idle_ms":15000.5},
 		"report":{"names":["cpu","rps"]},"weight_kind":"nominal","discovery":"push","rules":{"cold_share":0.21},
 		"family_info":{"mail_per_s":60},"classes":[{"name":"a","aim_ms":400.0,"semantics":"repeatable"},
@@ -37,11 +37,11 @@
 		t.Errorf("%v %v", d, err)
 	}
 	if _, err := f.Duration("zone"); err == nil {
-		t.Error("a word passed for a duration")
+		t.Error("a word was accepted as a duration")
 	}
 	for _, bad := range []string{``, `{}`, `[]`, `{"me":`} {
-		if _, err := FactsFromJSON([]byte(bad)); err == nil {
-			t.Errorf("%q passed", bad)
+		if _, err := SettingPairsFromJSON([]byte(bad)); err == nil {
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -9,410 +9,434 @@
 	"time"
 )
 
-// Handing on. A root that ends hands each customer's counts to that customer's
-// deputy: what its token bucket holds, and the attempts out under its cap. It answers no
-// ask from then on, and tells all of its end once every part is acknowledged, or
-// was said handTries times. Once all turn to the root again its deputy hands the
-// token bucket back; attempts that it granted end there, where their members tell of it.
+// Transfer of counts at a shutdown. A root that shuts down transfers each customer's counts
+// to that customer's deputy: the level of the token bucket and the attempts in flight under
+// the cap. It answers no asks from then on. It announces its shutdown once every transfer is
+// acknowledged or was sent maxTransferTries times. When all gateways ask the root again, its
+// deputy transfers the token bucket back. Attempts that the deputy granted stay with the
+// deputy, which receives their ends.
 //
-// In the same way the watcher of a server hands what it knows of it to the second
-// watcher, which judges meanwhile, and hands it back.
+// In the same way the first monitor of a server transfers its state to the second one, which
+// decides meanwhile and transfers it back.
 //
-// A part may come late, twice or out of order: it is adopted once, and never adds
-// to what a token bucket holds.
-
-// handed is a part of a customer's counts. On the wire: version, kind 9, then the
-// fields in their order, as many grants as follow.
-type handed struct {
-	Inc           uint32 // of the sender
-	Seq           uint32 // names the part
-	Mark          uint16 // of the table that counts plans
+// A transfer may arrive late, twice or out of order. It is applied once, and never adds to
+// a token bucket.
+
+// customerTransfer is a part of a customer's counts. On the wire: version, kind 9, the fields
+// in order, with the number of grants before the grants.
+type customerTransfer struct {
+	Incarnation   uint32 // of the sender
+	Seq           uint32 // identifies the transfer
+	Mark          uint16 // of the table that numbers plans
 	Plan          byte
 	Customer      uint64
 	First, Spread uint16
-	Store         float32 // units
-	Grants        []handedGrant
+	Tokens        float32 // units
+	Grants        []transferredGrant
 }
 
-// handedGrant is an attempt out that a gateway was granted.
-type handedGrant struct {
-	From        uint16
-	Tag         uint32
-	Units, Left uint16 // Left: milliseconds until its client gives up
+// transferredGrant is an attempt in flight that the root granted to a gateway.
+type transferredGrant struct {
+	From               uint16
+	Tag                uint32
+	Units, RemainingMS uint16 // RemainingMS: until its client gives up
 }
 
-// judged is a part that tells what a watcher knows of a server, by class of the
-// table that the mark names. As in a verdict, a byte a class for the first eight.
-type judged struct {
-	Inc, Seq uint32
-	Mark     uint16
-	Server   uint32
-	Pace     byte    // as in a verdict
-	Errs     [8]byte // of the average, 250 all
-	Bad      [8]byte // out of use for so many judgedStep
+// monitorState is what a monitor knows of a server, by class of the table with the mark, for
+// the first eight classes as in verdictMessage.
+type monitorState struct {
+	Incarnation, Seq uint32
+	Mark             uint16
+	Server           uint32
+	RelativeLatency  byte    // as in verdictMessage
+	FailureAverages  [8]byte // 250: an average of 1
+	OutOfUseFor      [8]byte // remaining time, in units of outOfUseStep
 }
 
-const judgedStep = verdictLife / 250
+const outOfUseStep = verdictLifetime / 250
 
-// endedFor passes on what a gateway told of an attempt's end.
-type endedFor struct {
+// forwardedEnd forwards the end of an attempt that a gateway reported.
+type forwardedEnd struct {
 	From uint16
-	End  ended
+	End  endMessage
 }
 
-// took acknowledges a part.
-type took struct{ Inc, Seq uint32 }
+// transferAck acknowledges a transfer.
+type transferAck struct{ Incarnation, Seq uint32 }
 
+// Sizes in bytes, and limits.
 const (
-	handedKind = 9
-	handedHead = 2 + 29
-	handedSize = 10 // of a grant
+	transferKind       = 9
+	transferHeaderSize = 2 + 29 // version and kind, then the fields
+	grantSize          = 10
 
-	handTries  = 4    // a part is said so often at most,
-	handAtOnce = 20   // so many parts at once: each takes a place in somebody's intake of datagrams
-	maxAdopted = 4096 // and so many are remembered
+	maxTransferTries     = 4
+	maxTransfersAtOnce   = 20   // each takes a place in a receiver's datagram queue
+	maxReceivedTransfers = 4096 // remembered at once
 )
 
-func (m *handed) encode() []byte {
-	b := binary.BigEndian.AppendUint32([]byte{shortVersion, handedKind}, m.Inc)
+func (m *customerTransfer) encode() []byte {
+	b := binary.BigEndian.AppendUint32([]byte{shortVersion, transferKind}, m.Incarnation)
 	b = binary.BigEndian.AppendUint32(b, m.Seq)
 	b = binary.BigEndian.AppendUint16(b, m.Mark)
 	b = append(b, m.Plan)
 	b = binary.BigEndian.AppendUint64(b, m.Customer)
 	b = binary.BigEndian.AppendUint16(b, m.First)
 	b = binary.BigEndian.AppendUint16(b, m.Spread)
-	b = binary.BigEndian.AppendUint32(b, math.Float32bits(m.Store))
+	b = binary.BigEndian.AppendUint32(b, math.Float32bits(m.Tokens))
 	b = binary.BigEndian.AppendUint16(b, uint16(len(m.Grants)))
 	for _, l := range m.Grants {
 		b = binary.BigEndian.AppendUint16(b, l.From)
 		b = binary.BigEndian.AppendUint32(b, l.Tag)
 		b = binary.BigEndian.AppendUint16(b, l.Units)
-		b = binary.BigEndian.AppendUint16(b, l.Left)
+		b = binary.BigEndian.AppendUint16(b, l.RemainingMS)
 	}
 	return b
 }
 
-// decodeHanded reads what follows version and kind; nil: it is not whole, or can't
-// be meant.
-func decodeHanded(b []byte) any {
-	const head = handedHead - 2
+// decodeCustomerTransfer reads what follows version and kind; nil: incomplete or invalid.
+func decodeCustomerTransfer(b []byte) any {
+	const head = transferHeaderSize - 2
 	if len(b) < head || len(b) > maxMessage {
 		return nil
 	}
 	be := binary.BigEndian
-	m := handed{Inc: be.Uint32(b), Seq: be.Uint32(b[4:]), Mark: be.Uint16(b[8:]), Plan: b[10], Customer: be.Uint64(b[11:]),
-		First: be.Uint16(b[19:]), Spread: be.Uint16(b[21:]), Store: math.Float32frombits(be.Uint32(b[23:]))}
+	m := customerTransfer{Incarnation: be.Uint32(b), Seq: be.Uint32(b[4:]), Mark: be.Uint16(b[8:]),
+		Plan: b[10], Customer: be.Uint64(b[11:]), First: be.Uint16(b[19:]), Spread: be.Uint16(b[21:]),
+		Tokens: math.Float32frombits(be.Uint32(b[23:]))}
 	n := int(be.Uint16(b[27:]))
-	if b = b[head:]; len(b) != n*handedSize || !(m.Store >= 0) || m.Spread == 0 { // NaN is neither
+	if b = b[head:]; len(b) != n*grantSize || !(m.Tokens >= 0) || m.Spread == 0 { // rejects NaN too
 		return nil
 	}
-	for ; len(b) > 0; b = b[handedSize:] {
-		m.Grants = append(m.Grants, handedGrant{be.Uint16(b), be.Uint32(b[2:]), be.Uint16(b[6:]), be.Uint16(b[8:])})
+	for ; len(b) > 0; b = b[grantSize:] {
+		m.Grants = append(m.Grants,
+			transferredGrant{be.Uint16(b), be.Uint32(b[2:]), be.Uint16(b[6:]), be.Uint16(b[8:])})
 	}
 	return m
 }
 
-// part is a part on its way.
-type part struct {
-	to    int
-	seq   uint32
-	data  []byte
-	m     *handed // nil: it is of another kind
-	tries int
-	until time.Duration // an acknowledgement is waited for until then
+// pendingTransfer is a transfer that is not acknowledged yet.
+type pendingTransfer struct {
+	to        int
+	seq       uint32
+	data      []byte
+	customer  *customerTransfer // nil: a monitorState
+	tries     int
+	nextTryAt time.Duration // if not acknowledged before
 }
 
-// handKey names a part that was adopted.
-type handKey struct {
-	from     int
-	inc, seq uint32
+// transferKey identifies a received transfer.
+type transferKey struct {
+	from             int
+	incarnation, seq uint32
 }
 
-// onLeaving begins to hand on.
-func (g *Gateway) onLeaving() {
-	g.leaving = true
-	for _, c := range g.ring {
-		if roots, deputy := g.roots(c); g.tree && deputy != g.set.Me && slices.Contains(roots, g.set.Me) {
-			g.handOn(c, deputy, true)
+// onShutdown starts the transfers to deputies and second monitors.
+func (g *Gateway) onShutdown() {
+	g.shuttingDown = true
+	for _, c := range g.customerList {
+		if roots, deputy := g.roots(c); g.largeFleet && deputy != g.settings.Self &&
+			slices.Contains(roots, g.settings.Self) {
+			g.transferCustomer(c, deputy, true)
 		}
 	}
-	g.handJudged(g.set.Me, 1)
-	g.handAgain()
+	g.transferMonitorStates(g.settings.Self, 1)
+	g.sendTransfers()
 }
 
-// handOn queues a customer's counts for another gateway.
-func (g *Gateway) handOn(c *customer, to int, grants bool) {
-	if g.advance(c); c.plan.Rate == 0 && len(c.leases) == 0 || c.plan.no >= byte(len(g.tables[0].plans)) ||
-		g.tables[0].plans[c.plan.no] != c.plan.Name {
+// transferCustomer queues the transfer of a customer's counts, and of its leases where
+// withGrants is set, to another gateway.
+func (g *Gateway) transferCustomer(c *customer, to int, withGrants bool) {
+	if g.advance(c); c.plan.Rate == 0 && len(c.leases) == 0 || c.plan.index >= byte(len(g.tables[0].plans)) ||
+		g.tables[0].plans[c.plan.index] != c.plan.Name {
 		return
 	}
-	m := handed{Inc: g.inc, Mark: g.tables[0].mark, Plan: c.plan.no, Customer: c.key, First: uint16(c.first),
-		Spread: uint16(c.spread), Store: float32(max(0, c.tokens))}
-	var list []handedGrant
+	m := customerTransfer{Incarnation: g.incarnation, Mark: g.tables[0].mark, Plan: c.plan.index,
+		Customer: c.key, First: uint16(c.first), Spread: uint16(c.spread), Tokens: float32(max(0, c.tokens))}
+	var list []transferredGrant
 	for l, v := range c.leases {
-		if left := (v.until - g.now).Milliseconds(); grants && left > 0 {
-			list = append(list, handedGrant{uint16(l.from), l.tag, uint16(v.r.units), uint16(min(left, math.MaxUint16))})
+		if left := (v.until - g.now).Milliseconds(); withGrants && left > 0 {
+			list = append(list, transferredGrant{uint16(l.from), l.tag, uint16(v.request.units),
+				uint16(min(left, math.MaxUint16))})
 		}
 	}
-	slices.SortFunc(list, func(a, b handedGrant) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Tag, b.Tag)) })
+	slices.SortFunc(list, func(a, b transferredGrant) int {
+		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Tag, b.Tag))
+	})
 	for {
-		n := min(len(list), (maxMessage-handedHead)/handedSize)
-		g.handSeq++
+		n := min(len(list), (maxMessage-transferHeaderSize)/grantSize)
+		g.transferSeq++
 		p := m
-		p.Seq, p.Grants, list = g.handSeq, slices.Clone(list[:n]), list[n:]
-		g.handing = append(g.handing, &part{to: to, seq: p.Seq, data: p.encode(), m: &p})
+		p.Seq, p.Grants, list = g.transferSeq, slices.Clone(list[:n]), list[n:]
+		g.pendingTransfers = append(g.pendingTransfers,
+			&pendingTransfer{to: to, seq: p.Seq, data: p.encode(), customer: &p})
 		if len(list) == 0 {
 			return
 		}
 	}
 }
 
-// handJudged queues what is known of the servers whose first watcher is the given one
-// for their first or second watcher.
-func (g *Gateway) handJudged(first, to int) {
-	for _, s := range g.fleet {
-		if w := s.watchers; !g.tree || s.State == Removed || w[0] != first || w[1-to] != g.set.Me || w[to] == g.set.Me || g.gone(w[to]) {
+// transferMonitorStates queues the state of the servers whose first monitor is the given
+// gateway. It goes to their first (0) or second (1) monitor.
+func (g *Gateway) transferMonitorStates(first, to int) {
+	for _, s := range g.tracked {
+		if w := s.monitors; !g.largeFleet || s.State == Removed || w[0] != first ||
+			w[1-to] != g.settings.Self || w[to] == g.settings.Self || g.isAbsent(w[to]) {
 			continue
 		}
-		g.handSeq++
-		m := judged{Inc: g.inc, Seq: g.handSeq, Mark: g.tables[0].mark, Server: uint32(s.ID), Pace: paceByte(s.pace)}
-		for i := range s.by[:min(len(s.by), len(m.Errs))] {
-			v := &s.by[i]
-			m.Errs[i] = small(250 * v.errs)
-			if left := v.until - g.now; v.bad && left > 0 {
-				m.Bad[i] = small(math.Ceil(float64(left) / float64(judgedStep)))
+		g.transferSeq++
+		m := monitorState{Incarnation: g.incarnation, Seq: g.transferSeq, Mark: g.tables[0].mark,
+			Server: uint32(s.ID), RelativeLatency: encodeRelativeLatency(s.monitoredLatency)}
+		for i := range s.health[:min(len(s.health), len(m.FailureAverages))] {
+			h := &s.health[i]
+			m.FailureAverages[i] = toByte(250 * h.failureAverage)
+			if left := h.outOfUseUntil - g.now; h.outOfUse && left > 0 {
+				m.OutOfUseFor[i] = toByte(math.Ceil(float64(left) / float64(outOfUseStep)))
 			}
 		}
-		g.handing = append(g.handing, &part{to: s.watchers[to], seq: m.Seq, data: encode(m)})
+		g.pendingTransfers = append(g.pendingTransfers,
+			&pendingTransfer{to: s.monitors[to], seq: m.Seq, data: encode(m)})
 	}
 }
 
-// handAgain says what is due of the parts, as many at once as the intake of those
-// who take them in bears, and ends when none is left.
-func (g *Gateway) handAgain() {
-	said := 0
-	g.handing = slices.DeleteFunc(g.handing, func(p *part) bool {
+// sendTransfers sends the transfers that are due, a limited number at once, since receivers
+// queue few datagrams. When none is left, a gateway that shuts down announces it.
+func (g *Gateway) sendTransfers() {
+	sent := 0
+	g.pendingTransfers = slices.DeleteFunc(g.pendingTransfers, func(p *pendingTransfer) bool {
 		switch {
-		case g.now < p.until:
-		case p.tries == handTries:
+		case g.now < p.nextTryAt:
+		case p.tries == maxTransferTries:
 			return true
-		case said < handAtOnce:
-			said++
+		case sent < maxTransfersAtOnce:
+			sent++
 			p.tries++
-			p.until = g.now + max(minReply, time.Duration(replySpread*float64(g.reply)))
-			g.do(Tell{To: p.to, Data: p.data})
+			p.nextTryAt = g.now + max(minReplyTimeout,
+				time.Duration(replyTimeoutFactor*float64(g.meanReplyTime)))
+			g.emit(SendMessage{To: p.to, Data: p.data})
 		}
 		return false
 	})
 	switch {
-	case len(g.handing) > 0:
-		g.do(SetTimer{Token: "hand", After: minReply})
-	case g.leaving && !g.told:
-		g.told = true
-		g.endsAgain()
-		g.report() // the last units passed here
-		g.do(Tell{To: -1, Data: encode(departure{g.inc})})
-		g.do(ShutdownDone{})
+	case len(g.pendingTransfers) > 0:
+		g.emit(SetTimer{Token: "hand", After: minReplyTimeout})
+	case g.shuttingDown && !g.shutdownAnnounced:
+		g.shutdownAnnounced = true
+		g.resendEnds()
+		g.sendReports() // includes the last units admitted here
+		g.emit(SendMessage{To: -1, Data: encode(shutdownMessage{g.incarnation})})
+		g.emit(ShutdownDone{})
 	}
 }
 
-// onHanded takes in a part, once, and says so each time.
-func (g *Gateway) onHanded(from int, m handed) {
-	t := g.known(m.Mark)
-	if g.leaving || !g.tree || t == nil || int(m.Plan) >= len(t.plans) || g.plans[t.plans[m.Plan]] == nil {
+// onCustomerTransfer applies a transfer once and acknowledges every copy.
+func (g *Gateway) onCustomerTransfer(from int, m customerTransfer) {
+	t := g.tableByMark(m.Mark)
+	if g.shuttingDown || !g.largeFleet || t == nil || int(m.Plan) >= len(t.plans) ||
+		g.plans[t.plans[m.Plan]] == nil {
 		return
 	}
-	if !g.first(from, m.Inc, m.Seq) {
+	if !g.acknowledge(from, m.Incarnation, m.Seq) {
 		return
 	}
 	c := g.customers[m.Customer]
 	if c == nil {
-		c = g.account(m.Customer, g.plans[t.plans[m.Plan]], int(m.First), int(m.Spread))
+		c = g.newCustomer(m.Customer, g.plans[t.plans[m.Plan]], int(m.First), int(m.Spread))
 	}
-	m.Grants = slices.DeleteFunc(m.Grants, func(l handedGrant) bool { return int(l.From) == g.set.Me || int(l.From) >= len(g.peers) }) // the first count as its own
-	g.adopt(c, &m)
+	// Attempts that were granted to this gateway already count as its own.
+	m.Grants = slices.DeleteFunc(m.Grants, func(l transferredGrant) bool {
+		return int(l.From) == g.settings.Self || int(l.From) >= len(g.peers)
+	})
+	g.adoptCustomer(c, &m)
 }
 
-// onJudged takes in what the other watcher of a server knew of it.
-func (g *Gateway) onJudged(from int, m judged) {
-	s := g.meet(ServerID(m.Server))
-	if g.leaving || !g.tree || s == nil || g.known(m.Mark) == nil ||
-		s.watchers != [2]int{from, g.set.Me} && s.watchers != [2]int{g.set.Me, from} {
+// onMonitorState applies what the other monitor of a server knew of it.
+func (g *Gateway) onMonitorState(from int, m monitorState) {
+	s := g.track(ServerID(m.Server))
+	if g.shuttingDown || !g.largeFleet || s == nil || g.tableByMark(m.Mark) == nil ||
+		s.monitors != [2]int{from, g.settings.Self} && s.monitors != [2]int{g.settings.Self, from} {
 		return
 	}
-	if g.first(from, m.Inc, m.Seq) {
-		g.adoptJudged(s, m)
+	if g.acknowledge(from, m.Incarnation, m.Seq) {
+		g.adoptMonitorState(s, m)
 	}
 }
 
-// first acknowledges a part, and tells whether it is to be adopted: it has not come
-// before.
-func (g *Gateway) first(from int, inc, seq uint32) bool {
-	g.do(Tell{To: from, Data: encode(took{inc, seq})})
-	k := handKey{from, inc, seq}
-	if _, twice := g.adopted[k]; twice || len(g.adopted) >= maxAdopted {
+// acknowledge acknowledges a transfer and reports whether it is to be applied, which is so
+// for its first copy only.
+func (g *Gateway) acknowledge(from int, incarnation, seq uint32) bool {
+	g.emit(SendMessage{To: from, Data: encode(transferAck{incarnation, seq})})
+	k := transferKey{from, incarnation, seq}
+	if _, received := g.receivedTransfers[k]; received || len(g.receivedTransfers) >= maxReceivedTransfers {
 		return false
 	}
-	g.adopted[k] = g.now + forgetAfter
+	g.receivedTransfers[k] = g.now + forgetAfter
 	return true
 }
 
-// grantOf is a grant that was handed on, as if it had been made here.
-func (g *Gateway) grantOf(c *customer, l handedGrant) leased {
-	until := g.now + time.Duration(l.Left)*time.Millisecond
-	return leased{g.leaseDue(c, until), &request{c: c, units: float64(l.Units), deadline: until, remote: true, counted: true, over: true,
-		root: int(l.From), tag: l.Tag}}
+// leaseOf returns the lease for a transferred grant, as if this gateway had granted it.
+func (g *Gateway) leaseOf(c *customer, l transferredGrant) activeLease {
+	until := g.now + time.Duration(l.RemainingMS)*time.Millisecond
+	return activeLease{g.leaseExpiry(c, until),
+		&request{customer: c, units: float64(l.Units), deadline: until, remote: true,
+			charged: true, closed: true, root: int(l.From), tag: l.Tag}}
 }
 
-// onTook notes that a part has come.
-func (g *Gateway) onTook(from int, m took) {
-	if m.Inc != g.inc || len(g.handing) == 0 {
+// onTransferAck drops an acknowledged transfer.
+func (g *Gateway) onTransferAck(from int, m transferAck) {
+	if m.Incarnation != g.incarnation || len(g.pendingTransfers) == 0 {
 		return
 	}
-	g.handing = slices.DeleteFunc(g.handing, func(p *part) bool { return p.to == from && p.seq == m.Seq })
-	if len(g.handing) == 0 {
-		g.handAgain()
+	g.pendingTransfers = slices.DeleteFunc(g.pendingTransfers, func(p *pendingTransfer) bool {
+		return p.to == from && p.seq == m.Seq
+	})
+	if len(g.pendingTransfers) == 0 {
+		g.sendTransfers()
 	}
 }
 
-// handBack gives a root that is asked again what its deputy counted for it.
-func (g *Gateway) handBack(root int) {
-	for _, c := range g.ring {
-		if c.sums && len(c.ask) > 0 && c.ask[0] == root {
-			g.handOn(c, root, false)
+// transferBack transfers to a gateway that is asked again its customers' counts, and the state
+// of the servers that it monitors.
+func (g *Gateway) transferBack(root int) {
+	for _, c := range g.customerList {
+		if c.actsAsRoot && len(c.rootAndDeputy) > 0 && c.rootAndDeputy[0] == root {
+			g.transferCustomer(c, root, false)
 		}
 	}
-	g.handJudged(root, 0)
-	g.handAgain()
+	g.transferMonitorStates(root, 0)
+	g.sendTransfers()
 }
 
-// tellEnd tells of the end of a granted attempt who counts it: its root, or the
-// deputy that root has handed it to, which may be this gateway.
-func (g *Gateway) tellEnd(r *request, m ended) {
-	if e := (end{r.c, r.root, encode(m)}); g.sendEnd(e) {
-		g.ends = append(g.ends, e)
+// notifyEnd reports the end of a granted attempt to the gateway that counts it: its root, or
+// the deputy that took over from that root, which may be this gateway.
+func (g *Gateway) notifyEnd(r *request, m endMessage) {
+	if e := (attemptEnd{r.customer, r.root, encode(m)}); g.sendEnd(e) {
+		g.recentEnds = append(g.recentEnds, e)
 	} else {
-		g.onEnded(g.set.Me, m)
+		g.onEnd(g.settings.Self, m)
 	}
 }
 
-// end is the end of an attempt that another gateway granted.
-type end struct {
-	c    *customer
-	root int // which granted it
-	data []byte
+// attemptEnd is the end of an attempt that another gateway granted.
+type attemptEnd struct {
+	customer *customer
+	root     int // the gateway that granted it
+	data     []byte
 }
 
-// sendEnd is false where it is this gateway that counts the attempt by now.
-func (g *Gateway) sendEnd(e end) bool {
+// sendEnd sends an end. It is false where this gateway itself counts the attempt by now.
+func (g *Gateway) sendEnd(e attemptEnd) bool {
 	to := e.root
-	if len(e.c.ask) > 0 && to == e.c.ask[0] && g.gone(to) {
-		to = e.c.ask[1]
+	if len(e.customer.rootAndDeputy) > 0 && to == e.customer.rootAndDeputy[0] && g.isAbsent(to) {
+		to = e.customer.rootAndDeputy[1]
 	}
-	if to != g.set.Me {
-		g.do(Tell{To: to, Data: e.data})
+	if to != g.settings.Self {
+		g.emit(SendMessage{To: to, Data: e.data})
 	}
-	return to != g.set.Me
+	return to != g.settings.Self
 }
 
-// endsAgain tells the latest ends once more, to who counts them by now.
-func (g *Gateway) endsAgain() {
-	for _, e := range g.ends {
+// resendEnds sends the latest ends once more, to the gateways that count them by now.
+func (g *Gateway) resendEnds() {
+	for _, e := range g.recentEnds {
 		g.sendEnd(e)
 	}
-	g.ends = nil
+	g.recentEnds = nil
 }
 
-// passEnd passes on an end that was told to a gateway that leaves, to who counts the
-// attempt from now on. A part not acknowledged yet names it no longer.
-func (g *Gateway) passEnd(from int, m ended) {
-	for _, p := range g.handing {
-		if p.m == nil || p.m.Customer != m.Customer {
+// forwardEnd forwards an end, received while this gateway shuts down, to the gateway that
+// counts the attempt from now on. Transfers that are not acknowledged yet drop that attempt.
+func (g *Gateway) forwardEnd(from int, m endMessage) {
+	for _, p := range g.pendingTransfers {
+		if p.customer == nil || p.customer.Customer != m.Customer {
 			continue
 		}
-		p.m.Grants = slices.DeleteFunc(p.m.Grants, func(l handedGrant) bool { return int(l.From) == from && l.Tag == m.Tag })
-		p.data = p.m.encode()
+		p.customer.Grants = slices.DeleteFunc(p.customer.Grants, func(l transferredGrant) bool {
+			return int(l.From) == from && l.Tag == m.Tag
+		})
+		p.data = p.customer.encode()
 	}
-	if c := g.customers[m.Customer]; g.tree && c != nil {
+	if c := g.customers[m.Customer]; g.largeFleet && c != nil {
 		_, deputy := g.roots(c)
-		e := end{c, deputy, encode(endedFor{uint16(from), m})}
+		e := attemptEnd{c, deputy, encode(forwardedEnd{uint16(from), m})}
 		if g.sendEnd(e) {
-			g.ends = append(g.ends, e)
+			g.recentEnds = append(g.recentEnds, e)
 		}
 	}
 }
 
-// onDeparture notes that a gateway ends. What it had out has ended. Its reports are
-// believed again once they are another process's; in a large fleet, where most hear
-// none, all go by the same time, so that they turn to it again together. What it was
-// asked for and has not granted is asked for anew.
-func (g *Gateway) onDeparture(from int, m departure) {
-	g.departed[from] = g.now + departedFor
-	if p := g.peers[from]; p != nil && (!p.heard || p.inc == m.Inc) {
-		p.left = true
+// onPeerShutdown records that a gateway shuts down. Its attempts in flight have ended. Its
+// reports count again once they come from a new process. In a large fleet, where most
+// gateways get no reports from it, all wait for the same time, so that they ask it again
+// together. Requests that it was asked for and has not granted are asked for again.
+func (g *Gateway) onPeerShutdown(from int, m shutdownMessage) {
+	g.absentUntil[from] = g.now + shutdownAbsence
+	if p := g.peers[from]; p != nil && (!p.hasReported || p.incarnation == m.Incarnation) {
+		p.shutDown = true
 	}
-	for _, r := range slices.Clone(g.asking) {
-		if r.root == from && !r.over && !r.granted && g.asks[r.tag] == r {
-			g.asking = slices.DeleteFunc(g.asking, func(o *request) bool { return o == r })
-			r.waits = false
-			g.ask(r)
+	for _, r := range slices.Clone(g.pendingAsks) {
+		if r.root == from && !r.closed && !r.granted && g.asksByTag[r.tag] == r {
+			g.pendingAsks = slices.DeleteFunc(g.pendingAsks, func(o *request) bool { return o == r })
+			r.heldAtRoot = false
+			g.askRoot(r)
 		}
 	}
 }
 
-// gone tells whether a gateway has told that it ends, a moment ago.
-func (g *Gateway) gone(num int) bool { return g.now < g.departed[num] }
+// isAbsent reports whether a gateway announced its shutdown a short time ago.
+func (g *Gateway) isAbsent(num int) bool { return g.now < g.absentUntil[num] }
 
-// keepTime lets go of what has had its time, and hands back to those who are asked
-// again from now on.
-func (g *Gateway) keepTime() {
-	for _, num := range slices.Sorted(maps.Keys(g.departed)) { // in an order that equal seeds give again
-		if g.now >= g.departed[num] {
-			delete(g.departed, num)
-			g.handBack(num)
+// endAbsences drops what has expired, and transfers counts and states back to the gateways
+// that are asked again from now on.
+func (g *Gateway) endAbsences() {
+	for _, num := range slices.Sorted(maps.Keys(g.absentUntil)) { // sorted: equal seeds give equal actions
+		if g.now >= g.absentUntil[num] {
+			delete(g.absentUntil, num)
+			g.transferBack(num)
 		}
 	}
-	for k, until := range g.adopted {
+	for k, until := range g.receivedTransfers {
 		if g.now >= until {
-			delete(g.adopted, k)
+			delete(g.receivedTransfers, k)
 		}
 	}
 }
 
-// onFleet takes in the messages that older programs don't know.
-func (g *Gateway) onFleet(from int, m any) {
+// onNewerMessage handles the messages that older programs don't know.
+func (g *Gateway) onNewerMessage(from int, m any) {
 	switch m := m.(type) {
-	case markedSight:
-		g.onSight(m.Sight, g.place(m.Sight.Class, true, m.Mark))
+	case markedObservation:
+		g.onObservation(m.Observation, g.localClass(m.Observation.Class, true, m.Mark))
 	case markedVerdict:
-		g.onVerdict(m.Verdict, g.placeMask(m.Verdict.Bad, true, m.Mark))
-	case tables:
-		g.onTables(from, m)
-	case departure:
-		g.onDeparture(from, m)
-	case handed:
-		g.onHanded(from, m)
-	case judged:
-		g.onJudged(from, m)
-	case endedFor:
-		g.onEnded(int(m.From), m.End)
-	case stillOut:
-		a := ask(m)
-		if plan, _ := g.meant(from, &a); plan != nil && a.Spread > 0 {
-			g.onStill(from, a, plan)
+		g.onVerdict(m.Verdict, g.localClassMask(m.Verdict.OutOfUse, true, m.Mark))
+	case tablesMessage:
+		g.onTablesMessage(from, m)
+	case shutdownMessage:
+		g.onPeerShutdown(from, m)
+	case customerTransfer:
+		g.onCustomerTransfer(from, m)
+	case monitorState:
+		g.onMonitorState(from, m)
+	case forwardedEnd:
+		g.onEnd(int(m.From), m.End)
+	case stillInFlight:
+		a := askMessage(m)
+		if plan, _ := g.resolveAsk(from, &a); plan != nil && a.Spread > 0 {
+			g.onStillInFlight(from, a, plan)
 		}
-	case took:
-		g.onTook(from, m)
+	case transferAck:
+		g.onTransferAck(from, m)
 	}
 }
 
-// adopt takes over a root's counts. What its token bucket held fills none here.
-func (g *Gateway) adopt(c *customer, m *handed) {
+// adoptCustomer takes over a root's counts. It may lower the token bucket here, but never
+// raises it.
+func (g *Gateway) adoptCustomer(c *customer, m *customerTransfer) {
 	g.advance(c)
-	c.tokens, c.sums, c.seen = min(c.tokens, float64(m.Store)), true, g.now
+	c.tokens, c.actsAsRoot, c.lastRequestAt = min(c.tokens, float64(m.Tokens)), true, g.now
 	for _, l := range m.Grants {
 		n := len(c.leases)
-		c.leases[lease{int(l.From), l.Tag}] = g.grantOf(c, l)
-		c.count(g.now, len(c.leases)-n)
+		c.leases[leaseKey{int(l.From), l.Tag}] = g.leaseOf(c, l)
+		c.addInFlight(g.now, len(c.leases)-n)
 	}
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// Numbers in messages. A class or plan is named by its place in the sender's
-// settings. While a fleet is being reconfigured these differ, and a number must
-// not be taken for another: each table has a mark, and what was said by another
-// table is translated by name or, where that table is not known, passed over.
+// Numbers in messages. A class or plan is identified by its index in the sender's
+// settings. While a fleet is being reconfigured the indexes differ, and a number must
+// not be read by the wrong table. So each table has a mark, and numbers of another
+// table are translated by name or, where that table is not known, ignored.
 //
-// An ask always bears its table's mark, in the upper bits of its tag, which means
-// nothing to the root and comes back as it was: older programs lose nothing. The
-// other messages bear one from when this gateway has first met a second table;
-// older programs pass those over. A number without a mark counts only where all
+// An ask always includes its table's mark, in the upper bits of its tag. The root
+// does not interpret the tag and returns it as it was, so older programs lose nothing.
+// The other messages include a mark once this gateway has met a second table;
+// older programs ignore these. A number without a mark counts only where all
 // tables known here agree on it.
 
-// table is the classes and plans of one generation of the settings, by place.
+// table is the classes and plans of one generation of the settings, by index.
 type table struct {
-	mark    uint16 // of the names and their order
+	mark    uint16 // hash of the names and their order
 	classes []string
 	plans   []string
 }
 
-// A tag: the mark's lowest bits, a check that tells it from an older program's
-// tag, and a counter that does not come round while a client waits: a gateway is
-// answered at most some hundreds of times a second.
+// A tag consists of check bits that tell it from an older program's tag, the mark's lowest
+// bits, and a counter. The counter does not wrap round while a client waits, since a gateway
+// gets at most some hundreds of answers a second.
 const (
 	countBits, checkBits = 14, 8
 	markMask             = 1<<(32-countBits-checkBits) - 1
 )
 
-// tables tells a peer whose numbers are not known here which are.
-type tables struct{ Mark uint16 }
+// tablesMessage tells a peer, whose table is not known here, which one this gateway uses.
+type tablesMessage struct{ Mark uint16 }
 
-// markedSight and markedVerdict say by which table they count classes.
-type markedSight struct {
-	Mark  uint16
-	Sight sight
+// markedObservation and markedVerdict name the table that numbers their classes.
+type markedObservation struct {
+	Mark        uint16
+	Observation observation
 }
 
 type markedVerdict struct {
 	Mark    uint16
-	Verdict verdict
+	Verdict verdictMessage
 }
 
 func newTable(s *Settings) *table {
@@ -63,24 +63,24 @@
 	return t
 }
 
-// newTag names a request in the messages, by a table. The check covers the
-// counter too: of an older program's tags now and then one passes, not all.
+// newTag returns a tag for a request, with the mark of table t. The check covers the counter
+// too, so that an older program's tags pass it now and then, not always.
 func (g *Gateway) newTag(t *table) uint32 {
 	g.nextTag++
 	body := uint32(t.mark)<<countBits&(1<<(32-checkBits)-1) | g.nextTag&(1<<countBits-1)
-	return body | checkOf(body)<<(32-checkBits)
+	return body | tagCheck(body)<<(32-checkBits)
 }
 
-func checkOf(body uint32) uint32 { return (body + 1) * 0x9e3779b1 >> (32 - checkBits) }
+func tagCheck(body uint32) uint32 { return (body + 1) * 0x9e3779b1 >> (32 - checkBits) }
 
-// tagMark reads the mark's lowest bits from a tag, if it bears one.
+// tagMark returns the mark's lowest bits from a tag, if it holds a mark.
 func tagMark(tag uint32) (mark uint16, ok bool) {
 	body := tag & (1<<(32-checkBits) - 1)
-	return uint16(body >> countBits), checkOf(body) == tag>>(32-checkBits)
+	return uint16(body >> countBits), tagCheck(body) == tag>>(32-checkBits)
 }
 
-// known finds a table by its mark's lowest bits; nil: there is none.
-func (g *Gateway) known(mark uint16) *table {
+// tableByMark finds a table by its mark's lowest bits; nil: not known.
+func (g *Gateway) tableByMark(mark uint16) *table {
 	for _, t := range g.tables {
 		if (t.mark^mark)&markMask == 0 {
 			return t
@@ -89,257 +89,258 @@
 	return nil
 }
 
-// toPeer is the table to ask a gateway by, nil where none would be understood:
-// the newest, unless that gateway was heard to use another, or a name has left
-// the newest.
-func (g *Gateway) toPeer(num int, r *request) *table {
+// tableFor returns the table for asking a gateway: the newest, unless that gateway uses
+// another one or a name is missing from the newest. It is nil where the gateway would
+// understand none.
+func (g *Gateway) tableFor(num int, r *request) *table {
 	t := g.tables[0]
-	if !g.mixed {
+	if !g.mixedTables {
 		return t
 	}
 	list := g.tables
-	if mark, heard := g.speaks[num]; heard {
-		list = list[max(0, slices.Index(list, g.known(mark))):] // it knows none that came later
-		if g.known(mark) == nil {
+	if mark, known := g.peerTableMarks[num]; known {
+		list = list[max(0, slices.Index(list, g.tableByMark(mark))):] // it knows no newer one
+		if g.tableByMark(mark) == nil {
 			return nil
 		}
 	}
 	for _, t := range list {
-		if slices.Contains(t.plans, r.c.plan.Name) && slices.Contains(t.classes, r.cl.Name) {
+		if slices.Contains(t.plans, r.customer.plan.Name) && slices.Contains(t.classes, r.class.Name) {
 			return t
 		}
 	}
 	return nil
 }
 
-// meant gives the plan and class that a gateway asks for; nil: it can't be told,
-// and that gateway is told why.
-func (g *Gateway) meant(from int, m *ask) (*quota, *class) {
-	if g.leaving {
-		return nil, nil // its counts are another's by now
+// resolveAsk returns the plan and class that a gateway asks for. Both are nil if they can't be
+// determined; a gateway whose table is not known is sent the mark of the newest table here.
+func (g *Gateway) resolveAsk(from int, m *askMessage) (*quota, *class) {
+	if g.shuttingDown {
+		return nil, nil // another gateway sums these counts by now
 	}
 	mark, marked := tagMark(m.Tag)
 	t := g.tables[0]
 	if marked {
-		if t = g.known(mark); t == nil {
-			g.hint(from)
+		if t = g.tableByMark(mark); t == nil {
+			g.sendTableMark(from)
 			return nil, nil
 		}
-		if g.mixed {
-			g.speaks[from] = mark
+		if g.mixedTables {
+			g.peerTableMarks[from] = mark
 		}
 	}
-	if int(m.Plan) >= len(t.plans) || int(m.Class) >= len(t.classes) || !marked && (!g.agreed(m.Plan, func(t *table) []string {
-		return t.plans
-	}) || !g.agreed(m.Class, func(t *table) []string { return t.classes })) {
+	if int(m.Plan) >= len(t.plans) || int(m.Class) >= len(t.classes) ||
+		!marked && (!g.sameInAllTables(m.Plan, func(t *table) []string { return t.plans }) ||
+			!g.sameInAllTables(m.Class, func(t *table) []string { return t.classes })) {
 		return nil, nil
 	}
 	plan, cl := g.plans[t.plans[m.Plan]], g.classes[t.classes[m.Class]]
 	if plan == nil {
-		plan = g.lapsedPlans[t.plans[m.Plan]]
+		plan = g.removedPlans[t.plans[m.Plan]]
 	}
 	if cl == nil {
-		cl = g.lapsedClasses[t.classes[m.Class]]
+		cl = g.removedClasses[t.classes[m.Class]]
 	}
 	if plan == nil {
 		return nil, nil
 	}
-	if c := g.customers[m.Customer]; c != nil && g.mixed {
-		g.replan(c, plan)
+	if c := g.customers[m.Customer]; c != nil && g.mixedTables {
+		g.changePlan(c, plan)
 	}
 	return plan, cl
 }
 
-// hint tells a gateway that speaks by a table not known here which is, at most
-// once a tick.
-func (g *Gateway) hint(to int) {
-	if !slices.Contains(g.hinted, to) {
-		g.hinted = append(g.hinted, to)
-		g.do(Tell{To: to, Data: encode(tables{g.tables[0].mark})})
+// sendTableMark sends the mark of the newest table, at most once a tick, to a gateway that
+// uses a table not known here.
+func (g *Gateway) sendTableMark(to int) {
+	if !slices.Contains(g.hintedPeers, to) {
+		g.hintedPeers = append(g.hintedPeers, to)
+		g.emit(SendMessage{To: to, Data: encode(tablesMessage{g.tables[0].mark})})
 	}
 }
 
-// mix notes that more than one table is about. It is never taken back: a gateway
-// that lagged behind is not heard of.
-func (g *Gateway) mix() {
-	if !g.mixed {
-		g.mixed, g.speaks = true, map[int]uint16{}
+// noteMixedTables records that more than one table is in use. This is never reset, since
+// nothing shows that the last gateway has changed its table.
+func (g *Gateway) noteMixedTables() {
+	if !g.mixedTables {
+		g.mixedTables, g.peerTableMarks = true, map[int]uint16{}
 	}
 }
 
-// onTables takes in which table a gateway knows. Where that is news it is told
-// of the one here: it must not go on taking its numbers for those of this one.
-func (g *Gateway) onTables(from int, m tables) {
-	if m.Mark == g.tables[0].mark && !g.mixed {
+// onTablesMessage records the table that a gateway uses. If that is new, the gateway is sent
+// the mark of the table here, so that it stops reading its numbers by the wrong table.
+func (g *Gateway) onTablesMessage(from int, m tablesMessage) {
+	if m.Mark == g.tables[0].mark && !g.mixedTables {
 		return
 	}
-	g.mix()
-	if was, heard := g.speaks[from]; !heard || was != m.Mark&markMask {
-		g.speaks[from] = m.Mark & markMask
-		g.hint(from)
+	g.noteMixedTables()
+	if was, known := g.peerTableMarks[from]; !known || was != m.Mark&markMask {
+		g.peerTableMarks[from] = m.Mark & markMask
+		g.sendTableMark(from)
 	}
 }
 
-// agreed tells whether a number without a mark means the same in all tables.
-func (g *Gateway) agreed(no byte, names func(*table) []string) bool {
+// sameInAllTables reports whether a number without a mark means the same in all tables.
+func (g *Gateway) sameInAllTables(index byte, names func(*table) []string) bool {
 	first := names(g.tables[0])
 	for _, t := range g.tables[1:] {
-		if list := names(t); int(no) >= len(first) || int(no) >= len(list) || list[no] != first[no] {
+		if list := names(t); int(index) >= len(first) || int(index) >= len(list) ||
+			list[index] != first[index] {
 			return false
 		}
 	}
-	return int(no) < len(first)
+	return int(index) < len(first)
 }
 
-// marked is a message as it goes out: with a mark once that is called for.
-func (g *Gateway) marked(m any) any {
-	if !g.mixed {
+// withMark returns a message as it is sent: with a mark once tables are mixed.
+func (g *Gateway) withMark(m any) any {
+	if !g.mixedTables {
 		return m
 	}
 	switch m := m.(type) {
-	case sight:
-		return markedSight{g.tables[0].mark, m}
-	case verdict:
+	case observation:
+		return markedObservation{g.tables[0].mark, m}
+	case verdictMessage:
 		return markedVerdict{g.tables[0].mark, m}
 	}
 	return m
 }
 
-// place gives the place here of the class that a message names by its mark, or
-// by none; -1: it can't be told.
-func (g *Gateway) place(no byte, marked bool, mark uint16) int {
+// localClass returns the index here of a class that a message numbers by a marked table, or
+// by none; -1: not known.
+func (g *Gateway) localClass(index byte, marked bool, mark uint16) int {
 	if !marked {
-		if g.agreed(no, func(t *table) []string { return t.classes }) {
-			return int(no)
+		if g.sameInAllTables(index, func(t *table) []string { return t.classes }) {
+			return int(index)
 		}
 		return -1
 	}
-	t := g.known(mark)
-	if t == nil || int(no) >= len(t.classes) {
+	t := g.tableByMark(mark)
+	if t == nil || int(index) >= len(t.classes) {
 		return -1
 	}
-	if cl := g.classes[t.classes[no]]; cl != nil {
-		return cl.no
+	if cl := g.classes[t.classes[index]]; cl != nil {
+		return cl.index
 	}
 	return -1
 }
 
-// placeMask moves a mask of classes to the places here.
-func (g *Gateway) placeMask(mask byte, marked bool, mark uint16) (here byte) {
+// localClassMask translates a mask of classes to the indexes here.
+func (g *Gateway) localClassMask(mask byte, marked bool, mark uint16) (here byte) {
 	for i := range 8 {
-		if at := g.place(byte(i), marked, mark); mask>>i&1 == 1 && at >= 0 {
+		if at := g.localClass(byte(i), marked, mark); mask>>i&1 == 1 && at >= 0 {
 			here |= 1 << at
 		}
 	}
 	return here
 }
 
-// reconfigure puts new settings in force. What stays keeps its state, by name.
-// An open request keeps the class it came under, and a customer of a plan that
-// is gone keeps that plan until it names another.
+// reconfigure applies new settings. State is kept by name. A pending request keeps the
+// class that it has, and a customer whose plan is removed keeps that plan until a request
+// names another.
 func (g *Gateway) reconfigure(s Settings) {
 	if err := s.check(); err != nil {
-		g.do(Log{Text: "new settings not taken: " + err.Error()})
+		g.emit(Log{Text: "new settings rejected: " + err.Error()})
 		return
 	}
-	for _, c := range g.ring {
-		g.advance(c) // by the old figures up to now
+	for _, c := range g.customerList {
+		g.advance(c) // the old settings apply up to now
 	}
-	was := make(map[*quota]Plan, len(g.plans))
+	oldPlans := make(map[*quota]Plan, len(g.plans))
 	for _, q := range g.plans {
-		was[q] = q.Plan
-	}
-	g.set = s
-	goneClasses, gonePlans := g.newClasses(s.Classes), g.newPlans(s.Plans)
-	if t := newTable(&s); !slices.Equal(t.classes, g.tables[0].classes) || !slices.Equal(t.plans, g.tables[0].plans) {
-		g.tables, g.lapsedClasses, g.lapsedPlans = []*table{t, g.tables[0]}, goneClasses, gonePlans
-		g.mix()
-	}
-	for _, c := range g.ring {
-		if old, known := was[c.plan]; known {
-			g.carry(c, old)
+		oldPlans[q] = q.Plan
+	}
+	g.settings = s
+	removedClasses, removedPlans := g.replaceClasses(s.Classes), g.replacePlans(s.Plans)
+	if t := newTable(&s); !slices.Equal(t.classes, g.tables[0].classes) ||
+		!slices.Equal(t.plans, g.tables[0].plans) {
+		g.tables, g.removedClasses, g.removedPlans = []*table{t, g.tables[0]}, removedClasses, removedPlans
+		g.noteMixedTables()
+	}
+	for _, c := range g.customerList {
+		if old, known := oldPlans[c.plan]; known {
+			g.applyPlanChange(c, old)
 		}
 	}
 }
 
-// replan takes a customer whose plan is gone over to one that it names now.
-func (g *Gateway) replan(c *customer, plan *quota) {
+// changePlan moves a customer whose plan was removed to the plan that it names now.
+func (g *Gateway) changePlan(c *customer, plan *quota) {
 	if plan != nil && g.plans[c.plan.Name] != c.plan {
 		g.advance(c)
 		old := c.plan.Plan
 		c.plan = plan
-		g.carry(c, old)
+		g.applyPlanChange(c, old)
 	}
 }
 
-// newClasses makes the classes of new settings; one whose figures have changed
-// leaves those of open requests alone. It returns the classes that are gone.
-func (g *Gateway) newClasses(list []Class) (old map[string]*class) {
+// replaceClasses makes the classes of new settings. A class whose settings changed becomes
+// a new one, so that pending requests keep the old settings. It returns the removed classes.
+func (g *Gateway) replaceClasses(list []Class) (old map[string]*class) {
 	old = g.classes
 	g.classes, g.minAim = map[string]*class{}, math.Inf(1)
-	from := make([]int, len(list)) // the places before
+	oldIndexes := make([]int, len(list)) // index before
 	for i, c := range list {
-		from[i] = -1
+		oldIndexes[i] = -1
 		cl := old[c.Name]
 		if cl == nil {
-			cl = &class{Class: c, mean: c.Aim.Seconds() / firstGuess}
-		} else if from[i] = cl.no; cl.Class != c {
-			cl = &class{Class: c, mean: cl.mean, seen: cl.seen}
+			cl = &class{Class: c, meanLatency: c.LatencyTarget.Seconds() / initialLatencyDivisor}
+		} else if oldIndexes[i] = cl.index; cl.Class != c {
+			cl = &class{Class: c, meanLatency: cl.meanLatency, outcomes: cl.outcomes}
 		}
 		g.classes[c.Name] = cl
-		g.minAim = min(g.minAim, c.Aim.Seconds())
+		g.minAim = min(g.minAim, c.LatencyTarget.Seconds())
 	}
 	for _, cl := range old {
-		cl.no = -1
+		cl.index = -1
 	}
 	for i, c := range list {
-		g.classes[c.Name].no = i
+		g.classes[c.Name].index = i
 		if cl := old[c.Name]; cl != nil {
-			cl.no = i
+			cl.index = i
 			delete(old, c.Name)
 		}
 	}
-	for _, srv := range g.fleet {
-		by := make([]record, len(list))
-		for i, at := range from {
+	for _, srv := range g.tracked {
+		by := make([]classHealth, len(list))
+		for i, at := range oldIndexes {
 			if at >= 0 {
-				by[i] = srv.by[at]
+				by[i] = srv.health[at]
 			}
 		}
-		srv.by = by
+		srv.health = by
 	}
 	return old
 }
 
-// newPlans puts the figures of new plans in the place of the old ones: attempts
-// out and held requests are judged by them from now on. It returns the plans
-// that are gone.
-func (g *Gateway) newPlans(list []Plan) (old map[string]*quota) {
+// replacePlans changes the settings of the plans in place, so that they apply to attempts
+// in flight and held requests too. It returns the removed plans.
+func (g *Gateway) replacePlans(list []Plan) (old map[string]*quota) {
 	old = g.plans
 	g.plans = map[string]*quota{}
 	for i, p := range list {
 		q := old[p.Name]
 		if q == nil {
-			q = &quota{fits: 1}
+			q = &quota{admittedShare: 1}
 		}
-		q.Plan, q.no = p, byte(i)
+		q.Plan, q.index = p, byte(i)
 		g.plans[p.Name] = q
 		delete(old, p.Name)
 	}
-	for _, s := range g.fleet {
-		for q := range s.fullAt {
+	for _, s := range g.tracked {
+		for q := range s.fullUntil {
 			if g.plans[q.Name] != q {
-				delete(s.fullAt, q)
+				delete(s.fullUntil, q)
 			}
 		}
 	}
 	return old
 }
 
-// onSight takes in an outcome that another gateway saw at a server watched here.
-func (g *Gateway) onSight(m sight, class int) {
-	s := g.meet(ServerID(m.Server))
-	if s != nil && slices.Contains(s.watchers[:], g.set.Me) && class >= 0 {
-		g.gather(s, class, Code(m.Code), time.Duration(m.Latency)*time.Millisecond)
+// onObservation adds an outcome that another gateway observed at a server monitored here.
+func (g *Gateway) onObservation(m observation, class int) {
+	s := g.track(ServerID(m.Server))
+	if s != nil && slices.Contains(s.monitors[:], g.settings.Self) && class >= 0 {
+		g.observeOutcome(s, class, Code(m.Code), time.Duration(m.Latency)*time.Millisecond)
 	}
 }
