--- a/internal/lab/lending/lending.go
+++ b/internal/lab/lending/lending.go
@@ -18,11 +18,11 @@
 
 // Job is the work of one request.
 type Job struct {
-	Work  float64       // core-seconds
-	Until time.Duration // its client stops waiting at this time
-	Gone  bool          // nobody waits for the result any longer
-	Done  func(End)     // called once; for jobs that Clear returns, by the caller of Clear
-	left  float64       // value of Desk.had at which the job is complete
+	Work   float64       // core-seconds
+	Until  time.Duration // its client stops waiting at this time
+	Gone   bool          // nobody waits for the result any longer
+	Done   func(End)     // called once; for jobs that Clear returns, by the caller of Clear
+	doneAt float64       // value of Desk.had at which the job is complete
 }
 
 // End is the way in which a job ended.
@@ -38,93 +38,93 @@
 
 // Desk holds the jobs in process and in the queue of a server.
 type Desk struct {
-	clock  Clock
-	figs   *world.Server
-	Cores  float64
-	Start  time.Duration // start of its process; 0: fully warm
-	slow   float64
-	active []*Job
-	queue  []*Job
-	had    float64 // core-seconds that each job in process has received since the desk was created
-	at     time.Duration
-	gen    int // generation of the scheduled end of the next job; older events are ignored
+	clock      Clock
+	settings   *world.Server
+	Cores      float64
+	Start      time.Duration // start of its process; 0: fully warm
+	slowdown   float64
+	active     []*Job
+	queue      []*Job
+	workPerJob float64 // core-seconds that each job in process has received since the desk was created
+	advancedTo time.Duration
+	generation int // generation of the scheduled end of the next job; older events are ignored
 }
 
 // New returns an idle desk.
-func New(c Clock, figs *world.Server, cores float64) *Desk {
-	return &Desk{clock: c, figs: figs, Cores: cores, slow: 1, at: c.Now()}
+func New(c Clock, settings *world.Server, cores float64) *Desk {
+	return &Desk{clock: c, settings: settings, Cores: cores, slowdown: 1, advancedTo: c.Now()}
 }
 
-// Warmth returns the warm-up fraction of the process: the fraction of its capacity that it has now.
-func (d *Desk) Warmth() float64 {
+// WarmUpFraction returns the warm-up fraction of the process: the fraction of its capacity that it has now.
+func (d *Desk) WarmUpFraction() float64 {
 	if d.Start == 0 {
 		return 1
 	}
-	age := float64(d.clock.Now()-d.Start) / max(1, float64(d.figs.Warm))
-	return min(1, d.figs.ColdShare+(1-d.figs.ColdShare)*age)
+	age := float64(d.clock.Now()-d.Start) / max(1, float64(d.settings.Warm))
+	return min(1, d.settings.ColdShare+(1-d.settings.ColdShare)*age)
 }
 
 // Load returns the number of requests in process and in the queue.
 func (d *Desk) Load() (working, waiting int) { return len(d.active), len(d.queue) }
 
 // Capacity returns the effective number of cores now.
-func (d *Desk) Capacity() float64 { return d.Cores * d.Warmth() / d.slow }
+func (d *Desk) Capacity() float64 { return d.Cores * d.WarmUpFraction() / d.slowdown }
 
-// pace returns the processing speed of each job in process, in core-seconds per second.
-func (d *Desk) pace() float64 {
+// speed returns the processing speed of each job in process, in core-seconds per second.
+func (d *Desk) speed() float64 {
 	n := float64(len(d.active))
 	if n == 0 {
 		return 0
 	}
 	each := min(1, d.Cores/n)
 	if over := n - d.Cores; over > 0 {
-		each /= 1 + d.figs.Thrash*over
+		each /= 1 + d.settings.Thrash*over
 	}
-	return each * d.Warmth() / d.slow
+	return each * d.WarmUpFraction() / d.slowdown
 }
 
 // advance accounts for the work done up to now.
 func (d *Desk) advance() {
 	now := d.clock.Now()
-	d.had += d.pace() * (now - d.at).Seconds()
-	d.at = now
+	d.workPerJob += d.speed() * (now - d.advancedTo).Seconds()
+	d.advancedTo = now
 }
 
-// recheck is the interval at which the end of a job is recomputed during warm-up.
-const recheck = 100 * time.Millisecond
+// recomputeInterval is the interval at which the end of a job is recomputed during warm-up.
+const recomputeInterval = 100 * time.Millisecond
 
-// next schedules the end of the job that completes first.
-func (d *Desk) next() {
-	if d.gen++; len(d.active) == 0 {
+// scheduleNext schedules the end of the job that completes first.
+func (d *Desk) scheduleNext() {
+	if d.generation++; len(d.active) == 0 {
 		return
 	}
 	first := d.active[0]
 	for _, j := range d.active {
-		if j.left < first.left {
+		if j.doneAt < first.doneAt {
 			first = j
 		}
 	}
-	wait := time.Duration((first.left - d.had) / d.pace() * float64(time.Second))
-	if d.Warmth() < 1 {
-		wait = min(wait, recheck)
+	wait := time.Duration((first.doneAt - d.workPerJob) / d.speed() * float64(time.Second))
+	if d.WarmUpFraction() < 1 {
+		wait = min(wait, recomputeInterval)
 	}
-	gen := d.gen
+	gen := d.generation
 	d.clock.After(max(wait, time.Microsecond), func() {
-		if d.gen == gen {
-			d.work()
+		if d.generation == gen {
+			d.processDue()
 		}
 	})
 }
 
-const none = 1e-9 // remaining core-seconds that count as complete
+const negligibleWork = 1e-9 // remaining core-seconds that count as complete
 
-// work ends the jobs that are complete and starts queued ones.
-func (d *Desk) work() {
+// processDue ends the jobs that are complete and starts queued ones.
+func (d *Desk) processDue() {
 	d.advance()
 	rest := d.active[:0]
 	var ready []*Job
 	for _, j := range d.active {
-		if j.left <= d.had+none {
+		if j.doneAt <= d.workPerJob+negligibleWork {
 			ready = append(ready, j)
 		} else {
 			rest = append(rest, j)
@@ -138,7 +138,7 @@
 			j.Done(Worked)
 		}
 	}
-	for len(d.active) < d.figs.Slots && len(d.queue) > 0 {
+	for len(d.active) < d.settings.Slots && len(d.queue) > 0 {
 		j := d.queue[0]
 		d.queue = d.queue[1:]
 		switch {
@@ -146,22 +146,22 @@
 		case d.clock.Now() >= j.Until:
 			j.Done(Over)
 		default:
-			j.left = d.had + j.Work
+			j.doneAt = d.workPerJob + j.Work
 			d.active = append(d.active, j)
 		}
 	}
-	d.next()
+	d.scheduleNext()
 }
 
 // Offer accepts a job. It returns false if the slots and the queue are full.
 func (d *Desk) Offer(j *Job) bool {
 	switch {
-	case len(d.active) < d.figs.Slots:
+	case len(d.active) < d.settings.Slots:
 		d.advance()
-		j.left = d.had + j.Work
+		j.doneAt = d.workPerJob + j.Work
 		d.active = append(d.active, j)
-		d.next()
-	case len(d.queue) < d.figs.Queue:
+		d.scheduleNext()
+	case len(d.queue) < d.settings.Queue:
 		d.queue = append(d.queue, j)
 	default:
 		return false
@@ -170,10 +170,10 @@
 }
 
 // Slow sets the factor on the duration of all work from now on.
-func (d *Desk) Slow(by float64) {
+func (d *Desk) Slow(factor float64) {
 	d.advance()
-	d.slow = by
-	d.next()
+	d.slowdown = factor
+	d.scheduleNext()
 }
 
 // Clear removes and returns all jobs.
@@ -181,50 +181,50 @@
 	d.advance()
 	all := append(d.active, d.queue...)
 	d.active, d.queue = nil, nil
-	d.gen++
+	d.generation++
 	return all
 }
 
 // Budget evaluates the rule on cold servers: it compares the work that a server recently received with
 // what the server can handle, and tracks how much of it came from edge nodes that knew of its start.
 type Budget struct {
-	rules *world.Rules
-	mean  float64 // work of a request, in seconds
-	sent  []arrival
+	rules    *world.Rules
+	meanWork float64 // work of a request, in seconds
+	sent     []arrival
 }
 
 type arrival struct {
-	at   time.Duration
-	work float64
-	knew bool
+	at        time.Duration
+	work      float64
+	knewStart bool
 }
 
-// slack is the allowance for random variation, in mean requests.
-const slack = 8
+// slackRequests is the allowance for random variation, in mean requests.
+const slackRequests = 8
 
 // NewBudget returns the budget of a process that has just started.
-func NewBudget(w *world.World) *Budget { return &Budget{rules: &w.Rules, mean: w.MeanWork()} }
+func NewBudget(w *world.World) *Budget { return &Budget{rules: &w.Rules, meanWork: w.MeanWork()} }
 
 // Came records an attempt. falls is true if the attempt overloads the server so that it crashes, and
 // known if in that case two thirds of the load came from edge nodes that knew of its start.
 func (b *Budget) Came(d *Desk, work float64, knew bool) (falls, known bool) {
 	now := d.clock.Now()
-	if d.Start == 0 || b.rules.FallFor == 0 || d.Warmth() >= 1 {
+	if d.Start == 0 || b.rules.FallFor == 0 || d.WarmUpFraction() >= 1 {
 		return false, false
 	}
 	b.sent = append(b.sent, arrival{now, work, knew})
 	for len(b.sent) > 0 && now-b.sent[0].at > b.rules.FallFor.D() {
 		b.sent = b.sent[1:]
 	}
-	all, by := 0.0, 0.0
+	totalWork, informedWork := 0.0, 0.0
 	for _, x := range b.sent {
-		if all += x.work; x.knew {
-			by += x.work
+		if totalWork += x.work; x.knewStart {
+			informedWork += x.work
 		}
 	}
-	bears := b.rules.Fall*d.Cores*d.Warmth()*b.rules.FallFor.D().Seconds() + slack*b.mean
-	if all <= bears || now-d.Start < b.rules.FallFor.D() {
+	limit := b.rules.Fall*d.Cores*d.WarmUpFraction()*b.rules.FallFor.D().Seconds() + slackRequests*b.meanWork
+	if totalWork <= limit || now-d.Start < b.rules.FallFor.D() {
 		return false, false
 	}
-	return true, by >= all*2/3
+	return true, informedWork >= totalWork*2/3
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -32,39 +32,39 @@
 		defer f.Close()
 		return readTrace(l.Trace, f)
 	}
-	return &shaped{l: l, rng: rand.New(rand.NewPCG(seed, 0x10ad))}, nil
+	return &shapedSource{load: l, rng: rand.New(rand.NewPCG(seed, 0x10ad))}, nil
 }
 
-// shaped draws arrivals at a rate that changes with time.
-type shaped struct {
-	l   *world.Load
-	rng *rand.Rand
-	at  float64 // seconds
+// shapedSource draws arrivals at a rate that changes with time.
+type shapedSource struct {
+	load *world.Load
+	rng  *rand.Rand
+	at   float64 // seconds
 }
 
 // rate returns the arrival rate per second at a time in seconds.
-func (s *shaped) rate(at float64) float64 {
-	period := s.l.Period.D().Seconds()
-	switch s.l.Shape {
+func (s *shapedSource) rate(at float64) float64 {
+	period := s.load.Period.D().Seconds()
+	switch s.load.Shape {
 	case "wave":
-		return s.l.Rate * (1 + s.l.Swing*math.Sin(2*math.Pi*at/period))
+		return s.load.Rate * (1 + s.load.Swing*math.Sin(2*math.Pi*at/period))
 	case "burst": // in the last fifth of each period
 		if _, part := math.Modf(at / period); part >= 0.8 {
-			return s.l.Rate * (1 + s.l.Swing)
+			return s.load.Rate * (1 + s.load.Swing)
 		}
 	}
-	return s.l.Rate
+	return s.load.Rate
 }
 
-func (s *shaped) Next() (time.Duration, bool) {
-	if s.l.Shape == "steady" {
-		s.at += 1 / s.l.Rate
+func (s *shapedSource) Next() (time.Duration, bool) {
+	if s.load.Shape == "steady" {
+		s.at += 1 / s.load.Rate
 		return seconds(s.at), true
 	}
-	most := s.l.Rate * (1 + s.l.Swing)
+	maxRate := s.load.Rate * (1 + s.load.Swing)
 	for { // thinning of a Poisson process at the maximum rate
-		s.at += s.rng.ExpFloat64() / most
-		if s.rng.Float64()*most <= s.rate(s.at) {
+		s.at += s.rng.ExpFloat64() / maxRate
+		if s.rng.Float64()*maxRate <= s.rate(s.at) {
 			return seconds(s.at), true
 		}
 	}
@@ -72,13 +72,13 @@
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// trace replays recorded times.
-type trace struct {
+// traceSource replays recorded times.
+type traceSource struct {
 	times []time.Duration
 	next  int
 }
 
-func (t *trace) Next() (time.Duration, bool) {
+func (t *traceSource) Next() (time.Duration, bool) {
 	if t.next == len(t.times) {
 		return 0, false
 	}
@@ -86,11 +86,11 @@
 	return t.times[t.next-1], true
 }
 
-const mostTrace = 20_000_000 // maximum arrivals in a file
+const maxTraceArrivals = 20_000_000 // maximum arrivals in a file
 
 // readTrace reads a time in seconds from each line. Lines that start with # are comments.
-func readTrace(name string, r io.Reader) (*trace, error) {
-	t := &trace{}
+func readTrace(name string, r io.Reader) (*traceSource, error) {
+	t := &traceSource{}
 	lines := bufio.NewScanner(r)
 	for no := 1; lines.Scan(); no++ {
 		text := strings.TrimSpace(lines.Text())
@@ -103,8 +103,8 @@
 			return nil, fmt.Errorf("%s, line %d: %q is not a time in seconds", name, no, text)
 		case len(t.times) > 0 && seconds(v) < t.times[len(t.times)-1]:
 			return nil, fmt.Errorf("%s, line %d: %s is before the time on the previous line", name, no, text)
-		case len(t.times) == mostTrace:
-			return nil, fmt.Errorf("%s, line %d: over %d arrivals", name, no, mostTrace)
+		case len(t.times) == maxTraceArrivals:
+			return nil, fmt.Errorf("%s, line %d: over %d arrivals", name, no, maxTraceArrivals)
 		}
 		t.times = append(t.times, seconds(v))
 	}
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -29,15 +29,15 @@
 	Err    error
 }
 
-// mostNotes is the maximum number of trace notes per run, at a few hundred bytes each.
-const mostNotes = 4_000_000
+// maxNotes is the maximum number of trace notes per run, at a few hundred bytes each.
+const maxNotes = 4_000_000
 
 // Sim executes a run in simulated time. step, if not nil, is called every simulated second.
 func Sim(ctx context.Context, r experiment.Run, stories bool, step func(second int)) Done {
-	begun := time.Now()
+	start := time.Now()
 	d := Done{Run: r}
 	d.Result, d.Log, d.Err = simulate(ctx, r, stories, step)
-	d.Took = time.Since(begun)
+	d.Took = time.Since(start)
 	return d
 }
 
@@ -67,7 +67,7 @@
 	s := sim.New(r.World, r.Seed, mk)
 	s.Check = check
 	if stories {
-		s.Trace = &trace.Log{Most: mostNotes}
+		s.Trace = &trace.Log{Most: maxNotes}
 	}
 	if res, err = s.Run(source, step); err != nil {
 		return nil, nil, err
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -7,113 +7,113 @@
 	"valvering.example/valvering/policy"
 )
 
-// callWait is the timeout of a call for the list when discovery is overloaded.
-const callWait = time.Second
+// callTimeout is the timeout of a call for the list when discovery is overloaded.
+const callTimeout = time.Second
 
-// listed returns the server list as discovery holds it.
-func (s *Sim) listed() map[policy.ServerID]policy.Server {
+// serverList returns the server list as discovery holds it.
+func (s *Sim) serverList() map[policy.ServerID]policy.Server {
 	m := map[policy.ServerID]policy.Server{}
 	for _, srv := range s.servers {
 		if srv.state != policy.Removed {
-			m[srv.id] = srv.entry()
+			m[srv.id] = srv.listEntry()
 		}
 	}
 	return m
 }
 
-// changed sends a change of a server to all edge nodes, each with its own delay.
-func (s *Sim) changed(srv *server) {
-	e := srv.entry()
+// publishChange sends a change of a server to all edge nodes, each with its own delay.
+func (s *Sim) publishChange(srv *server) {
+	e := srv.listEntry()
 	for _, n := range s.nodes {
-		if s.w.Disc.Watch && !n.watching {
+		if s.world.Disc.Watch && !n.watching {
 			continue
 		}
 		s.deliver(n, func() {
-			if _, known := n.list[e.ID]; !known && e.State == policy.Removed {
+			if _, known := n.servers[e.ID]; !known && e.State == policy.Removed {
 				return
 			}
-			n.tell(policy.Changes, []policy.Server{e})
+			n.receiveEntries(policy.Changes, []policy.Server{e})
 		})
 	}
 }
 
 // deliver runs do for an edge node's process after a random delay. Deliveries to a node keep their order.
 func (s *Sim) deliver(n *node, do func()) {
-	at := max(s.now, s.down) + draw(s.net, s.w.Disc.Late.D()+s.late)
-	n.listAt = max(n.listAt, at)
-	inc := n.inc
-	s.at(n.listAt, func() {
-		if n.inc == inc && n.up {
+	at := max(s.now, s.discoveryDownUntil) + exponential(s.netRand, s.world.Disc.Late.D()+s.discoveryDelay)
+	n.lastDelivery = max(n.lastDelivery, at)
+	inc := n.incarnation
+	s.at(n.lastDelivery, func() {
+		if n.incarnation == inc && n.up {
 			do()
 		}
 	})
 }
 
-// listTo sends the whole list to an edge node that has just started, if discovery pushes lists.
-func (s *Sim) listTo(n *node) {
-	if !s.w.Disc.Watch {
-		s.deliver(n, func() { n.whole() })
+// pushList sends the whole list to an edge node that has just started, if discovery pushes lists.
+func (s *Sim) pushList(n *node) {
+	if !s.world.Disc.Watch {
+		s.deliver(n, func() { n.receiveFullList() })
 	}
 }
 
-// call handles an edge node's call for the list and its changes.
-func (s *Sim) call(n *node) {
-	inc := n.inc
+// handleListCall handles an edge node's handleListCall for the list and its changes.
+func (s *Sim) handleListCall(n *node) {
+	inc := n.incarnation
 	wait := time.Duration(0)
-	if s.w.Disc.Calls > 0 {
-		s.callAt = max(s.callAt, s.now) + time.Duration(float64(time.Second)/s.w.Disc.Calls)
-		wait = s.callAt - s.now
+	if s.world.Disc.Calls > 0 {
+		s.callsServedAt = max(s.callsServedAt, s.now) + time.Duration(float64(time.Second)/s.world.Disc.Calls)
+		wait = s.callsServedAt - s.now
 	}
-	if wait = max(wait, s.down-s.now); wait > callWait {
-		s.after(callWait, func() {
-			if n.inc == inc {
+	if wait = max(wait, s.discoveryDownUntil-s.now); wait > callTimeout {
+		s.after(callTimeout, func() {
+			if n.incarnation == inc {
 				n.handle(policy.ServerListUpdate{Kind: policy.WatchFailed})
 			}
 		})
 		return
 	}
 	s.after(wait, func() {
-		if n.inc == inc && n.up {
+		if n.incarnation == inc && n.up {
 			n.watching = true
-			n.whole()
+			n.receiveFullList()
 		}
 	})
 }
 
-// whole sends the current list to an edge node.
-func (n *node) whole() {
+// receiveFullList sends the current list to an edge node.
+func (n *node) receiveFullList() {
 	var list []policy.Server
-	for _, srv := range n.s.servers {
+	for _, srv := range n.sim.servers {
 		if srv.state != policy.Removed {
-			list = append(list, srv.entry())
+			list = append(list, srv.listEntry())
 		}
 	}
-	for id := range n.list {
+	for id := range n.servers {
 		if !slices.ContainsFunc(list, func(e policy.Server) bool { return e.ID == id }) {
-			n.told[id] = n.s.now
-			delete(n.list, id)
+			n.drainKnownAt[id] = n.sim.now
+			delete(n.servers, id)
 		}
 	}
-	n.tell(policy.FullList, list)
+	n.receiveEntries(policy.FullList, list)
 }
 
-// tell sends server entries to an edge node and records what the node knows about them.
-func (n *node) tell(kind policy.UpdateKind, list []policy.Server) {
+// receiveEntries sends server entries to an edge node and records what the node knows about them.
+func (n *node) receiveEntries(kind policy.UpdateKind, list []policy.Server) {
 	for _, e := range list {
 		if e.State != policy.Running {
-			if _, already := n.told[e.ID]; !already {
-				n.told[e.ID] = n.s.now
+			if _, already := n.drainKnownAt[e.ID]; !already {
+				n.drainKnownAt[e.ID] = n.sim.now
 			}
 		} else {
-			delete(n.told, e.ID)
+			delete(n.drainKnownAt, e.ID)
 		}
 		if e.State == policy.Removed {
-			delete(n.list, e.ID)
+			delete(n.servers, e.ID)
 		} else {
-			n.list[e.ID] = e
+			n.servers[e.ID] = e
 		}
 		if e.HasStart {
-			n.starts[e.ID] = e.Start
+			n.knownStarts[e.ID] = e.Start
 		}
 	}
 	n.handle(policy.ServerListUpdate{Kind: kind, Servers: list})
--- a/internal/lab/sim/fault.go
+++ b/internal/lab/sim/fault.go
@@ -7,19 +7,19 @@
 	"valvering.example/valvering/policy"
 )
 
-// schedule schedules the start and the end of a fault.
-func (s *Sim) schedule(f *world.Fault) {
+// scheduleFault schedules the start and the end of a fault.
+func (s *Sim) scheduleFault(f *world.Fault) {
 	zone := f.Zone
 	if zone < 0 {
-		zone = s.faults.IntN(s.w.Zones)
+		zone = s.faultRand.IntN(s.world.Zones)
 	}
 	begin, end := epoch+f.Start.D(), epoch+f.End()
-	during := func(on, off func()) {
-		s.at(begin, on)
-		s.at(end, off)
+	during := func(start, stop func()) {
+		s.at(begin, start)
+		s.at(end, stop)
 	}
 	// Draw the affected servers now, so that one fault does not change the draw of another.
-	servers := s.pick(len(s.servers), f.Part)
+	servers := s.drawIndexes(len(s.servers), f.Part)
 	each := func(do func(v *server)) func() {
 		return func() {
 			for _, i := range servers {
@@ -29,20 +29,20 @@
 	}
 	switch f.Kind {
 	case "crash-wave":
-		nodes := s.pick(len(s.nodes), f.Part)
-		back := make([]time.Duration, len(nodes))
-		for i := range back {
-			back[i] = time.Duration((0.2 + 0.8*s.faults.Float64()) * f.Size * float64(time.Second))
+		nodes := s.drawIndexes(len(s.nodes), f.Part)
+		restartAfter := make([]time.Duration, len(nodes))
+		for i := range restartAfter {
+			restartAfter[i] = time.Duration((0.2 + 0.8*s.faultRand.Float64()) * f.Size * float64(time.Second))
 		}
 		s.at(begin, func() {
 			for i, no := range nodes {
-				s.nodes[no].crash(back[i])
+				s.nodes[no].crash(restartAfter[i])
 			}
 		})
 	case "roll":
 		steps := max(1, int(1/f.Part+0.5))
 		for no, n := range s.nodes {
-			s.at(epoch+f.Turn(no, len(s.nodes), steps), n.stop)
+			s.at(epoch+f.Turn(no, len(s.nodes), steps), n.beginShutdown)
 		}
 	case "release":
 		steps := max(1, int(f.Size))
@@ -51,29 +51,29 @@
 			s.at(at, func() { // the new server is listed before the old one begins to drain
 				fresh := s.addServer(srv.zone, srv.weight)
 				fresh.desk.Start = s.now
-				s.changed(fresh)
+				s.publishChange(fresh)
 			})
 			s.at(at+world.DrainAfter, func() {
 				srv.state = policy.Draining
-				s.changed(srv)
+				s.publishChange(srv)
 			})
 			s.at(at+world.EndAfter, func() {
 				srv.state = policy.Removed
-				srv.die()
-				s.changed(srv)
+				srv.crash()
+				s.publishChange(srv)
 			})
 		}
 	case "zone-loss":
 		during(func() {
 			for _, v := range s.servers {
 				if v.zone == zone {
-					v.silent = true
+					v.unresponsive = true
 				}
 			}
 		}, func() {
 			for _, v := range s.servers {
-				if v.zone == zone && v.silent {
-					v.boot()
+				if v.zone == zone && v.unresponsive {
+					v.restart()
 				}
 			}
 		})
@@ -82,79 +82,79 @@
 	case "zone-cut-out":
 		during(func() { s.cutOut[zone] = true }, func() { delete(s.cutOut, zone) })
 	case "server-silent":
-		during(each(func(v *server) { v.silent = true }), each(func(v *server) { v.silent = false }))
+		during(each(func(v *server) { v.unresponsive = true }), each(func(v *server) { v.unresponsive = false }))
 	case "server-slow":
-		during(each(func(v *server) { v.retime(v.slow * f.Size) }), each(func(v *server) { v.retime(v.slow / f.Size) }))
+		during(each(func(v *server) { v.setSlowdown(v.slowdown * f.Size) }), each(func(v *server) { v.setSlowdown(v.slowdown / f.Size) }))
 	case "server-wrong":
-		during(each(func(v *server) { v.wrong = f.Size }), each(func(v *server) { v.wrong = 0 }))
+		during(each(func(v *server) { v.errorRate = f.Size }), each(func(v *server) { v.errorRate = 0 }))
 	case "server-spoilt":
-		during(each(func(v *server) { v.spoilt = f.Size }), each(func(v *server) { v.spoilt = 0 }))
+		during(each(func(v *server) { v.corruptRate = f.Size }), each(func(v *server) { v.corruptRate = 0 }))
 	case "server-dead":
-		during(each((*server).die), each((*server).boot))
+		during(each((*server).crash), each((*server).restart))
 	case "server-replace":
 		for i, no := range servers {
-			s.at(epoch+f.Turn(i, len(servers), len(servers)), s.servers[no].boot)
+			s.at(epoch+f.Turn(i, len(servers), len(servers)), s.servers[no].restart)
 		}
 	case "cold-bulk":
-		s.at(begin, each((*server).boot))
+		s.at(begin, each((*server).restart))
 	case "shared-slow":
-		during(func() { s.shareSlow(f.Size) }, func() { s.shareSlow(1 / f.Size) })
+		during(func() { s.scaleSharedSlowdown(f.Size) }, func() { s.scaleSharedSlowdown(1 / f.Size) })
 	case "hot-customer":
-		hot := s.pick(len(s.customers), f.Part)
-		s.extra(begin, end, s.w.Load.Rate*s.drawn.Share(hot)*(f.Size-1), func() *customer { return s.customers[hot[s.clients.IntN(len(hot))]] })
+		hot := s.drawIndexes(len(s.customers), f.Part)
+		s.addLoad(begin, end, s.world.Load.Rate*s.population.Share(hot)*(f.Size-1), func() *customer { return s.customers[hot[s.clientRand.IntN(len(hot))]] })
 	case "burst":
-		s.extra(begin, end, s.w.Load.Rate*(f.Size-1), s.anyone)
+		s.addLoad(begin, end, s.world.Load.Rate*(f.Size-1), s.drawCustomer)
 	case "peers-deaf":
-		nodes := s.pick(len(s.nodes), f.Part)
+		nodes := s.drawIndexes(len(s.nodes), f.Part)
 		during(func() {
 			for _, no := range nodes {
-				s.deaf[no] = true
+				s.receivesNone[no] = true
 			}
 		}, func() {
 			for _, no := range nodes {
-				delete(s.deaf, no)
+				delete(s.receivesNone, no)
 			}
 		})
 	case "peers-lossy":
-		during(func() { s.loss += f.Size }, func() { s.loss -= f.Size })
+		during(func() { s.datagramLoss += f.Size }, func() { s.datagramLoss -= f.Size })
 	case "answers-lost":
-		during(func() { s.lost += f.Size }, func() { s.lost -= f.Size })
+		during(func() { s.answerLoss += f.Size }, func() { s.answerLoss -= f.Size })
 	case "resets":
-		during(func() { s.reset += f.Size }, func() { s.reset -= f.Size })
+		during(func() { s.resetRate += f.Size }, func() { s.resetRate -= f.Size })
 	case "discovery-down":
-		s.at(begin, func() { s.down = max(s.down, end) })
+		s.at(begin, func() { s.discoveryDownUntil = max(s.discoveryDownUntil, end) })
 	case "discovery-late":
 		late := time.Duration(f.Size * float64(time.Second))
-		during(func() { s.late += late }, func() { s.late -= late })
+		during(func() { s.discoveryDelay += late }, func() { s.discoveryDelay -= late })
 	case "rude-clients": // unreadable requests never reach the module
 	case "eager-clients":
-		during(func() { s.eager *= f.Size }, func() { s.eager /= f.Size })
+		during(func() { s.eagerness *= f.Size }, func() { s.eagerness /= f.Size })
 	}
 }
 
-// pick draws a fraction of n indexes, at least one, in random order.
-func (s *Sim) pick(n int, part float64) []int {
-	return s.faults.Perm(n)[:max(1, int(part*float64(n)+0.5))]
+// drawIndexes draws a fraction of n indexes, at least one, in random order.
+func (s *Sim) drawIndexes(n int, part float64) []int {
+	return s.faultRand.Perm(n)[:max(1, int(part*float64(n)+0.5))]
 }
 
-// shareSlow changes the slowdown that all servers share by a factor.
-func (s *Sim) shareSlow(by float64) {
-	s.shared *= by
+// scaleSharedSlowdown changes the slowdown that all servers share by a factor.
+func (s *Sim) scaleSharedSlowdown(factor float64) {
+	s.sharedSlowdown *= factor
 	for _, v := range s.servers {
-		v.retime(v.slow)
+		v.setSlowdown(v.slowdown)
 	}
 }
 
-// extra adds Poisson arrivals at a given rate between begin and end.
-func (s *Sim) extra(begin, end time.Duration, rate float64, who func() *customer) {
+// addLoad adds Poisson arrivals at a given rate between begin and end.
+func (s *Sim) addLoad(begin, end time.Duration, rate float64, customerOf func() *customer) {
 	if rate <= 0 {
 		return
 	}
 	var next func()
 	next = func() {
 		if s.now < end {
-			s.ask(who())
-			s.after(draw(s.clients, time.Duration(float64(time.Second)/rate)), next)
+			s.startRequest(customerOf())
+			s.after(exponential(s.clientRand, time.Duration(float64(time.Second)/rate)), next)
 		}
 	}
 	s.at(begin, next)
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -10,75 +10,75 @@
 	"valvering.example/valvering/policy"
 )
 
-// way draws the one-way latency between two zones.
-func (s *Sim) way(a, b int) time.Duration {
-	mean := s.w.Net.Near.D()
-	if a != b {
-		mean = s.w.Net.Far.D()
+// oneWayLatency draws the one-oneWayLatency latency between two zones.
+func (s *Sim) oneWayLatency(from, to int) time.Duration {
+	mean := s.world.Net.Near.D()
+	if from != to {
+		mean = s.world.Net.Far.D()
 	}
-	return mean/2 + draw(s.net, mean/2)
+	return mean/2 + exponential(s.netRand, mean/2)
 }
 
-// passes reports whether packets get from one zone to another.
-func (s *Sim) passes(from, to int) bool {
+// reachable reports whether packets get from one zone to another.
+func (s *Sim) reachable(from, to int) bool {
 	return from == to || !s.cutBoth[from] && !s.cutBoth[to] && !s.cutOut[from]
 }
 
-// carry sends an attempt to its server on an idle connection or on a new one.
-func (s *Sim) carry(n *node, a *attempt) {
+// connectAndSend sends an attempt to its server on an idle connection or on a new one.
+func (s *Sim) connectAndSend(n *node, a *attempt) {
 	srv := a.srv
-	if n.take(srv) {
-		s.write(n, a, s.way(n.zone, srv.zone))
+	if n.takeIdleConn(srv) {
+		s.writeAttempt(n, a, s.oneWayLatency(n.zone, srv.zone))
 		return
 	}
-	a.fresh = true
-	both := s.passes(n.zone, srv.zone) && s.passes(srv.zone, n.zone)
-	trip := s.way(n.zone, srv.zone) + s.way(srv.zone, n.zone)
+	a.newConn = true
+	bothWays := s.reachable(n.zone, srv.zone) && s.reachable(srv.zone, n.zone)
+	roundTrip := s.oneWayLatency(n.zone, srv.zone) + s.oneWayLatency(srv.zone, n.zone)
 	switch {
-	case !both || srv.silent:
-		s.after(s.w.Net.Dial.D(), func() { s.fail(a, policy.ConnectFailed, false) })
-	case srv.dead:
-		s.after(trip, func() { s.fail(a, policy.ConnectFailed, false) })
-	case srv.conns >= s.w.Server.Connections:
-		s.after(trip, func() { s.fail(a, policy.Full, false) })
+	case !bothWays || srv.unresponsive:
+		s.after(s.world.Net.Dial.D(), func() { s.endAttempt(a, policy.ConnectFailed, false) })
+	case srv.crashed:
+		s.after(roundTrip, func() { s.endAttempt(a, policy.ConnectFailed, false) })
+	case srv.conns >= s.world.Server.Connections:
+		s.after(roundTrip, func() { s.endAttempt(a, policy.Full, false) })
 	default:
 		srv.conns++
 		s.Book.Handshakes++
-		inc := srv.inc
+		inc := srv.incarnation
 		// The handshake costs a round trip and work.
-		s.after(trip+s.w.Server.Handshake.D(), func() {
-			if srv.inc != inc || !n.up { // the server or the edge node died meanwhile
-				s.fail(a, policy.ConnectFailed, false)
+		s.after(roundTrip+s.world.Server.Handshake.D(), func() {
+			if srv.incarnation != inc || !n.up { // the server or the edge node died meanwhile
+				s.endAttempt(a, policy.ConnectFailed, false)
 				return
 			}
-			if a.over {
+			if a.done {
 				srv.conns--
 				return
 			}
-			s.write(n, a, s.way(n.zone, srv.zone))
+			s.writeAttempt(n, a, s.oneWayLatency(n.zone, srv.zone))
 		})
 	}
 }
 
-// write sends an attempt on an established connection.
-func (s *Sim) write(n *node, a *attempt, way time.Duration) {
-	srv, inc := a.srv, a.srv.inc
-	if s.reset > 0 && s.net.Float64() < s.reset {
-		s.after(way, func() {
-			if srv.inc == inc && !a.over {
+// writeAttempt sends an attempt on an established connection.
+func (s *Sim) writeAttempt(n *node, a *attempt, latency time.Duration) {
+	srv, inc := a.srv, a.srv.incarnation
+	if s.resetRate > 0 && s.netRand.Float64() < s.resetRate {
+		s.after(latency, func() {
+			if srv.incarnation == inc && !a.done {
 				srv.receive(a) // it runs, but its answer is lost
 			}
-			s.fail(a, policy.Reset, false)
+			s.endAttempt(a, policy.Reset, false)
 		})
 		return
 	}
-	s.after(way, func() {
+	s.after(latency, func() {
 		switch {
-		case a.over:
-			s.shut(a)
-		case srv.inc != inc || srv.dead:
-			s.after(way, func() { s.fail(a, policy.Reset, false) })
-		case srv.silent || !s.passes(n.zone, srv.zone):
+		case a.done:
+			s.closeConn(a)
+		case srv.incarnation != inc || srv.crashed:
+			s.after(latency, func() { s.endAttempt(a, policy.Reset, false) })
+		case srv.unresponsive || !s.reachable(n.zone, srv.zone):
 			// No answer comes; the connection stays open.
 		default:
 			srv.receive(a)
@@ -86,163 +86,163 @@
 	})
 }
 
-// shut closes the connection of an attempt.
-func (s *Sim) shut(a *attempt) {
-	if !a.gone && a.srv.inc == a.inc {
+// closeConn closes the connection of an attempt.
+func (s *Sim) closeConn(a *attempt) {
+	if !a.connReleased && a.srv.incarnation == a.incarnation {
 		a.srv.conns--
 	}
-	a.gone = true
+	a.connReleased = true
 	if a.job != nil {
 		a.job.Gone = true
 	}
 }
 
-// back delivers a server's answer to the edge node. The connection is reused if whole is true.
-func (s *Sim) back(a *attempt, code policy.Code, whole bool) {
-	srv, n := a.srv, a.t.n
-	s.after(s.way(srv.zone, n.zone), func() {
-		if srv.silent || !s.passes(srv.zone, n.zone) {
+// returnAnswer delivers a server's answer to the edge node. The connection is reused if whole is true.
+func (s *Sim) returnAnswer(a *attempt, code policy.Code, reuse bool) {
+	srv, n := a.srv, a.try.node
+	s.after(s.oneWayLatency(srv.zone, n.zone), func() {
+		if srv.unresponsive || !s.reachable(srv.zone, n.zone) {
 			return // the answer is lost
 		}
-		s.fail(a, code, whole)
+		s.endAttempt(a, code, reuse)
 	})
 }
 
-// fail ends an attempt with the outcome that its edge node observes, which may be a success.
-func (s *Sim) fail(a *attempt, code policy.Code, whole bool) {
-	t, n := a.t, a.t.n
-	if a.over {
+// endAttempt ends an attempt with the outcome that its edge node observes, which may be a success.
+func (s *Sim) endAttempt(a *attempt, code policy.Code, reuse bool) {
+	t, n := a.try, a.try.node
+	if a.done {
 		return
 	}
-	a.over = true
-	if t.inc != n.inc || !n.up {
-		s.shut(a)
+	a.done = true
+	if t.incarnation != n.incarnation || !n.up {
+		s.closeConn(a)
 		return
 	}
-	if whole && a.inc == a.srv.inc {
-		n.keep(a.srv, a.inc)
-		a.gone = true // the connection went back to the idle pool
-	} else if a.whole || !a.fresh {
-		s.shut(a)
+	if reuse && a.incarnation == a.srv.incarnation {
+		n.putIdleConn(a.srv, a.incarnation)
+		a.connReleased = true // the connection went back to the idle pool
+	} else if a.received || !a.newConn {
+		s.closeConn(a)
 	} else if code == policy.TimedOut || code == policy.Cancelled {
-		a.gone = a.srv.inc != a.inc
+		a.connReleased = a.srv.incarnation != a.incarnation
 	}
-	t.out = nil
-	s.uncount(t, a)
-	if !code.NeverRan() && a.whole {
-		s.ran(t, a)
+	t.inFlight = nil
+	s.uncountAttempt(t, a)
+	if !code.NeverRan() && a.received {
+		s.recordMayHaveRun(t, a)
 	}
-	if code == policy.TimedOut && !a.whole {
-		s.ran(t, a) // the edge node can't rule it out
+	if code == policy.TimedOut && !a.received {
+		s.recordMayHaveRun(t, a) // the edge node can't rule it out
 	}
-	s.note(t.w, n.no, trace.Outcome, "attempt %d at server %d: %s after %v", a.no, a.srv.no, codeNames[code], s.now-a.sent)
+	s.addNote(t.request, n.index, trace.Outcome, "attempt %d at server %d: %s after %v", a.number, a.srv.index, outcomeNames[code], s.now-a.sent)
 	if t.answered {
-		n.handle(policy.Outcome{ID: t.id, Attempt: a.no, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Answered: true})
+		n.handle(policy.Outcome{ID: t.id, Attempt: a.number, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Answered: true})
 		return
 	}
-	over := code == policy.OK
-	if over {
-		s.answer(t, tally.Served, 0)
+	succeeded := code == policy.OK
+	if succeeded {
+		s.deliverAnswer(t, tally.Served, 0)
 	}
-	n.handle(policy.Outcome{ID: t.id, Attempt: a.no, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Answered: over})
+	n.handle(policy.Outcome{ID: t.id, Attempt: a.number, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Answered: succeeded})
 }
 
-var codeNames = [...]string{"ok", "error", "turned away", "timed out", "could not connect", "reset", "cancelled", "moot"}
+var outcomeNames = [...]string{"ok", "error", "turned away", "timed out", "could not connect", "reset", "cancelled", "moot"}
 
-// ran records that an attempt may have run.
-func (s *Sim) ran(t *try, a *attempt) {
-	if !t.ran {
-		t.ran, t.ranAt, t.ranZone, t.ranCell = true, a.sent, a.srv.zone, a.srv.cell
+// recordMayHaveRun records that an attempt may have run.
+func (s *Sim) recordMayHaveRun(t *try, a *attempt) {
+	if !t.mayHaveRun {
+		t.mayHaveRun, t.ranAt, t.ranZone, t.ranCell = true, a.sent, a.srv.zone, a.srv.cell
 	}
-	if t.w.ranAt == 0 {
-		t.w.ranAt = a.sent
+	if t.request.ranAt == 0 {
+		t.request.ranAt = a.sent
 	}
 }
 
-// count charges a try's units when its first attempt has arrived whole, and counts the attempt under the
+// countAttempt charges a try's units when its first attempt has arrived whole, and counts the attempt under the
 // cap.
-func (s *Sim) count(a *attempt) {
-	t, acc := a.t, a.t.w.c.account
+func (s *Sim) countAttempt(a *attempt) {
+	t, acc := a.try, a.try.request.customer.account
 	if !t.charged {
 		t.charged = true
-		inside, over := acc.Send(t.w.units, s.now)
+		inside, over := acc.Send(t.request.units, s.now)
 		s.Book.FirstSends++
-		if win := s.Book.Window(s.since()); win != nil {
+		if win := s.Book.Window(s.elapsed()); win != nil {
 			if win.Sent++; !inside {
 				win.Beyond++
 			}
 		}
 		if !inside {
 			s.Book.Beyond++
-			t.w.end.Beyond = true
+			t.request.end.Beyond = true
 		}
-		if over > s.w.Rules.Tolerance && acc.Plan.HardRate > 0 {
-			s.Book.Broken(tally.Ceiling, name(t.id), t.n.no, s.since(), "customer %s is %.2f units over its ceiling", t.w.c.key, over)
+		if over > s.world.Rules.Tolerance && acc.Plan.HardRate > 0 {
+			s.Book.Broken(tally.Ceiling, formatID(t.id), t.node.index, s.elapsed(), "customer %s is %.2f units over its ceiling", t.request.customer.key, over)
 		}
 	}
 	acc.Out(1)
-	s.out++
-	if win := s.Book.Window(s.since()); win != nil {
-		win.Out = max(win.Out, s.out)
+	s.inFlight++
+	if win := s.Book.Window(s.elapsed()); win != nil {
+		win.Out = max(win.Out, s.inFlight)
 	}
 }
 
-// uncount removes an attempt from the count under the cap.
-func (s *Sim) uncount(t *try, a *attempt) {
-	if a.whole {
-		t.w.c.account.Out(-1)
-		s.out--
+// uncountAttempt removes an attempt from the count under the cap.
+func (s *Sim) uncountAttempt(t *try, a *attempt) {
+	if a.received {
+		t.request.customer.account.Out(-1)
+		s.inFlight--
 	}
 }
 
-const mostMessage = 256 // bytes of a datagram
+const maxDatagramBytes = 256 // bytes of a datagram
 
-// post sends a datagram to one other edge node, or to all.
-func (n *node) post(a policy.SendMessage, because policy.Event) {
-	s := n.s
-	if len(a.Data) > mostMessage {
-		s.Book.Broken(tally.Datagram, "-", n.no, s.since(), "a datagram of %d bytes", len(a.Data))
+// sendDatagram sends a datagram to one other edge node, or to all.
+func (n *node) sendDatagram(a policy.SendMessage, cause policy.Event) {
+	s := n.sim
+	if len(a.Data) > maxDatagramBytes {
+		s.Book.Broken(tally.Datagram, "-", n.index, s.elapsed(), "a datagram of %d bytes", len(a.Data))
 	}
 	if s.Trace != nil {
-		n.traceAsk(a, because)
+		n.traceAsk(a, cause)
 	}
 	for to := range s.nodes {
-		if to != n.no && (to == a.To || a.To < 0) {
-			s.letter(n, s.nodes[to], a.Data)
+		if to != n.index && (to == a.To || a.To < 0) {
+			s.transmit(n, s.nodes[to], a.Data)
 		}
 	}
 }
 
-// letter puts a datagram on the network, which may lose, delay or duplicate it.
-func (s *Sim) letter(from, to *node, data []byte) {
+// transmit puts a datagram on the network, which may lose, delay or duplicate it.
+func (s *Sim) transmit(from, to *node, data []byte) {
 	copies := 1
-	if s.w.Net.Duplicate > 0 && s.mail.Float64() < s.w.Net.Duplicate {
+	if s.world.Net.Duplicate > 0 && s.datagrams.Float64() < s.world.Net.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		if s.mail.Float64() < s.loss || !s.passes(from.zone, to.zone) || s.deaf[to.no] {
+		if s.datagrams.Float64() < s.datagramLoss || !s.reachable(from.zone, to.zone) || s.receivesNone[to.index] {
 			s.Book.MailLost++
 			continue
 		}
-		s.after(s.w.Net.Peer.D()+draw(s.mail, s.w.Net.PeerMore.D()), func() { to.hear(from.no, data) })
+		s.after(s.world.Net.Peer.D()+exponential(s.datagrams, s.world.Net.PeerMore.D()), func() { to.receive(from.index, data) })
 	}
 }
 
-// hear receives a datagram unless the node has used up its datagram budget of this second.
-func (n *node) hear(from int, data []byte) {
-	s := n.s
-	if sec := int(s.since() / time.Second); sec != n.mailAt {
-		n.mailAt, n.mailIn = sec, 0
+// receive receives a datagram unless the node has used up its datagram budget of this second.
+func (n *node) receive(from int, data []byte) {
+	s := n.sim
+	if sec := int(s.elapsed() / time.Second); sec != n.datagramSecond {
+		n.datagramSecond, n.datagramsIn = sec, 0
 	}
-	if !n.up || float64(n.mailIn) >= s.w.Net.Mail {
+	if !n.up || float64(n.datagramsIn) >= s.world.Net.Mail {
 		s.Book.MailLost++
 		return
 	}
-	n.mailIn++
-	n.mailPeak = max(n.mailPeak, n.mailIn)
+	n.datagramsIn++
+	n.datagramPeak = max(n.datagramPeak, n.datagramsIn)
 	s.Book.Mail++
 	s.Book.MailBytes += int64(len(data))
-	if win := s.Book.Window(s.since()); win != nil {
+	if win := s.Book.Window(s.elapsed()); win != nil {
 		win.Mail++
 	}
 	if s.Trace != nil {
@@ -252,35 +252,35 @@
 }
 
 // traceAsk records the request that a message to a root asks units for.
-func (n *node) traceAsk(a policy.SendMessage, because policy.Event) {
+func (n *node) traceAsk(a policy.SendMessage, cause policy.Event) {
 	m, ok := policy.ReadAsk(a.Data)
 	if !ok {
 		return
 	}
-	w := n.asked[m.Tag]
-	if r, came := because.(policy.Request); came && n.open[r.ID] != nil {
-		w = n.open[r.ID].w
+	w := n.askedFor[m.Tag]
+	if r, came := cause.(policy.Request); came && n.openTries[r.ID] != nil {
+		w = n.openTries[r.ID].request
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.open)) { // a repeat under another tag: match by deadline and units
+	for _, id := range slices.Sorted(maps.Keys(n.openTries)) { // a repeat under another tag: match by deadline and units
 		if w != nil {
 			break
 		}
-		t := n.open[id]
-		left := (t.deadline - n.s.now).Milliseconds()
-		if d := left - m.Remaining.Milliseconds(); d >= -1 && d <= 1 && t.w.units == m.Units {
-			w = t.w
+		t := n.openTries[id]
+		remaining := (t.deadline - n.sim.now).Milliseconds()
+		if d := remaining - m.Remaining.Milliseconds(); d >= -1 && d <= 1 && t.request.units == m.Units {
+			w = t.request
 		}
 	}
 	if w != nil {
-		n.asked[m.Tag] = w
-		n.s.note(w, n.no, trace.Askroot, "edge node %d", a.To)
+		n.askedFor[m.Tag] = w
+		n.sim.addNote(w, n.index, trace.Askroot, "edge node %d", a.To)
 	}
 }
 
 // traceAnswer records the answer of a root.
 func (n *node) traceAnswer(from int, data []byte) {
 	m, ok := policy.ReadAnswer(data)
-	if !ok || n.asked[m.Tag] == nil {
+	if !ok || n.askedFor[m.Tag] == nil {
 		return
 	}
 	what := trace.Granted
@@ -290,5 +290,5 @@
 	case !m.Granted:
 		what = trace.Denied
 	}
-	n.s.note(n.asked[m.Tag], n.no, what, "edge node %d", from)
+	n.sim.addNote(n.askedFor[m.Tag], n.index, what, "edge node %d", from)
 }
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -13,22 +13,22 @@
 
 // server is a lending server.
 type server struct {
-	s      *Sim
-	no     int
-	id     policy.ServerID
-	zone   int
-	cell   int
-	weight float64 // as in the list
-	state  policy.State
-	inc    int     // incarnation of its process
-	dead   bool    // no process: connections are refused
-	silent bool    // answers nothing and accepts no connection
-	slow   float64 // factor on the duration of all work
-	wrong  float64 // fraction of requests that it answers with an error at once
-	spoilt float64 // fraction of its answers that it corrupts
-	conns  int
-	desk   *lending.Desk
-	budget *lending.Budget
+	sim          *Sim
+	index        int
+	id           policy.ServerID
+	zone         int
+	cell         int
+	weight       float64 // as in the list
+	state        policy.State
+	incarnation  int     // incarnation of its process
+	crashed      bool    // no process: connections are refused
+	unresponsive bool    // answers nothing and accepts no connection
+	slowdown     float64 // factor on the duration of all work
+	errorRate    float64 // fraction of requests that it answers with an error at once
+	corruptRate  float64 // fraction of its answers that it corrupts
+	conns        int
+	desk         *lending.Desk
+	budget       *lending.Budget
 }
 
 // Now returns the simulated time. With After it makes a Sim the clock of its servers.
@@ -39,130 +39,130 @@
 
 // attempt is one attempt of a try at a server.
 type attempt struct {
-	t     *try
-	no    int
-	srv   *server
-	inc   int // incarnation of the server's process
-	sent  time.Duration
-	until time.Duration
-	fresh bool // on a new connection
-	whole bool // the server has received it
-	over  bool // the edge node knows its outcome
-	gone  bool // its connection is closed or back in the idle pool
-	job   *lending.Job
+	try          *try
+	number       int
+	srv          *server
+	incarnation  int // incarnation of the server's process
+	sent         time.Duration
+	until        time.Duration
+	newConn      bool // on a new connection
+	received     bool // the server has received it
+	done         bool // the edge node knows its outcome
+	connReleased bool // its connection is closed or back in the idle pool
+	job          *lending.Job
 }
 
 func zoneName(z int) string { return world.ZoneName(z) }
 
 // addServer adds a fully warm server. size is its capacity relative to the mean.
-func (s *Sim) addServer(zoneSeed int, size float64) *server {
+func (s *Sim) addServer(zoneIndex int, size float64) *server {
 	no := len(s.servers)
-	srv := &server{s: s, no: no, id: policy.ServerID(uint32(no+1) * 2654435761), zone: s.w.ZoneOf(zoneSeed), slow: 1, weight: size,
-		desk: lending.New(s, &s.w.Server, s.w.Cores()*size), budget: lending.NewBudget(s.w)}
+	srv := &server{sim: s, index: no, id: policy.ServerID(uint32(no+1) * 2654435761), zone: s.world.ZoneOf(zoneIndex), slowdown: 1, weight: size,
+		desk: lending.New(s, &s.world.Server, s.world.Cores()*size), budget: lending.NewBudget(s.world)}
 	srv.cell = srv.zone*1000 + no/4
-	srv.retime(1)
+	srv.setSlowdown(1)
 	s.servers = append(s.servers, srv)
 	s.byID[srv.id] = srv
 	return srv
 }
 
-// entry returns the server's entry in the discovery list.
-func (v *server) entry() policy.Server {
+// listEntry returns the server's listEntry in the discovery list.
+func (v *server) listEntry() policy.Server {
 	return policy.Server{ID: v.id, Zone: zoneName(v.zone), Cell: v.cell, State: v.state, HasStart: v.desk.Start > 0, Start: v.desk.Start, Weight: v.weight}
 }
 
 // receive handles an attempt that has arrived whole.
 func (v *server) receive(a *attempt) {
-	s := v.s
-	class := a.t.w.classOf(s)
+	s := v.sim
+	class := a.try.request.classOf(s)
 	// Log-normal around the class's mean.
-	sigma := s.w.Server.Spread
-	work := class.Work.D().Seconds() * math.Exp(sigma*s.work.NormFloat64()-sigma*sigma/2)
-	if a.fresh {
-		work += s.w.Server.Handshake.D().Seconds()
+	sigma := s.world.Server.Spread
+	work := class.Work.D().Seconds() * math.Exp(sigma*s.workRand.NormFloat64()-sigma*sigma/2)
+	if a.newConn {
+		work += s.world.Server.Handshake.D().Seconds()
 	}
-	v.weigh(a, work)
-	a.whole = true
-	s.count(a)
+	v.checkOverload(a, work)
+	a.received = true
+	s.countAttempt(a)
 	working, waiting := v.desk.Load()
-	s.note(a.t.w, a.t.n.no, trace.Arrived, "server %d: %d at work, %d waiting", v.no, working, waiting)
+	s.addNote(a.try.request, a.try.node.index, trace.Arrived, "server %d: %d at work, %d waiting", v.index, working, waiting)
 	switch {
-	case v.dead:
-		s.back(a, policy.Reset, false)
+	case v.crashed:
+		s.returnAnswer(a, policy.Reset, false)
 		return
 	case v.state != policy.Running:
-		s.back(a, policy.Full, true)
+		s.returnAnswer(a, policy.Full, true)
 		return
-	case s.work.Float64() < v.wrong:
-		work *= quick
+	case s.workRand.Float64() < v.errorRate:
+		work *= errorWorkFraction
 		s.Book.Worked += work
 		s.Book.Wasted += work
-		s.back(a, policy.Error, true)
+		s.returnAnswer(a, policy.Error, true)
 		return
 	}
 	a.job = &lending.Job{Work: work, Until: a.until}
-	a.job.Done = func(end lending.End) { v.finish(a, end) }
+	a.job.Done = func(end lending.End) { v.finishJob(a, end) }
 	if !v.desk.Offer(a.job) {
-		s.back(a, policy.Full, true)
+		s.returnAnswer(a, policy.Full, true)
 	}
 }
 
-// quick is the fraction of the work that an immediate error costs.
-const quick = 0.02
+// errorWorkFraction is the fraction of the work that an immediate error costs.
+const errorWorkFraction = 0.02
 
-// finish handles the end of an attempt's work.
-func (v *server) finish(a *attempt, end lending.End) {
-	s := v.s
+// finishJob handles the end of an attempt's work.
+func (v *server) finishJob(a *attempt, end lending.End) {
+	s := v.sim
 	switch end {
 	case lending.Over:
-		s.back(a, policy.Full, true)
+		s.returnAnswer(a, policy.Full, true)
 		return
 	case lending.Broken:
-		if !a.over {
-			s.back(a, policy.Reset, false)
+		if !a.done {
+			s.returnAnswer(a, policy.Reset, false)
 		}
 		return
 	}
 	s.Book.Worked += a.job.Work
-	switch u := s.work.Float64(); {
-	case end == lending.Vain || a.over:
+	switch u := s.workRand.Float64(); {
+	case end == lending.Vain || a.done:
 		s.Book.Wasted += a.job.Work
-	case u < v.spoilt:
+	case u < v.corruptRate:
 		s.Book.Wasted += a.job.Work
-		s.back(a, policy.Error, false)
-	case s.net.Float64() < s.lost:
+		s.returnAnswer(a, policy.Error, false)
+	case s.netRand.Float64() < s.answerLoss:
 		s.Book.Wasted += a.job.Work // no answer arrives and the connection stays open
 	default:
-		s.back(a, policy.OK, true)
+		s.returnAnswer(a, policy.OK, true)
 	}
 }
 
-// weigh checks whether an attempt overloads a cold server, which then crashes.
-func (v *server) weigh(a *attempt, work float64) {
-	if v.dead {
+// checkOverload checks whether an attempt overloads a cold server, which then crashes.
+func (v *server) checkOverload(a *attempt, work float64) {
+	if v.crashed {
 		return
 	}
-	falls, known := v.budget.Came(v.desk, work, a.t.n.starts[v.id] == v.desk.Start)
+	falls, known := v.budget.Came(v.desk, work, a.try.node.knownStarts[v.id] == v.desk.Start)
 	if known {
-		v.s.Book.Broken(tally.Cold, name(a.t.id), a.t.n.no, v.s.since(), "server %d pushed over %v after its start, at %.0f%% of its capacity", v.no,
-			v.s.now-v.desk.Start, 100*v.desk.Warmth())
+		v.sim.Book.Broken(tally.Cold, formatID(a.try.id), a.try.node.index, v.sim.elapsed(), "server %d pushed over %v after its start, at %.0f%% of its capacity", v.index,
+			v.sim.now-v.desk.Start, 100*v.desk.WarmUpFraction())
 	}
 	if falls {
-		v.die()
+		v.crash()
 	}
 }
 
-// die ends the process: requests at work and queued fail, and idle connections break.
-func (v *server) die() {
-	v.dead = true
-	v.reset()
+// crash ends the process: requests at work and queued fail, and idle connections break.
+func (v *server) crash() {
+	v.crashed = true
+	v.resetConns()
 }
 
-// reset breaks all connections.
-func (v *server) reset() {
+// resetConns breaks all connections.
+func (v *server) resetConns() {
 	jobs := v.desk.Clear()
 	v.conns = 0
-	v.inc++
+	v.incarnation++
 	for _, j := range jobs {
 		if !j.Gone {
 			j.Done(lending.Broken)
@@ -170,16 +170,16 @@
 	}
 }
 
-// boot starts a new, cold process under the same id and address.
-func (v *server) boot() {
-	v.reset()
-	v.dead, v.silent, v.state = false, false, policy.Running
-	v.desk.Start, v.budget = v.s.now, lending.NewBudget(v.s.w)
-	v.s.changed(v)
+// restart starts a new, cold process under the same id and address.
+func (v *server) restart() {
+	v.resetConns()
+	v.crashed, v.unresponsive, v.state = false, false, policy.Running
+	v.desk.Start, v.budget = v.sim.now, lending.NewBudget(v.sim.world)
+	v.sim.publishChange(v)
 }
 
-// retime sets the slowdown factor of a server.
-func (v *server) retime(slow float64) {
-	v.slow = slow
-	v.desk.Slow(slow * v.s.shared)
+// setSlowdown sets the slowdown factor of a server.
+func (v *server) setSlowdown(slowdown float64) {
+	v.slowdown = slowdown
+	v.desk.Slow(slowdown * v.sim.sharedSlowdown)
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -38,7 +38,7 @@
 
 // Sim is one run.
 type Sim struct {
-	w     *world.World
+	world *world.World
 	seed  uint64
 	make  Maker
 	now   time.Duration
@@ -49,33 +49,33 @@
 	Truth Truth
 	Check func() error // called once per simulated second; an error ends the run
 
-	work, net, mail, clients, faults *rand.Rand
+	workRand, netRand, datagrams, clientRand, faultRand *rand.Rand
 
-	nodes     []*node
-	servers   []*server
-	byID      map[policy.ServerID]*server
-	customers []*customer
-	drawn     *world.Drawn
-	out       int // attempts in flight
-	nextID    policy.RequestID
-	nextWant  int
-	open      int // client requests that have not ended
-	err       error
+	nodes        []*node
+	servers      []*server
+	byID         map[policy.ServerID]*server
+	customers    []*customer
+	population   *world.Drawn
+	inFlight     int // attempts in flight
+	lastID       policy.RequestID
+	requestCount int
+	openRequests int // client requests that have not ended
+	err          error
 
 	// Effects of the active faults.
-	cutBoth, cutOut map[int]bool // zones
-	deaf            map[int]bool // edge nodes
-	loss            float64
-	lost, reset     float64 // probability that an answer is lost, that a connection is reset
-	shared          float64 // slowdown factor of all servers
-	late            time.Duration
-	down            time.Duration // discovery does not answer until this time
-	eager           float64
-	callAt          time.Duration // when discovery has served all calls it has accepted
+	cutBoth, cutOut       map[int]bool // zones
+	receivesNone          map[int]bool // edge nodes
+	datagramLoss          float64
+	answerLoss, resetRate float64 // probability that an answer is lost, that a connection is reset
+	sharedSlowdown        float64 // slowdown factor of all servers
+	discoveryDelay        time.Duration
+	discoveryDownUntil    time.Duration // discovery does not answer until this time
+	eagerness             float64
+	callsServedAt         time.Duration // when discovery has served all calls it has accepted
 }
 
 type customer struct {
-	no      int
+	index   int
 	key     string
 	plan    int
 	first   int
@@ -84,21 +84,21 @@
 }
 
 // New creates a run of a world that has passed Check.
-func New(w *world.World, seed uint64, mk Maker) *Sim {
-	s := &Sim{w: w, seed: seed, make: mk, now: epoch, Book: tally.NewBook(w), byID: map[policy.ServerID]*server{}, loss: w.Net.Loss, shared: 1,
-		eager: 1, cutBoth: map[int]bool{}, cutOut: map[int]bool{}, deaf: map[int]bool{}, work: world.Stream(seed, world.StreamWork),
-		net: world.Stream(seed, world.StreamNet), mail: world.Stream(seed, world.StreamMail), clients: world.Stream(seed, world.StreamClients), faults: world.Stream(seed, world.StreamFaults)}
-	s.Truth.s = s
-	s.drawn = w.Draw(seed)
-	for i, size := range s.drawn.Sizes {
+func New(w *world.World, seed uint64, newDecider Maker) *Sim {
+	s := &Sim{world: w, seed: seed, make: newDecider, now: epoch, Book: tally.NewBook(w), byID: map[policy.ServerID]*server{}, datagramLoss: w.Net.Loss, sharedSlowdown: 1,
+		eagerness: 1, cutBoth: map[int]bool{}, cutOut: map[int]bool{}, receivesNone: map[int]bool{}, workRand: world.Stream(seed, world.StreamWork),
+		netRand: world.Stream(seed, world.StreamNet), datagrams: world.Stream(seed, world.StreamMail), clientRand: world.Stream(seed, world.StreamClients), faultRand: world.Stream(seed, world.StreamFaults)}
+	s.Truth.sim = s
+	s.population = w.Draw(seed)
+	for i, size := range s.population.Sizes {
 		s.addServer(i, size)
 	}
-	for i, p := range s.drawn.People {
-		s.customers = append(s.customers, &customer{no: i, key: p.Key, plan: p.Plan, first: p.First, spread: p.Spread,
+	for i, p := range s.population.People {
+		s.customers = append(s.customers, &customer{index: i, key: p.Key, plan: p.Plan, first: p.First, spread: p.Spread,
 			account: tally.NewAccount(&w.Plans[p.Plan], s.now)})
 	}
 	for i := range w.Nodes {
-		s.nodes = append(s.nodes, &node{s: s, no: i, zone: w.ZoneOf(i), rng: world.Stream(seed, world.StreamNodes+i)})
+		s.nodes = append(s.nodes, &node{sim: s, index: i, zone: w.ZoneOf(i), rng: world.Stream(seed, world.StreamNodes+i)})
 	}
 	return s
 }
@@ -111,8 +111,8 @@
 
 func (s *Sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
 
-// since returns the time since the run began.
-func (s *Sim) since() time.Duration { return s.now - epoch }
+// elapsed returns the time elapsed the run began.
+func (s *Sim) elapsed() time.Duration { return s.now - epoch }
 
 // Run runs the simulation to its end. arrivals gives the times of new client requests since the start of
 // the run. step, if not nil, is called every simulated second.
@@ -120,35 +120,35 @@
 	for _, n := range s.nodes {
 		s.at(s.now+time.Duration(n.rng.Int64N(int64(50*time.Millisecond))), n.start)
 	}
-	for i := range s.w.Faults {
-		s.schedule(&s.w.Faults[i])
+	for i := range s.world.Faults {
+		s.scheduleFault(&s.world.Faults[i])
 	}
 	var next func()
 	next = func() {
-		s.ask(s.anyone())
-		if t, more := arrivals.Next(); more && t < s.w.For.D() {
+		s.startRequest(s.drawCustomer())
+		if t, more := arrivals.Next(); more && t < s.world.For.D() {
 			s.at(epoch+t, next)
 		}
 	}
 	if t, more := arrivals.Next(); more {
-		s.at(epoch+settle+t, next)
+		s.at(epoch+startupTime+t, next)
 	}
 	s.every(time.Second, func() {
 		if s.Check != nil {
 			s.err = cmp.Or(s.err, s.Check())
 		}
 		if step != nil {
-			step(int(s.since() / time.Second))
+			step(int(s.elapsed() / time.Second))
 		}
 	})
 	// The run goes on until no client waits; the longest deadline bounds that time.
 	longest := time.Duration(0)
-	for i := range s.w.Classes {
-		longest = max(longest, s.w.Classes[i].Deadline.D())
+	for i := range s.world.Classes {
+		longest = max(longest, s.world.Classes[i].Deadline.D())
 	}
-	end := epoch + s.w.For.D() + longest + time.Second
+	end := epoch + s.world.For.D() + longest + time.Second
 	for len(s.queue) > 0 && s.err == nil {
-		if t := s.queue[0].at; t > end || t > epoch+s.w.For.D() && s.open == 0 {
+		if t := s.queue[0].at; t > end || t > epoch+s.world.For.D() && s.openRequests == 0 {
 			break
 		}
 		e := s.queue.pop()
@@ -158,36 +158,36 @@
 	if s.err != nil {
 		return nil, s.err
 	}
-	s.finish()
+	s.recordDatagramPeak()
 	return s.Book.Result(s.seed), nil
 }
 
-// settle is the time that edge nodes have to start before the first client request.
-const settle = 300 * time.Millisecond
+// startupTime is the time that edge nodes have to start before the first client request.
+const startupTime = 300 * time.Millisecond
 
 // every calls do at a fixed interval until the end of the run.
 func (s *Sim) every(d time.Duration, do func()) {
 	var tick func()
 	tick = func() {
 		do()
-		if s.since() < s.w.For.D() {
+		if s.elapsed() < s.world.For.D() {
 			s.after(d, tick)
 		}
 	}
 	s.after(d, tick)
 }
 
-// anyone draws a customer, weighted by demand.
-func (s *Sim) anyone() *customer { return s.customers[s.drawn.Anyone(s.clients)] }
+// drawCustomer draws a customer, weighted by demand.
+func (s *Sim) drawCustomer() *customer { return s.customers[s.population.Anyone(s.clientRand)] }
 
-// finish enters the peak datagram rate of the edge nodes into the book.
-func (s *Sim) finish() {
+// recordDatagramPeak enters the peak datagram rate of the edge nodes into the book.
+func (s *Sim) recordDatagramPeak() {
 	for _, n := range s.nodes {
-		s.Book.MailPeak = max(s.Book.MailPeak, n.mailPeak)
+		s.Book.MailPeak = max(s.Book.MailPeak, n.datagramPeak)
 	}
 }
 
-// draw returns an exponentially distributed time with the given mean.
-func draw(rng *rand.Rand, mean time.Duration) time.Duration {
+// exponential returns an exponentially distributed time with the given mean.
+func exponential(rng *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(rng.ExpFloat64() * float64(mean))
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -20,7 +20,7 @@
 
 var seeds = flag.Int("seeds", 6, "seeds that TestEqualSeedsEqualBytes plays, each on one worker and on eight")
 
-func small(t testing.TB, nodes, servers int, length time.Duration, fault string) *world.World {
+func smallWorld(t testing.TB, nodes, servers int, length time.Duration, fault string) *world.World {
 	t.Helper()
 	w := world.Default(nodes, servers)
 	w.For, w.Warm = world.Duration(length), world.Duration(length/10)
@@ -33,8 +33,8 @@
 	return w
 }
 
-// play runs a world with the deciders that mk creates.
-func play(t testing.TB, w *world.World, seed uint64, mk sim.Maker) *tally.Result {
+// runSim runs a world with the deciders that mk creates.
+func runSim(t testing.TB, w *world.World, seed uint64, mk sim.Maker) *tally.Result {
 	t.Helper()
 	source, err := load.New(&w.Load, seed, nil)
 	if err != nil {
@@ -55,7 +55,7 @@
 	for _, day := range []string{"roll", "herd", "zone", "split", "join"} {
 		for i := range max(1, *seeds/5) {
 			runs = append(runs, experiment.Run{Fault: day, Seed: uint64(i + 1), Variant: experiment.Variant{Name: "module"},
-				World: small(t, 45, 20, 24*time.Second/5, day)})
+				World: smallWorld(t, 45, 20, 24*time.Second/5, day)})
 			for k := range runs[len(runs)-1].World.Faults { // scaled to the shorter run
 				f := &runs[len(runs)-1].World.Faults[k]
 				f.Start, f.For = f.Start/5, max(1, f.For/5)
@@ -87,24 +87,24 @@
 // faulty is the module with a planted fault.
 type faulty struct {
 	sim.Decider
-	see func(ev policy.Event, acts []policy.Action) []policy.Action
+	alter func(ev policy.Event, acts []policy.Action) []policy.Action
 }
 
 func (f *faulty) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
-	return f.see(ev, f.Decider.Handle(now, ev, out))
+	return f.alter(ev, f.Decider.Handle(now, ev, out))
 }
 
-func planted(see func() func(ev policy.Event, acts []policy.Action) []policy.Action) sim.Maker {
+func withFault(newAlter func() func(ev policy.Event, acts []policy.Action) []policy.Action) sim.Maker {
 	return func(me int, w *world.World, seed uint64, truth *sim.Truth) (sim.Decider, error) {
 		d, err := sim.Module(me, w, seed, truth)
-		return &faulty{d, see()}, err
+		return &faulty{d, newAlter()}, err
 	}
 }
 
 // TestCheckersCatchPlantedFaults checks that each rule checker reports a module with a planted fault, and
 // reports nothing for the unchanged module in the same world.
 func TestCheckersCatchPlantedFaults(t *testing.T) {
-	type seeing = func(ev policy.Event, acts []policy.Action) []policy.Action
+	type alterFunc = func(ev policy.Event, acts []policy.Action) []policy.Action
 	for _, c := range []struct {
 		name string
 		rule tally.Rule
@@ -112,7 +112,7 @@
 		mk   sim.Maker
 	}{
 		{"ignores the cap", tally.Quota, func() *world.World {
-			w := small(t, 10, 5, 6*time.Second, "")
+			w := smallWorld(t, 10, 5, 6*time.Second, "")
 			w.Plans = w.Plans[2:3] // under a cap alone
 			w.Plans[0].Parallel = 4
 			w.SetRate(400)
@@ -130,10 +130,10 @@
 			return policy.New(s, seed)
 		}},
 		{"retries a request that must not run twice", tally.SecondCopy, func() *world.World {
-			w := small(t, 6, 6, 8*time.Second, "resets")
+			w := smallWorld(t, 6, 6, 8*time.Second, "resets")
 			w.Faults[0].Size = 0.5
 			return w
-		}(), planted(func() seeing {
+		}(), withFault(func() alterFunc {
 			once := map[policy.RequestID]bool{}
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if r, ok := ev.(policy.Request); ok {
@@ -151,10 +151,10 @@
 			}
 		})},
 		{"keeps sending to a draining server", tally.Drain, func() *world.World {
-			w := small(t, 6, 8, 9*time.Second, "")
+			w := smallWorld(t, 6, 8, 9*time.Second, "")
 			w.Faults = []world.Fault{{Kind: "release", Start: world.Duration(time.Second), For: world.Duration(time.Second), Part: 0.5, Size: 1}}
 			return w
-		}(), planted(func() seeing {
+		}(), withFault(func() alterFunc {
 			var first policy.ServerID
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if m, ok := ev.(policy.ServerListUpdate); ok && m.Kind == policy.Changes {
@@ -173,7 +173,7 @@
 				return acts
 			}
 		})},
-		{"loses one refusal in a hundred", tally.AnswerLost, small(t, 6, 6, 8*time.Second, "burst"), planted(func() seeing {
+		{"loses one refusal in a hundred", tally.AnswerLost, smallWorld(t, 6, 6, 8*time.Second, "burst"), withFault(func() alterFunc {
 			n := 0
 			return func(_ policy.Event, acts []policy.Action) []policy.Action {
 				return slices.DeleteFunc(acts, func(a policy.Action) bool {
@@ -185,7 +185,7 @@
 				})
 			}
 		})},
-		{"has two attempts in flight at once", tally.Overlap, small(t, 4, 6, 2*time.Second, ""), planted(func() seeing {
+		{"has two attempts in flight at once", tally.Overlap, smallWorld(t, 4, 6, 2*time.Second, ""), withFault(func() alterFunc {
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if r, ok := ev.(policy.Request); ok {
 					for _, a := range acts {
@@ -198,10 +198,10 @@
 			}
 		})},
 		{"never gives up", tally.Attempts, func() *world.World {
-			w := small(t, 4, 4, 5*time.Second, "server-wrong")
+			w := smallWorld(t, 4, 4, 5*time.Second, "server-wrong")
 			w.Faults[0].Part, w.Faults[0].Size = 1, 1
 			return w
-		}(), planted(func() seeing {
+		}(), withFault(func() alterFunc {
 			safe := map[policy.RequestID]bool{}
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if r, ok := ev.(policy.Request); ok {
@@ -221,7 +221,7 @@
 			}
 		})},
 		{"ignores a ceiling", tally.Ceiling, func() *world.World {
-			w := small(t, 4, 4, 6*time.Second, "")
+			w := smallWorld(t, 4, 4, 6*time.Second, "")
 			w.Plans = w.Plans[3:]
 			w.Plans[0].HardRate, w.Plans[0].HardSize, w.Plans[0].Asks = w.Plans[0].Rate, w.Plans[0].Store, 3
 			w.SetRate(w.Load.Rate)
@@ -237,10 +237,10 @@
 			return policy.New(s, seed)
 		}},
 		{"sends all requests to the server that started last", tally.Cold, func() *world.World {
-			w := small(t, 8, 8, 8*time.Second, "")
+			w := smallWorld(t, 8, 8, 8*time.Second, "")
 			w.Faults = []world.Fault{{Kind: "cold-bulk", Start: world.Duration(time.Second), For: world.Duration(time.Second), Part: 0.2, Size: 1}}
 			return w
-		}(), planted(func() seeing {
+		}(), withFault(func() alterFunc {
 			var last policy.Server
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if m, ok := ev.(policy.ServerListUpdate); ok {
@@ -259,7 +259,7 @@
 				return acts
 			}
 		})},
-		{"sends long datagrams", tally.Datagram, small(t, 4, 4, 2*time.Second, ""), planted(func() seeing {
+		{"sends long datagrams", tally.Datagram, smallWorld(t, 4, 4, 2*time.Second, ""), withFault(func() alterFunc {
 			return func(_ policy.Event, acts []policy.Action) []policy.Action {
 				for i, a := range acts {
 					if m, ok := a.(policy.SendMessage); ok {
@@ -271,12 +271,12 @@
 			}
 		})},
 	} {
-		if r := play(t, c.w, 1, c.mk); r.Rules[c.rule] == 0 {
+		if r := runSim(t, c.w, 1, c.mk); r.Rules[c.rule] == 0 {
 			t.Errorf("%s: breach not reported, rules %v", c.name, r.Rules)
 		} else if len(r.Breaches) == 0 || r.Breaches[0].At <= 0 {
 			t.Errorf("%s: %+v", c.name, r.Breaches)
 		}
-		if r := play(t, c.w, 1, sim.Module); r.Rules[c.rule] > 0 {
+		if r := runSim(t, c.w, 1, sim.Module); r.Rules[c.rule] > 0 {
 			t.Errorf("%s: the module itself breaks %s: %v", c.name, c.rule, r.Breaches[0])
 		}
 	}
@@ -285,18 +285,18 @@
 // TestBaselinesBracketTheModule checks that the module and the oracle beat the baseline that admits every
 // request, and that a zone cut costs the module something.
 func TestBaselinesBracketTheModule(t *testing.T) {
-	worth := map[string]float64{}
+	scores := map[string]float64{}
 	for _, name := range append([]string{"module"}, baseline.Names...) {
 		mk := sim.Module
 		if name != "module" {
 			mk = baseline.Maker(name)
 		}
-		worth[name] = play(t, small(t, 60, 30, 6*time.Second, ""), 3, mk).Worth
+		scores[name] = runSim(t, smallWorld(t, 60, 30, 6*time.Second, ""), 3, mk).Worth
 	}
-	if worth["module"] <= worth["all"] || worth["oracle"] <= worth["all"] {
-		t.Errorf("%v", worth)
+	if scores["module"] <= scores["all"] || scores["oracle"] <= scores["all"] {
+		t.Errorf("%v", scores)
 	}
-	if calm, cut := play(t, small(t, 60, 30, 6*time.Second, ""), 3, sim.Module), play(t, small(t, 60, 30, 6*time.Second, "zone-cut"), 3, sim.Module); calm.Worth <= cut.Worth {
+	if calm, cut := runSim(t, smallWorld(t, 60, 30, 6*time.Second, ""), 3, sim.Module), runSim(t, smallWorld(t, 60, 30, 6*time.Second, "zone-cut"), 3, sim.Module); calm.Worth <= cut.Worth {
 		t.Errorf("calm %.3f, with a cut %.3f", calm.Worth, cut.Worth)
 	}
 }
@@ -309,8 +309,8 @@
 			requests := 0
 			const length = 10
 			for i := range b.N {
-				w := small(b, n, max(5, min(world.MostServers, n*2/3)), length*time.Second, "")
-				requests += play(b, w, uint64(i+1), sim.Module).Requests
+				w := smallWorld(b, n, max(5, min(world.MostServers, n*2/3)), length*time.Second, "")
+				requests += runSim(b, w, uint64(i+1), sim.Module).Requests
 			}
 			b.ReportMetric(length*float64(b.N)/b.Elapsed().Seconds(), "played/s")
 			b.ReportMetric(b.Elapsed().Seconds()*1e6/float64(requests), "us/request")
--- a/internal/lab/stats/stats.go
+++ b/internal/lab/stats/stats.go
@@ -20,8 +20,8 @@
 
 // Number of bootstrap samples, and the fraction outside the interval at each end.
 const (
-	resamples = 4000
-	tail      = 0.025
+	resamples    = 4000
+	tailFraction = 0.025
 )
 
 // Seen reports whether the difference is significant: there are at least three pairs and the interval
@@ -48,16 +48,16 @@
 		return d
 	}
 	d.Diff = d.B - d.A
-	each := make([]float64, len(a))
+	differences := make([]float64, len(a))
 	for i := range a {
-		each[i] = b[i] - a[i]
-		if each[i] > 0 {
+		differences[i] = b[i] - a[i]
+		if differences[i] > 0 {
 			d.Better++
-		} else if each[i] < 0 {
+		} else if differences[i] < 0 {
 			d.Worse++
 		}
 	}
-	d.Least, d.Greatest = slices.Min(each), slices.Max(each)
+	d.Least, d.Greatest = slices.Min(differences), slices.Max(differences)
 	rng := rand.New(rand.NewPCG(1, uint64(len(a))))
 	sample := make([]float64, resamples)
 	x, y := make([]float64, len(a)), make([]float64, len(a))
@@ -69,6 +69,6 @@
 		sample[i] = Median(y) - Median(x)
 	}
 	slices.Sort(sample)
-	d.Low, d.High = stat.Quantile(tail, stat.Empirical, sample, nil), stat.Quantile(1-tail, stat.Empirical, sample, nil)
+	d.Low, d.High = stat.Quantile(tailFraction, stat.Empirical, sample, nil), stat.Quantile(1-tailFraction, stat.Empirical, sample, nil)
 	return d
 }
--- a/internal/lab/stats/stats_test.go
+++ b/internal/lab/stats/stats_test.go
@@ -10,24 +10,24 @@
 func TestIntervalsHold(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	const experiments, pairs = 60, 12
-	held, seen := 0, 0
+	containing, significant := 0, 0
 	for range experiments {
 		var a, b, c []float64
 		for range pairs {
-			day := rng.NormFloat64()
-			a = append(a, day)
-			b = append(b, day+0.5+0.1*rng.NormFloat64())
-			c = append(c, day+0.1*rng.NormFloat64())
+			base := rng.NormFloat64()
+			a = append(a, base)
+			b = append(b, base+0.5+0.1*rng.NormFloat64())
+			c = append(c, base+0.1*rng.NormFloat64())
 		}
 		if d := Paired(a, b); d.Low <= 0.5 && 0.5 <= d.High && d.Pairs == pairs {
-			held++
+			containing++
 		}
 		if Paired(a, c).Seen() {
-			seen++
+			significant++
 		}
 	}
-	if held < experiments*85/100 || seen > experiments*15/100 {
-		t.Errorf("of %d experiments, %d intervals contain the difference, %d report one that does not exist", experiments, held, seen)
+	if containing < experiments*85/100 || significant > experiments*15/100 {
+		t.Errorf("of %d experiments, %d intervals contain the difference, %d report one that does not exist", experiments, containing, significant)
 	}
 	if d := Paired([]float64{1, 2}, []float64{3, 4}); d.Seen() || d.Diff != 2 {
 		t.Errorf("two pairs: %+v", d)
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -52,13 +52,13 @@
 
 // Folder is an open folder of results. Add is safe for concurrent use.
 type Folder struct {
-	Dir      string
-	Manifest Manifest
-	Lines    []Line // all complete lines, including those of earlier sessions
-	mu       sync.Mutex
-	out      *os.File
-	size     int64 // bytes of all complete lines
-	broken   error // first write error; no line is written after it
+	Dir           string
+	Manifest      Manifest
+	Lines         []Line // all complete lines, including those of earlier sessions
+	mu            sync.Mutex
+	file          *os.File
+	completeBytes int64 // bytes of all complete lines
+	writeErr      error // first write error; no line is written after it
 }
 
 const (
@@ -113,18 +113,18 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := replace(filepath.Join(dir, manifestFile), append(data, '\n')); err != nil {
+	if err := replaceFile(filepath.Join(dir, manifestFile), append(data, '\n')); err != nil {
 		return nil, err
 	}
-	f.out, err = os.OpenFile(filepath.Join(dir, runsFile), os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o644)
+	f.file, err = os.OpenFile(filepath.Join(dir, runsFile), os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	return f, f.mend()
+	return f, f.truncatePartialLine()
 }
 
-// replace replaces a file atomically.
-func replace(path string, data []byte) error {
+// replaceFile replaces a file atomically.
+func replaceFile(path string, data []byte) error {
 	part := path + ".part"
 	err := os.WriteFile(part, data, 0o644)
 	if err == nil {
@@ -136,15 +136,15 @@
 	return err
 }
 
-// mend truncates an incomplete last line.
-func (f *Folder) mend() error {
-	data, err := io.ReadAll(f.out)
+// truncatePartialLine truncates an incomplete last line.
+func (f *Folder) truncatePartialLine() error {
+	data, err := io.ReadAll(f.file)
 	if err != nil {
 		return err
 	}
-	f.size = int64(bytes.LastIndexByte(data, '\n') + 1)
-	if f.size < int64(len(data)) {
-		return f.out.Truncate(f.size)
+	f.completeBytes = int64(bytes.LastIndexByte(data, '\n') + 1)
+	if f.completeBytes < int64(len(data)) {
+		return f.file.Truncate(f.completeBytes)
 	}
 	return nil
 }
@@ -158,25 +158,25 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.broken != nil {
-		return f.broken
+	if f.writeErr != nil {
+		return f.writeErr
 	}
-	n, err := f.out.Write(append(data, '\n'))
+	n, err := f.file.Write(append(data, '\n'))
 	if err != nil {
-		f.broken = fmt.Errorf("results: %w", errors.Join(err, f.out.Truncate(f.size)))
-		return f.broken
+		f.writeErr = fmt.Errorf("results: %w", errors.Join(err, f.file.Truncate(f.completeBytes)))
+		return f.writeErr
 	}
-	f.size += int64(n)
+	f.completeBytes += int64(n)
 	f.Lines = append(f.Lines, l)
 	return nil
 }
 
 // Close syncs the added lines to disk and closes the file.
 func (f *Folder) Close() error {
-	if f.out == nil {
+	if f.file == nil {
 		return nil
 	}
-	return errors.Join(f.out.Sync(), f.out.Close())
+	return errors.Join(f.file.Sync(), f.file.Close())
 }
 
 // storyFile returns the path of a run's stories.
@@ -227,7 +227,7 @@
 	return nil
 }
 
-const mostLine = 64 << 20 // bytes of a run's line
+const maxLineBytes = 64 << 20 // bytes of a run's line
 
 // Open reads a folder of results.
 func Open(dir string) (*Folder, error) {
@@ -257,7 +257,7 @@
 			return nil, err
 		}
 		var l Line
-		if err := json.Unmarshal(line, &l); err != nil || len(line) > mostLine || l.Result == nil && l.Error == "" {
+		if err := json.Unmarshal(line, &l); err != nil || len(line) > maxLineBytes || l.Result == nil && l.Error == "" {
 			return nil, fmt.Errorf("%s, line %d: not a result of a run", filepath.Join(dir, runsFile), no)
 		}
 		f.Lines = append(f.Lines, l)
--- a/internal/lab/tally/book.go
+++ b/internal/lab/tally/book.go
@@ -30,9 +30,9 @@
 	Lost        // an edge node accepted it and gave no final answer
 )
 
-var hows = [...]string{"served", "late", "refused", "failed", "lost"}
+var outcomeNames = [...]string{"served", "late", "refused", "failed", "lost"}
 
-func (h How) String() string { return hows[h] }
+func (h How) String() string { return outcomeNames[h] }
 
 // End describes how one request of a client ended.
 type End struct {
@@ -51,20 +51,20 @@
 
 // Range and precision of the latency histograms: microseconds, up to two minutes, three significant digits.
 const (
-	leastLatency, mostLatency = 1, 120_000_000
-	latencyDigits             = 3
+	minLatency, maxLatency = 1, 120_000_000
+	latencyDigits          = 3
 )
 
 // Book accumulates the outcomes of requests and the other quantities that enter a run's result.
 type Book struct {
-	Referee
-	w       *world.World
-	windows []Window // of one second, by scheduled time of the request
-	classes []Part
-	plans   []Part
-	all     Part
-	lat     []*hdrhistogram.Histogram // of served requests, by class
-	nodes   []NodePart
+	BreachLog
+	w          *world.World
+	windows    []Window // of one second, by scheduled time of the request
+	classes    []Counts
+	plans      []Counts
+	all        Counts
+	latencies  []*hdrhistogram.Histogram // of served requests, by class
+	nodeCounts []NodeCounts
 
 	FirstSends, Beyond int
 	Sends              int     // attempts
@@ -77,11 +77,11 @@
 	Unsound            string // why the run is not valid; empty: it is
 	digest             *xxhash.Digest
 
-	lateWorth, overWorth, heldWorth float64 // value subject to charges
+	lateValue, beyondQuotaValue, heldBackValue float64 // value subject to charges
 }
 
-// Part accumulates the requests of a class, of a plan or of the whole run.
-type Part struct {
+// Counts accumulates the requests of a class, of a plan or of the whole run.
+type Counts struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"requests"`
 	Served   int     `json:"served"`
@@ -119,24 +119,24 @@
 	latencies []float64
 }
 
-// NodePart accumulates the requests of one edge node.
-type NodePart struct {
+// NodeCounts accumulates the requests of one edge node.
+type NodeCounts struct {
 	Requests int `json:"requests"`
 	Served   int `json:"served"`
 }
 
 // NewBook returns an empty book for a run of a world.
 func NewBook(w *world.World) *Book {
-	b := &Book{w: w, windows: make([]Window, int(math.Ceil(w.For.D().Seconds()))), digest: xxhash.New(), nodes: make([]NodePart, w.Nodes)}
+	b := &Book{w: w, windows: make([]Window, int(math.Ceil(w.For.D().Seconds()))), digest: xxhash.New(), nodeCounts: make([]NodeCounts, w.Nodes)}
 	for i := range b.windows {
 		b.windows[i].Second = i
 	}
 	for _, c := range w.Classes {
-		b.classes = append(b.classes, Part{Name: c.Name})
-		b.lat = append(b.lat, hdrhistogram.New(leastLatency, mostLatency, latencyDigits))
+		b.classes = append(b.classes, Counts{Name: c.Name})
+		b.latencies = append(b.latencies, hdrhistogram.New(minLatency, maxLatency, latencyDigits))
 	}
 	for _, p := range w.Plans {
-		b.plans = append(b.plans, Part{Name: p.Name})
+		b.plans = append(b.plans, Counts{Name: p.Name})
 	}
 	return b
 }
@@ -160,14 +160,14 @@
 	if e.At < b.w.Warm.D() {
 		return
 	}
-	worth := b.Worth(e.Class, e.Plan, e.Units)
+	value := b.Worth(e.Class, e.Plan, e.Units)
 	plan, class := b.w.Plans[e.Plan], b.w.Classes[e.Class]
-	asked, earned := worth, 0.0
+	asked, earned := value, 0.0
 	if !e.Inside {
 		asked *= plan.Earns
 	}
 	if e.How == Served || e.How == Late {
-		earned = worth
+		earned = value
 		if e.Beyond {
 			earned *= plan.Earns
 		}
@@ -176,16 +176,16 @@
 		}
 	}
 	if e.Beyond {
-		b.overWorth += worth * plan.Costs
+		b.beyondQuotaValue += value * plan.Costs
 	}
 	if e.How > Late && e.Latency > class.Aim.D() {
-		b.lateWorth += asked
+		b.lateValue += asked
 	}
 	if e.HeldBack && e.How > Late {
-		b.heldWorth += asked
+		b.heldBackValue += asked
 	}
 	win := b.Window(e.At)
-	for _, p := range []*Part{&b.all, &b.classes[e.Class], &b.plans[e.Plan]} {
+	for _, p := range []*Counts{&b.all, &b.classes[e.Class], &b.plans[e.Plan]} {
 		p.Requests++
 		p.Asked += asked
 		p.Earned += earned
@@ -203,14 +203,14 @@
 		}
 	}
 	if e.Node >= 0 {
-		b.nodes[e.Node].Requests++
+		b.nodeCounts[e.Node].Requests++
 	}
 	if e.How <= Late {
 		if e.Node >= 0 {
-			b.nodes[e.Node].Served++
+			b.nodeCounts[e.Node].Served++
 		}
 		// Recording can't fail: the value is clamped to the histogram's range.
-		_ = b.lat[e.Class].RecordValue(max(leastLatency, min(e.Latency.Microseconds(), mostLatency)))
+		_ = b.latencies[e.Class].RecordValue(max(minLatency, min(e.Latency.Microseconds(), maxLatency)))
 	}
 	if win == nil {
 		return
@@ -258,27 +258,27 @@
 	Rude     int                `json:"rude,omitempty"`         // clients that sent unreadable requests
 	Ignored  int                `json:"rude_ignored,omitempty"` // those that got no error or close in time
 	Digest   string             `json:"digest"`
-	Classes  []Part             `json:"classes"`
-	Plans    []Part             `json:"plans"`
+	Classes  []Counts           `json:"classes"`
+	Plans    []Counts           `json:"plans"`
 	Windows  []Window           `json:"windows"`
-	PerNode  []NodePart         `json:"pernode"`
+	PerNode  []NodeCounts       `json:"pernode"`
 }
 
 // Weights of the goals and length of the worst window in seconds, as on the platform.
 const (
-	goalWhole, goalWindow, goalTenant, goalClass = 0.5, 0.25, 0.15, 0.1
-	worstSpan                                    = 10
+	goalWhole, goalWindow, goalPlan, goalClass = 0.5, 0.25, 0.15, 0.1
+	worstWindowSeconds                         = 10
 )
 
 // Result computes the result of the run.
 func (b *Book) Result(seed uint64) *Result {
-	share := func(p *Part) float64 { return min(1, p.Earned/max(p.Asked, 1e-9)) }
-	first := float64(max(1, b.all.Requests))
+	share := func(p *Counts) float64 { return min(1, p.Earned/max(p.Asked, 1e-9)) }
+	requests := float64(max(1, b.all.Requests))
 	if b.FirstSends > 0 && float64(b.Beyond) > b.w.Rules.Beyond*float64(b.FirstSends) && b.FirstSends > 100 {
 		b.Broken(Quota, "-", -1, b.w.For.D(), "%d of %d first sends beyond quota or cap, over %g of them", b.Beyond, b.FirstSends, b.w.Rules.Beyond)
 	}
 	r := &Result{Seed: seed, Nodes: b.w.Nodes, Servers: b.w.Servers, Unsound: b.Unsound, Rules: map[Rule]int{}}
-	worst := func(list []Part) float64 {
+	worst := func(list []Counts) float64 {
 		low := 1.0
 		for i := range list {
 			if list[i].Asked > 0 {
@@ -290,8 +290,8 @@
 	for i := range b.classes {
 		p := &b.classes[i]
 		p.Share = share(p)
-		p.P50, p.P99, p.P999 = quantile(b.lat[i], 50), quantile(b.lat[i], 99), quantile(b.lat[i], 99.9)
-		p.Latencies = encode(b.lat[i])
+		p.P50, p.P99, p.P999 = quantile(b.latencies[i], 50), quantile(b.latencies[i], 99), quantile(b.latencies[i], 99.9)
+		p.Latencies = encode(b.latencies[i])
 	}
 	for i := range b.plans {
 		b.plans[i].Share = share(&b.plans[i])
@@ -304,23 +304,23 @@
 	c := b.w.Charges
 	r.Charges = map[string]float64{
 		"waste":      c.Waste * b.Wasted / max(b.Worked, 1e-9),
-		"handshake":  c.Handshake * float64(b.Handshakes) / first,
-		"peer":       c.Peer * float64(b.MailBytes) / 256 / first,
-		"late_fail":  c.LateFail * b.lateWorth / max(b.all.Asked, 1e-9),
-		"over_quota": b.overWorth / max(b.all.Asked, 1e-9),
-		"held_back":  c.HeldBack * b.heldWorth / max(b.all.Asked, 1e-9),
+		"handshake":  c.Handshake * float64(b.Handshakes) / requests,
+		"peer":       c.Peer * float64(b.MailBytes) / 256 / requests,
+		"late_fail":  c.LateFail * b.lateValue / max(b.all.Asked, 1e-9),
+		"over_quota": b.beyondQuotaValue / max(b.all.Asked, 1e-9),
+		"held_back":  c.HeldBack * b.heldBackValue / max(b.all.Asked, 1e-9),
 		"rude":       c.Rude * float64(b.RudeIgnored) / float64(max(1, b.Rude)),
 	}
-	r.Worth = goalWhole*r.Goals["whole"] + goalWindow*r.Goals["worst_window"] + goalTenant*r.Goals["worst_plan"] + goalClass*r.Goals["worst_class"]
+	r.Worth = goalWhole*r.Goals["whole"] + goalWindow*r.Goals["worst_window"] + goalPlan*r.Goals["worst_plan"] + goalClass*r.Goals["worst_class"]
 	for _, name := range []string{"waste", "handshake", "peer", "late_fail", "over_quota", "held_back", "rude"} {
 		r.Worth -= r.Charges[name]
 	}
 	r.Requests, r.Served, r.Refused, r.Failed, r.Lost = b.all.Requests, b.all.Served+b.all.Late, b.all.Refused, b.all.Failed, b.all.Lost
-	r.Beyond, r.Sends = float64(b.Beyond)/float64(max(1, b.FirstSends)), float64(b.Sends)/first
+	r.Beyond, r.Sends = float64(b.Beyond)/float64(max(1, b.FirstSends)), float64(b.Sends)/requests
 	r.Mail = float64(b.Mail) / float64(b.w.Nodes) / max(b.w.For.D().Seconds(), 1e-9)
 	r.Rude, r.Ignored = b.Rude, b.RudeIgnored
 	r.MailPeak, r.MailLost = b.MailPeak, float64(b.MailLost)/float64(max(1, b.Mail+b.MailLost))
-	r.Classes, r.Plans, r.Windows, r.PerNode = b.classes, b.plans, b.windows, b.nodes
+	r.Classes, r.Plans, r.Windows, r.PerNode = b.classes, b.plans, b.windows, b.nodeCounts
 	var counts map[Rule]int
 	r.Breaches, counts = b.Breaches()
 	for rule, n := range counts {
@@ -343,21 +343,21 @@
 // worstWindow returns the lowest share earned over worstSpan consecutive seconds.
 func (b *Book) worstWindow() float64 {
 	list := b.windows[min(len(b.windows), int(b.w.Warm.D()/time.Second)):]
-	low := 1.0
+	lowest := 1.0
 	for i := range list {
-		span := list[i:min(len(list), i+worstSpan)]
-		if i > 0 && len(span) < worstSpan {
+		span := list[i:min(len(list), i+worstWindowSeconds)]
+		if i > 0 && len(span) < worstWindowSeconds {
 			break
 		}
-		p := Part{}
+		p := Counts{}
 		for _, w := range span {
 			p.Asked, p.Earned = p.Asked+w.Asked, p.Earned+w.Earned
 		}
 		if p.Asked > 0 {
-			low = min(low, p.Earned/p.Asked)
+			lowest = min(lowest, p.Earned/p.Asked)
 		}
 	}
-	return low
+	return lowest
 }
 
 // quantileOf returns a quantile of a list, which it sorts in place.
@@ -399,7 +399,7 @@
 				return nil, fmt.Errorf("class %s, seed %d: latencies: %w", p.Name, r.Seed, err)
 			}
 			if all[p.Name] == nil {
-				all[p.Name] = hdrhistogram.New(leastLatency, mostLatency, latencyDigits)
+				all[p.Name] = hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 				list = append(list, Merged{Name: p.Name})
 			}
 			if dropped := all[p.Name].Merge(h); dropped > 0 {
--- a/internal/lab/tally/merge_test.go
+++ b/internal/lab/tally/merge_test.go
@@ -21,7 +21,7 @@
 		parts[i%3].Close(e)
 	}
 	want := whole.Result(1)
-	runs := []*Result{{Classes: []Part{{Name: "katalog"}}}}
+	runs := []*Result{{Classes: []Counts{{Name: "katalog"}}}}
 	for i, b := range parts {
 		runs = append(runs, b.Result(uint64(i)))
 	}
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, bad := range []string{"x", "SElTVEZBQUFB", want.Classes[0].Latencies[:40]} {
-		if _, err := Merge([]*Result{{Seed: 4, Classes: []Part{{Name: "katalog", Latencies: bad}}}}); err == nil {
+		if _, err := Merge([]*Result{{Seed: 4, Classes: []Counts{{Name: "katalog", Latencies: bad}}}}); err == nil {
 			t.Errorf("%q passed", bad)
 		}
 	}
@@ -49,7 +49,7 @@
 	f.Add(b.Result(1).Classes[0].Latencies)
 	f.Add("")
 	f.Fuzz(func(t *testing.T, text string) {
-		if list, err := Merge([]*Result{{Classes: []Part{{Name: "a", Latencies: text}}}}); err == nil && len(list) > 1 {
+		if list, err := Merge([]*Result{{Classes: []Counts{{Name: "a", Latencies: text}}}}); err == nil && len(list) > 1 {
 			t.Errorf("%v", list)
 		}
 	})
--- a/internal/lab/tally/quota.go
+++ b/internal/lab/tally/quota.go
@@ -8,24 +8,24 @@
 
 // Account is a customer's true quota over all edge nodes. It sees the first attempt of every try.
 type Account struct {
-	Plan    *world.Plan
-	store   float64
-	ceiling float64
-	at      time.Duration
-	out     int // attempts in flight
-	ideal   ideal
+	Plan          *world.Plan
+	tokens        float64
+	ceilingTokens float64
+	at            time.Duration
+	inFlight      int // attempts in flight
+	ideal         ideal
 }
 
 // ideal is the same quota under a policy that admits each request that fits when it arrives. It determines
 // which requests lie within the quota.
 type ideal struct {
-	store float64
-	at    time.Duration
+	tokens float64
+	at     time.Duration
 }
 
 // NewAccount returns an account with full token buckets.
 func NewAccount(p *world.Plan, now time.Duration) *Account {
-	return &Account{Plan: p, store: p.Store, ceiling: p.HardSize, at: now, ideal: ideal{p.Store, now}}
+	return &Account{Plan: p, tokens: p.Store, ceilingTokens: p.HardSize, at: now, ideal: ideal{p.Store, now}}
 }
 
 // Fits reports whether a request that arrives now lies within the quota of the ideal policy, and charges
@@ -35,11 +35,11 @@
 		return true // a plan with a cap alone: the request may wait
 	}
 	i := &a.ideal
-	i.store = min(a.Plan.Store, i.store+a.Plan.Rate*(now-i.at).Seconds())
-	if i.at = now; i.store < units {
+	i.tokens = min(a.Plan.Store, i.tokens+a.Plan.Rate*(now-i.at).Seconds())
+	if i.at = now; i.tokens < units {
 		return false
 	}
-	i.store -= units
+	i.tokens -= units
 	return true
 }
 
@@ -47,8 +47,8 @@
 func (a *Account) advance(now time.Duration) {
 	dt := (now - a.at).Seconds()
 	if a.at = max(a.at, now); dt > 0 {
-		a.store = min(a.Plan.Store, a.store+a.Plan.Rate*dt)
-		a.ceiling = min(a.Plan.HardSize, a.ceiling+a.Plan.HardRate*dt)
+		a.tokens = min(a.Plan.Store, a.tokens+a.Plan.Rate*dt)
+		a.ceilingTokens = min(a.Plan.HardSize, a.ceilingTokens+a.Plan.HardRate*dt)
 	}
 }
 
@@ -56,23 +56,23 @@
 // cap, and by how many units the customer exceeds its ceiling.
 func (a *Account) Send(units float64, now time.Duration) (inside bool, over float64) {
 	a.advance(now)
-	inside = (a.Plan.Rate == 0 || a.store >= units) && (a.Plan.Parallel == 0 || a.out < a.Plan.Parallel)
+	inside = (a.Plan.Rate == 0 || a.tokens >= units) && (a.Plan.Parallel == 0 || a.inFlight < a.Plan.Parallel)
 	if inside && a.Plan.Rate > 0 {
-		a.store -= units
+		a.tokens -= units
 	}
 	if a.Plan.HardRate > 0 {
-		a.ceiling -= units
-		over = max(0, -a.ceiling)
+		a.ceilingTokens -= units
+		over = max(0, -a.ceilingTokens)
 	}
 	return inside, over
 }
 
 // Out changes the number of attempts in flight by d.
-func (a *Account) Out(d int) { a.out += d }
+func (a *Account) Out(d int) { a.inFlight += d }
 
 // Room reports whether a try of the given units would lie within quota, cap and ceiling now.
 func (a *Account) Room(units float64, now time.Duration) bool {
 	a.advance(now)
-	return (a.Plan.Rate == 0 || a.store >= units) && (a.Plan.Parallel == 0 || a.out < a.Plan.Parallel) &&
-		(a.Plan.HardRate == 0 || a.ceiling >= units)
+	return (a.Plan.Rate == 0 || a.tokens >= units) && (a.Plan.Parallel == 0 || a.inFlight < a.Plan.Parallel) &&
+		(a.Plan.HardRate == 0 || a.ceilingTokens >= units)
 }
--- a/internal/lab/tally/rules.go
+++ b/internal/lab/tally/rules.go
@@ -39,31 +39,31 @@
 	return fmt.Sprintf("%s at %.3f s: request %s, edge node %d: %s", b.Rule, b.At.Seconds(), b.Request, b.Node, b.What)
 }
 
-// mostBreaches is the number of breaches stored per rule; further ones are only counted.
-const mostBreaches = 20
+// maxBreaches is the number of breaches stored per rule; further ones are only counted.
+const maxBreaches = 20
 
-// Referee records breaches. It is safe for concurrent use.
-type Referee struct {
-	mu     sync.Mutex
-	list   []Breach
-	counts map[Rule]int
+// BreachLog records breaches. It is safe for concurrent use.
+type BreachLog struct {
+	mu       sync.Mutex
+	breaches []Breach
+	counts   map[Rule]int
 }
 
 // Broken records a breach.
-func (r *Referee) Broken(rule Rule, request string, node int, at time.Duration, format string, args ...any) {
+func (r *BreachLog) Broken(rule Rule, request string, node int, at time.Duration, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.counts == nil {
 		r.counts = map[Rule]int{}
 	}
-	if r.counts[rule]++; r.counts[rule] <= mostBreaches {
-		r.list = append(r.list, Breach{rule, request, node, at, fmt.Sprintf(format, args...)})
+	if r.counts[rule]++; r.counts[rule] <= maxBreaches {
+		r.breaches = append(r.breaches, Breach{rule, request, node, at, fmt.Sprintf(format, args...)})
 	}
 }
 
 // Breaches returns the first breaches of each rule, and the number of breaches per rule.
-func (r *Referee) Breaches() ([]Breach, map[Rule]int) {
+func (r *BreachLog) Breaches() ([]Breach, map[Rule]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list, r.counts
+	return r.breaches, r.counts
 }
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -58,15 +58,15 @@
 
 // Log holds the stories of a run.
 type Log struct {
-	Stories []*Story
-	Most    int // maximum number of notes
-	notes   int
-	Dropped int // notes and stories beyond Most
+	Stories   []*Story
+	Most      int // maximum number of notes
+	noteCount int
+	Dropped   int // notes and stories beyond Most
 }
 
 // Begin starts the story of a request. It returns nil for a nil log or a full one.
 func (l *Log) Begin(s Story) *Story {
-	if l == nil || l.notes >= l.Most {
+	if l == nil || l.noteCount >= l.Most {
 		if l != nil {
 			l.Dropped++
 		}
@@ -81,11 +81,11 @@
 	if s == nil {
 		return
 	}
-	if l.notes >= l.Most {
+	if l.noteCount >= l.Most {
 		l.Dropped++
 		return
 	}
-	l.notes++
+	l.noteCount++
 	detail := format
 	if len(args) > 0 {
 		detail = fmt.Sprintf(format, args...)
@@ -108,7 +108,7 @@
 	return nil
 }
 
-const mostLine = 1 << 20 // bytes of a story's line
+const maxLineBytes = 1 << 20 // bytes of a story's line
 
 // Read calls each for every story until each returns false.
 func Read(r io.Reader, each func(*Story) bool) error {
@@ -117,7 +117,7 @@
 		return fmt.Errorf("stories: %w", err)
 	}
 	lines := bufio.NewScanner(z)
-	lines.Buffer(make([]byte, 1<<16), mostLine)
+	lines.Buffer(make([]byte, 1<<16), maxLineBytes)
 	for no := 1; lines.Scan(); no++ {
 		var s Story
 		if err := json.Unmarshal(lines.Bytes(), &s); err != nil {
--- a/internal/lab/world/client.go
+++ b/internal/lab/world/client.go
@@ -25,16 +25,16 @@
 	Eager    float64       // factor on the number of tries and divisor of the wait between them
 }
 
-// leastTry is the shortest time that a client allows for a try.
-const leastTry = 10 * time.Millisecond
+// minTryTime is the shortest time that a client allows for a try.
+const minTryTime = 10 * time.Millisecond
 
 // Again decides whether a client retries, and how long it waits first.
 func (w *World) Again(rng *rand.Rand, r Retry) (wait time.Duration, again bool) {
 	c := r.Class
-	may := r.Harmless || c.MayRepeat() && (c.Effect != "by_key" || !r.MayRan || r.RanSince < c.Window.D())
+	allowed := r.Harmless || c.MayRepeat() && (c.Effect != "by_key" || !r.MayRan || r.RanSince < c.Window.D())
 	wait = time.Duration((0.5 + rng.Float64()) * float64(w.Client.Backoff) * float64(min(r.Tries, 4)) / r.Eager)
 	if r.Advice > 0 && rng.Float64() < w.Client.Heed {
 		wait = min(r.Advice, w.Rules.Retry.D())
 	}
-	return wait, may && r.Tries < int(float64(w.Client.Tries)*r.Eager) && r.Left > wait+leastTry
+	return wait, allowed && r.Tries < int(float64(w.Client.Tries)*r.Eager) && r.Left > wait+minTryTime
 }
--- a/internal/lab/world/draw.go
+++ b/internal/lab/world/draw.go
@@ -34,9 +34,9 @@
 
 // Drawn holds the servers and customers that a seed gives for a world.
 type Drawn struct {
-	Sizes  []float64 // capacities of servers relative to the mean
-	People []Person
-	sums   []float64 // cumulative demand of customers
+	Sizes            []float64 // capacities of servers relative to the mean
+	People           []Person
+	cumulativeDemand []float64 // cumulative demand of customers
 }
 
 // Draw draws servers and customers: plans by their fractions, demand by plan and skew, and sets of edge
@@ -47,10 +47,10 @@
 	for range w.Servers {
 		d.Sizes = append(d.Sizes, math.Exp(w.Server.Unequal*rng.NormFloat64()))
 	}
-	pull, sum := make([]float64, w.Nodes), 0.0
-	for i := range pull {
+	cumulativeTraffic, sum := make([]float64, w.Nodes), 0.0
+	for i := range cumulativeTraffic {
 		sum += math.Exp(w.Load.Uneven * rng.NormFloat64())
-		pull[i] = sum
+		cumulativeTraffic[i] = sum
 	}
 	parts, total := 0.0, 0.0
 	for _, p := range w.Plans {
@@ -64,17 +64,17 @@
 		}
 		spread := min(w.Nodes, max(1, w.Load.Spread/2+rng.IntN(w.Load.Spread+1)))
 		d.People = append(d.People, Person{fmt.Sprintf("%016x", uint64(i+1)*2654435761%(1<<33)), plan,
-			sort.SearchFloat64s(pull, rng.Float64()*sum) % w.Nodes, spread})
+			sort.SearchFloat64s(cumulativeTraffic, rng.Float64()*sum) % w.Nodes, spread})
 		s := w.Load.Skew
 		total += w.Demand(w.Plans[plan]) * math.Exp(2*s*rng.NormFloat64()-2*s*s)
-		d.sums = append(d.sums, total)
+		d.cumulativeDemand = append(d.cumulativeDemand, total)
 	}
 	return d
 }
 
 // Anyone draws a customer, weighted by demand.
 func (d *Drawn) Anyone(rng *rand.Rand) int {
-	return min(sort.SearchFloat64s(d.sums, rng.Float64()*d.sums[len(d.sums)-1]), len(d.sums)-1)
+	return min(sort.SearchFloat64s(d.cumulativeDemand, rng.Float64()*d.cumulativeDemand[len(d.cumulativeDemand)-1]), len(d.cumulativeDemand)-1)
 }
 
 // Share returns the fraction of all demand that comes from the listed customers.
@@ -83,11 +83,11 @@
 	for _, i := range list {
 		before := 0.0
 		if i > 0 {
-			before = d.sums[i-1]
+			before = d.cumulativeDemand[i-1]
 		}
-		sum += d.sums[i] - before
+		sum += d.cumulativeDemand[i] - before
 	}
-	return sum / d.sums[len(d.sums)-1]
+	return sum / d.cumulativeDemand[len(d.cumulativeDemand)-1]
 }
 
 // ClassOf draws a class, weighted by its fraction of the requests.
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -252,12 +252,12 @@
 
 // Upper limits of a description. Larger runs would take too long or need too much memory.
 const (
-	MostNodes     = 3000
-	MostServers   = 2000
-	mostZones     = 16
-	mostFor       = 2 * time.Hour
-	mostRate      = 200_000
-	mostCustomers = 1_000_000
+	MostNodes    = 3000
+	MostServers  = 2000
+	maxZones     = 16
+	maxDuration  = 2 * time.Hour
+	maxRate      = 200_000
+	maxCustomers = 1_000_000
 )
 
 // Problem is one error in a description: the field and what is wrong.
@@ -267,77 +267,77 @@
 
 // Check returns all errors of the description, each with its field.
 func (w *World) Check() (list []Problem) {
-	need := func(ok bool, field, format string, args ...any) {
+	require := func(ok bool, field, format string, args ...any) {
 		if !ok {
 			list = append(list, Problem{field, fmt.Sprintf(format, args...)})
 		}
 	}
-	share := func(v float64, field string) { need(v >= 0 && v <= 1, field, "%g is not from 0 to 1", v) }
-	positive := func(v float64, field string) { need(v > 0 && !math.IsInf(v, 0), field, "%g is not above 0", v) }
-	length := func(d Duration, field string, least time.Duration) {
-		need(d.D() >= least && d.D() <= mostFor, field, "%v is not from %v to %v", d.D(), least, mostFor)
+	share := func(v float64, field string) { require(v >= 0 && v <= 1, field, "%g is not from 0 to 1", v) }
+	positive := func(v float64, field string) { require(v > 0 && !math.IsInf(v, 0), field, "%g is not above 0", v) }
+	duration := func(d Duration, field string, minimum time.Duration) {
+		require(d.D() >= minimum && d.D() <= maxDuration, field, "%v is not from %v to %v", d.D(), minimum, maxDuration)
 	}
-	need(w.Nodes >= 1 && w.Nodes <= MostNodes, "nodes", "%d is not from 1 to %d", w.Nodes, MostNodes)
-	need(w.Servers >= 1 && w.Servers <= MostServers, "servers", "%d is not from 1 to %d", w.Servers, MostServers)
-	need(w.Zones >= 1 && w.Zones <= mostZones, "zones", "%d is not from 1 to %d", w.Zones, mostZones)
-	length(w.For, "for", 100*time.Millisecond)
-	need(w.Warm >= 0 && w.Warm < w.For, "warm", "%v is not from 0 to below for", w.Warm.D())
-	need(w.Load.Rate > 0 && w.Load.Rate <= mostRate, "load.rate", "%g is not above 0 and up to %d", w.Load.Rate, mostRate)
-	need(slices.Contains(shapes, w.Load.Shape), "load.shape", "%q is not one of %s", w.Load.Shape, strings.Join(shapes, ", "))
-	need(w.Load.Shape != "trace" || w.Load.Trace != "", "load.trace", "empty, but the shape is trace")
+	require(w.Nodes >= 1 && w.Nodes <= MostNodes, "nodes", "%d is not from 1 to %d", w.Nodes, MostNodes)
+	require(w.Servers >= 1 && w.Servers <= MostServers, "servers", "%d is not from 1 to %d", w.Servers, MostServers)
+	require(w.Zones >= 1 && w.Zones <= maxZones, "zones", "%d is not from 1 to %d", w.Zones, maxZones)
+	duration(w.For, "for", 100*time.Millisecond)
+	require(w.Warm >= 0 && w.Warm < w.For, "warm", "%v is not from 0 to below for", w.Warm.D())
+	require(w.Load.Rate > 0 && w.Load.Rate <= maxRate, "load.rate", "%g is not above 0 and up to %d", w.Load.Rate, maxRate)
+	require(slices.Contains(shapes, w.Load.Shape), "load.shape", "%q is not one of %s", w.Load.Shape, strings.Join(shapes, ", "))
+	require(w.Load.Shape != "trace" || w.Load.Trace != "", "load.trace", "empty, but the shape is trace")
 	share(w.Load.Swing, "load.swing")
-	length(w.Load.Period, "load.period", time.Millisecond)
-	need(w.Load.Customers >= 1 && w.Load.Customers <= mostCustomers, "load.customers", "%d is not from 1 to %d", w.Load.Customers, mostCustomers)
-	need(w.Load.Spread >= 1, "load.spread", "%d is below 1", w.Load.Spread)
-	need(w.Load.Skew >= 0 && w.Load.Skew <= 3, "load.skew", "%g is not from 0 to 3", w.Load.Skew)
-	need(w.Load.Uneven >= 0 && w.Load.Uneven <= 2, "load.uneven", "%g is not from 0 to 2", w.Load.Uneven)
-	need(w.Load.Units >= 1 && w.Load.Units <= 1000, "load.units", "%d is not from 1 to 1000", w.Load.Units)
-	need(w.Client.Tries >= 1 && w.Client.Tries <= 20, "client.tries", "%d is not from 1 to 20", w.Client.Tries)
+	duration(w.Load.Period, "load.period", time.Millisecond)
+	require(w.Load.Customers >= 1 && w.Load.Customers <= maxCustomers, "load.customers", "%d is not from 1 to %d", w.Load.Customers, maxCustomers)
+	require(w.Load.Spread >= 1, "load.spread", "%d is below 1", w.Load.Spread)
+	require(w.Load.Skew >= 0 && w.Load.Skew <= 3, "load.skew", "%g is not from 0 to 3", w.Load.Skew)
+	require(w.Load.Uneven >= 0 && w.Load.Uneven <= 2, "load.uneven", "%g is not from 0 to 2", w.Load.Uneven)
+	require(w.Load.Units >= 1 && w.Load.Units <= 1000, "load.units", "%d is not from 1 to 1000", w.Load.Units)
+	require(w.Client.Tries >= 1 && w.Client.Tries <= 20, "client.tries", "%d is not from 1 to 20", w.Client.Tries)
 	share(w.Client.Heed, "client.heed")
 	share(w.Client.Leave, "client.leave")
-	length(w.Client.Backoff, "client.backoff", time.Millisecond)
-	length(w.Client.Notice, "client.notice", 0)
-	need(len(w.Classes) > 0 && len(w.Classes) <= 8, "class", "%d are not from 1 to 8", len(w.Classes))
+	duration(w.Client.Backoff, "client.backoff", time.Millisecond)
+	duration(w.Client.Notice, "client.notice", 0)
+	require(len(w.Classes) > 0 && len(w.Classes) <= 8, "class", "%d are not from 1 to 8", len(w.Classes))
 	for i, c := range w.Classes {
 		at := fmt.Sprintf("class[%d].", i)
-		need(c.Name != "", at+"name", "empty")
-		need(c.Part >= 0, at+"part", "negative")
-		length(c.Aim, at+"aim", time.Millisecond)
-		length(c.Deadline, at+"deadline", time.Millisecond)
-		length(c.Work, at+"work", time.Microsecond)
+		require(c.Name != "", at+"name", "empty")
+		require(c.Part >= 0, at+"part", "negative")
+		duration(c.Aim, at+"aim", time.Millisecond)
+		duration(c.Deadline, at+"deadline", time.Millisecond)
+		duration(c.Work, at+"work", time.Microsecond)
 		_, known := effects[c.Effect]
-		need(known, at+"effect", "%q is not one of %s", c.Effect, keys(effects))
+		require(known, at+"effect", "%q is not one of %s", c.Effect, joinKeys(effects))
 		_, known = groups[c.Group]
-		need(known, at+"group", "%q is not one of all, zone, cell", c.Group)
+		require(known, at+"group", "%q is not one of all, zone, cell", c.Group)
 		positive(c.Value, at+"value")
 		share(c.Late, at+"late")
 	}
-	need(len(w.Plans) > 0 && len(w.Plans) <= 100, "plan", "%d are not from 1 to 100", len(w.Plans))
+	require(len(w.Plans) > 0 && len(w.Plans) <= 100, "plan", "%d are not from 1 to 100", len(w.Plans))
 	for i, p := range w.Plans {
 		at := fmt.Sprintf("plan[%d].", i)
-		need(p.Name != "", at+"name", "empty")
-		need(p.Part >= 0 && p.Rate >= 0 && p.Store >= 0 && p.Parallel >= 0 && p.HardRate >= 0 && p.HardSize >= 0 && p.Asks >= 0 &&
+		require(p.Name != "", at+"name", "empty")
+		require(p.Part >= 0 && p.Rate >= 0 && p.Store >= 0 && p.Parallel >= 0 && p.HardRate >= 0 && p.HardSize >= 0 && p.Asks >= 0 &&
 			p.Earns >= 0 && p.Costs >= 0, at+"part", "a figure of the plan is negative")
-		need(p.Rate == 0 || p.Store > 0, at+"store", "not above 0, but the plan has a rate")
+		require(p.Rate == 0 || p.Store > 0, at+"store", "not above 0, but the plan has a rate")
 		positive(p.Price, at+"price")
 	}
 	positive(w.Server.Load, "server.load")
-	need(w.Server.Slots >= 1 && w.Server.Slots <= 10_000, "server.slots", "%d is not from 1 to 10000", w.Server.Slots)
-	need(w.Server.Queue >= 0 && w.Server.Queue <= 100_000, "server.queue", "%d is not from 0 to 100000", w.Server.Queue)
-	need(w.Server.Spread >= 0 && w.Server.Spread <= 3, "server.spread", "%g is not from 0 to 3", w.Server.Spread)
+	require(w.Server.Slots >= 1 && w.Server.Slots <= 10_000, "server.slots", "%d is not from 1 to 10000", w.Server.Slots)
+	require(w.Server.Queue >= 0 && w.Server.Queue <= 100_000, "server.queue", "%d is not from 0 to 100000", w.Server.Queue)
+	require(w.Server.Spread >= 0 && w.Server.Spread <= 3, "server.spread", "%g is not from 0 to 3", w.Server.Spread)
 	share(w.Server.Thrash, "server.thrash")
-	need(w.Server.Unequal >= 0 && w.Server.Unequal <= 1, "server.unequal", "%g is not from 0 to 1", w.Server.Unequal)
-	need(w.Server.Connections >= 1, "server.connections", "%d is below 1", w.Server.Connections)
-	length(w.Server.Idle, "server.idle", time.Millisecond)
+	require(w.Server.Unequal >= 0 && w.Server.Unequal <= 1, "server.unequal", "%g is not from 0 to 1", w.Server.Unequal)
+	require(w.Server.Connections >= 1, "server.connections", "%d is below 1", w.Server.Connections)
+	duration(w.Server.Idle, "server.idle", time.Millisecond)
 	share(w.Server.ColdShare, "server.cold_share")
-	length(w.Server.Warm, "server.warm", 0)
+	duration(w.Server.Warm, "server.warm", 0)
 	share(w.Net.Loss, "net.loss")
 	share(w.Net.Duplicate, "net.duplicate")
 	positive(w.Net.Mail, "net.mail")
-	length(w.Net.Dial, "net.dial", time.Millisecond)
-	need(w.Net.Near >= 0 && w.Net.Far >= 0 && w.Net.Peer >= 0 && w.Net.PeerMore >= 0, "net.near", "a time of the network is negative")
-	length(w.Rules.Tick, "rules.tick", 100*time.Microsecond)
-	need(w.Rules.Attempts >= 1, "rules.attempts", "%d is below 1", w.Rules.Attempts)
+	duration(w.Net.Dial, "net.dial", time.Millisecond)
+	require(w.Net.Near >= 0 && w.Net.Far >= 0 && w.Net.Peer >= 0 && w.Net.PeerMore >= 0, "net.near", "a time of the network is negative")
+	duration(w.Rules.Tick, "rules.tick", 100*time.Microsecond)
+	require(w.Rules.Attempts >= 1, "rules.attempts", "%d is below 1", w.Rules.Attempts)
 	share(w.Rules.Beyond, "rules.beyond")
 	for i, f := range w.Faults {
 		for _, p := range f.check(w) {
@@ -349,6 +349,6 @@
 
 var shapes = []string{"poisson", "steady", "wave", "burst", "trace"}
 
-func keys[V any](m map[string]V) string {
+func joinKeys[V any](m map[string]V) string {
 	return strings.Join(slices.SortedFunc(maps.Keys(m), cmp.Compare), ", ")
 }
