--- a/internal/lab/lending/lending.go
+++ b/internal/lab/lending/lending.go
@@ -76,11 +76,11 @@
 	if n == 0 {
 		return 0
 	}
-	each := min(1, d.Cores/n)
+	speed := min(1, d.Cores/n)
 	if over := n - d.Cores; over > 0 {
-		each /= 1 + d.settings.Thrash*over
+		speed /= 1 + d.settings.Thrash*over
 	}
-	return each * d.WarmUpFraction() / d.slowdown
+	return speed * d.WarmUpFraction() / d.slowdown
 }
 
 // advance accounts for the work done up to now.
@@ -121,17 +121,17 @@
 // processDue ends the jobs that are complete and starts queued ones.
 func (d *Desk) processDue() {
 	d.advance()
-	rest := d.active[:0]
-	var ready []*Job
+	remaining := d.active[:0]
+	var completed []*Job
 	for _, j := range d.active {
 		if j.doneAt <= d.workPerJob+negligibleWork {
-			ready = append(ready, j)
+			completed = append(completed, j)
 		} else {
-			rest = append(rest, j)
+			remaining = append(remaining, j)
 		}
 	}
-	d.active = rest
-	for _, j := range ready {
+	d.active = remaining
+	for _, j := range completed {
 		if j.Gone {
 			j.Done(Vain)
 		} else {
@@ -193,6 +193,7 @@
 	sent     []arrival
 }
 
+// arrival is an attempt that the server received.
 type arrival struct {
 	at        time.Duration
 	work      float64
@@ -205,14 +206,14 @@
 // NewBudget returns the budget of a process that has just started.
 func NewBudget(w *world.World) *Budget { return &Budget{rules: &w.Rules, meanWork: w.MeanWork()} }
 
-// Came records an attempt. falls is true if the attempt overloads the server so that it crashes, and
-// known if in that case two thirds of the load came from edge nodes that knew of its start.
-func (b *Budget) Came(d *Desk, work float64, knew bool) (falls, known bool) {
+// Came records an attempt. overloaded is true if the attempt overloads the server, which then crashes, and
+// sendersKnew if in that case two thirds of the load came from edge nodes that knew of its start.
+func (b *Budget) Came(d *Desk, work float64, knewStart bool) (overloaded, sendersKnew bool) {
 	now := d.clock.Now()
 	if d.Start == 0 || b.rules.FallFor == 0 || d.WarmUpFraction() >= 1 {
 		return false, false
 	}
-	b.sent = append(b.sent, arrival{now, work, knew})
+	b.sent = append(b.sent, arrival{now, work, knewStart})
 	for len(b.sent) > 0 && now-b.sent[0].at > b.rules.FallFor.D() {
 		b.sent = b.sent[1:]
 	}
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -30,13 +30,13 @@
 	id          policy.RequestID
 	request     *clientRequest
 	node        *node
-	incarnation int // incarnation of the edge node's process
-	at          time.Duration
+	incarnation int // of the edge node's process
+	startedAt   time.Duration
 	deadline    time.Duration
 	answered    bool
 	attempts    int
-	inFlight    *attempt // in flight; nil: none
-	mayHaveRun  bool     // an attempt may have run
+	inFlight    *attempt // nil: none
+	mayHaveRun  bool
 	ranAt       time.Duration
 	ranZone     int
 	ranCell     int
@@ -46,42 +46,49 @@
 // formatID formats a request id as clients send it.
 func formatID(id policy.RequestID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
-func (w *clientRequest) classOf(s *Sim) *world.Class { return &s.world.Classes[w.class] }
+// classOf returns the class of the request.
+func (req *clientRequest) classOf(s *Sim) *world.Class { return &s.world.Classes[req.class] }
 
 // startRequest starts a new request of a client.
 func (s *Sim) startRequest(c *customer) {
-	w := &clientRequest{customer: c, class: s.world.ClassOf(s.clientRand), units: float64(1 + s.clientRand.IntN(max(1, s.world.Load.Units))), scheduled: s.now}
-	w.waitsUntil = s.now + w.classOf(s).Deadline.D()
+	req := &clientRequest{customer: c, class: s.world.ClassOf(s.clientRand),
+		units: float64(1 + s.clientRand.IntN(max(1, s.world.Load.Units))), scheduled: s.now}
+	req.waitsUntil = s.now + req.classOf(s).Deadline.D()
 	if s.clientRand.Float64() < s.world.Client.Leave {
-		w.waitsUntil = s.now + time.Duration((0.3+0.6*s.clientRand.Float64())*float64(w.classOf(s).Deadline))
+		req.waitsUntil = s.now +
+			time.Duration((0.3+0.6*s.clientRand.Float64())*float64(req.classOf(s).Deadline))
 	}
-	w.end = tally.End{Class: w.class, Plan: c.plan, Node: -1, Units: w.units, At: s.elapsed(), How: tally.Failed, Inside: c.account.Fits(w.units, s.now)}
+	req.end = tally.End{Class: req.class, Plan: c.plan, Node: -1, Units: req.units, At: s.elapsed(),
+		How: tally.Failed, Inside: c.account.Fits(req.units, s.now)}
 	s.openRequests++
 	if s.Trace != nil {
 		s.requestCount++
-		w.story = s.Trace.Begin(trace.Story{ID: fmt.Sprintf("w%07d", s.requestCount), Class: w.classOf(s).Name, Plan: s.world.Plans[c.plan].Name, Key: c.key,
-			Worth: s.Book.Worth(w.class, c.plan, w.units)})
+		req.story = s.Trace.Begin(trace.Story{ID: fmt.Sprintf("w%07d", s.requestCount),
+			Class: req.classOf(s).Name, Plan: s.world.Plans[c.plan].Name, Key: c.key,
+			Worth: s.Book.Worth(req.class, c.plan, req.units)})
 	}
-	s.addNote(w, -1, trace.Asked, "%s, %g units, waits %v", w.classOf(s).Name, w.units, w.waitsUntil-s.now)
-	s.startTry(w)
+	s.addNote(req, -1, trace.Asked, "%s, %g units, waits %v", req.classOf(s).Name, req.units,
+		req.waitsUntil-s.now)
+	s.startTry(req)
 }
 
 // startTry lets the front-end load balancer send a request to one of the customer's edge nodes that it
 // believes are up.
-func (s *Sim) startTry(w *clientRequest) {
-	up := make([]*node, 0, w.customer.spread)
-	for i := range w.customer.spread {
-		if n := s.nodes[(w.customer.first+i)%len(s.nodes)]; !n.outOfRotation {
+func (s *Sim) startTry(req *clientRequest) {
+	up := make([]*node, 0, req.customer.spread)
+	for i := range req.customer.spread {
+		if n := s.nodes[(req.customer.first+i)%len(s.nodes)]; !n.outOfRotation {
 			up = append(up, n)
 		}
 	}
-	if w.tries++; len(up) == 0 {
-		s.retryOrClose(w, tally.Failed, 0, true)
+	if req.tries++; len(up) == 0 {
+		s.retryOrClose(req, tally.Failed, 0, true)
 		return
 	}
 	n := up[s.clientRand.IntN(len(up))]
-	s.lastID++
-	t := &try{id: s.lastID, request: w, node: n, incarnation: n.incarnation, at: s.now, deadline: w.waitsUntil}
+	s.lastTryID++
+	t := &try{id: s.lastTryID, request: req, node: n, incarnation: n.incarnation, startedAt: s.now,
+		deadline: req.waitsUntil}
 	s.after(s.world.Net.Near.D(), func() { s.arrive(t) })
 }
 
@@ -95,15 +102,17 @@
 	}
 	t.incarnation = n.incarnation
 	n.openTries[t.id] = t
-	w := t.request
-	s.addNote(w, n.index, trace.Came, "as %s, try %d", formatID(t.id), w.tries)
+	req := t.request
+	s.addNote(req, n.index, trace.Came, "as %s, try %d", formatID(t.id), req.tries)
 	s.at(t.deadline, func() { s.expire(t) })
-	n.handle(policy.Request{ID: t.id, Customer: w.customer.key, Plan: s.world.Plans[w.customer.plan].Name, Class: w.classOf(s).Name, Units: w.units,
-		Remaining: t.deadline - s.now, First: w.customer.first, Spread: w.customer.spread, Retry: w.tries > 1})
+	n.handle(policy.Request{ID: t.id, Customer: req.customer.key,
+		Plan: s.world.Plans[req.customer.plan].Name, Class: req.classOf(s).Name, Units: req.units,
+		Remaining: t.deadline - s.now, First: req.customer.first, Spread: req.customer.spread,
+		Retry: req.tries > 1})
 }
 
 // expire handles the end of a client's wait. An attempt in flight times out. A request without an
-// answer at the end of the slack after the expire counts as lost.
+// answer at the end of the slack after the deadline counts as lost.
 func (s *Sim) expire(t *try) {
 	n := t.node
 	if t.answered || n.incarnation != t.incarnation || !n.up {
@@ -116,76 +125,83 @@
 		if t.answered || n.incarnation != t.incarnation || !n.up {
 			return
 		}
-		s.Book.Broken(tally.AnswerLost, formatID(t.id), n.index, s.elapsed(), "%s not answered %v after its client's deadline", t.request.classOf(s).Name, s.world.Rules.Slack.D())
+		s.Book.Broken(tally.AnswerLost, formatID(t.id), n.index, s.elapsed(),
+			"%s not answered %v after its client's deadline", t.request.classOf(s).Name,
+			s.world.Rules.Slack.D())
 		s.deliverAnswer(t, tally.Lost, 0)
 		n.handle(policy.ClientDisconnected{ID: t.id})
 	})
 }
 
-// deliverAnswer delivers the final deliverAnswer of an edge node to a try.
+// deliverAnswer delivers the final answer of an edge node to a try.
 func (s *Sim) deliverAnswer(t *try, how tally.How, retryAfter time.Duration) {
 	if t.answered {
-		s.Book.Broken(tally.AnswerTwice, formatID(t.id), t.node.index, s.elapsed(), "%v behind another answer", how)
+		s.Book.Broken(tally.AnswerTwice, formatID(t.id), t.node.index, s.elapsed(),
+			"%v behind another answer", how)
 		return
 	}
 	t.answered = true
 	delete(t.node.openTries, t.id)
-	w := t.request
-	w.end.Node = t.node.index
-	s.addNote(w, t.node.index, trace.Answered, "%v after %v", how, s.now-t.at)
+	req := t.request
+	req.end.Node = t.node.index
+	s.addNote(req, t.node.index, trace.Answered, "%v after %v", how, s.now-t.startedAt)
 	if how == tally.Refused || how == tally.Failed {
-		if t.mayHaveRun && how == tally.Refused && !w.classOf(s).MayRepeat() {
-			s.Book.Broken(tally.SecondCopy, formatID(t.id), t.node.index, s.elapsed(), "refused, but an attempt may have run")
+		if t.mayHaveRun && how == tally.Refused && !req.classOf(s).MayRepeat() {
+			s.Book.Broken(tally.SecondCopy, formatID(t.id), t.node.index, s.elapsed(),
+				"refused, but an attempt may have run")
 		}
-		w.end.HeldBack = t.attempts == 0 && s.now-t.at > (t.deadline-t.at)/2
+		req.end.HeldBack = t.attempts == 0 && s.now-t.startedAt > (t.deadline-t.startedAt)/2
 	}
-	s.after(s.world.Net.Near.D(), func() { s.retryOrClose(w, how, retryAfter, false) })
+	s.after(s.world.Net.Near.D(), func() { s.retryOrClose(req, how, retryAfter, false) })
 }
 
 // retryOrClose retries a request if the client may retry and has time left; otherwise it ends the request.
-func (s *Sim) retryOrClose(w *clientRequest, how tally.How, retryAfter time.Duration, notAccepted bool) {
-	if w.closed {
+func (s *Sim) retryOrClose(req *clientRequest, how tally.How, retryAfter time.Duration, notAccepted bool) {
+	if req.closed {
 		return
 	}
 	if how == tally.Served || how == tally.Late {
-		if s.now-w.scheduled > w.classOf(s).Aim.D() {
+		if s.now-req.scheduled > req.classOf(s).Aim.D() {
 			how = tally.Late
 		} else {
 			how = tally.Served
 		}
-		s.close(w, how)
+		s.close(req, how)
 		return
 	}
-	wait, retry := s.world.Again(s.clientRand, world.Retry{Class: w.classOf(s), Harmless: how == tally.Refused || notAccepted, MayRan: w.ranAt != 0,
-		RanSince: s.now - w.ranAt, Tries: w.tries, Advice: retryAfter, Left: w.waitsUntil - s.now, Eager: s.eagerness})
+	wait, retry := s.world.Again(s.clientRand,
+		world.Retry{Class: req.classOf(s), Harmless: how == tally.Refused || notAccepted,
+			MayRan: req.ranAt != 0, RanSince: s.now - req.ranAt, Tries: req.tries, Advice: retryAfter,
+			Left: req.waitsUntil - s.now, Eager: s.eagerness})
 	if !retry || how == tally.Lost {
-		s.close(w, how)
+		s.close(req, how)
 		return
 	}
-	s.after(wait, func() { s.startTry(w) })
+	s.after(wait, func() { s.startTry(req) })
 }
 
 // close ends a client's request.
-func (s *Sim) close(w *clientRequest, how tally.How) {
-	w.closed = true
+func (s *Sim) close(req *clientRequest, how tally.How) {
+	req.closed = true
 	s.openRequests--
-	w.end.How, w.end.Latency, w.end.Tries, w.end.Sends = how, s.now-w.scheduled, w.tries, w.attempts
-	s.Book.Close(w.end)
-	s.addNote(w, w.end.Node, trace.Ended, "%v after %v and %d tries", how, s.now-w.scheduled, w.tries)
-	if st := w.story; st != nil {
-		st.How, st.Inside = how.String(), w.end.Inside
-		if w.end.Inside && how != tally.Served {
+	req.end.How, req.end.Latency, req.end.Tries, req.end.Sends =
+		how, s.now-req.scheduled, req.tries, req.attempts
+	s.Book.Close(req.end)
+	s.addNote(req, req.end.Node, trace.Ended, "%v after %v and %d tries", how, s.now-req.scheduled, req.tries)
+	if st := req.story; st != nil {
+		st.How, st.Inside = how.String(), req.end.Inside
+		if req.end.Inside && how != tally.Served {
 			st.Lost = st.Worth
 			if how == tally.Late {
-				st.Lost *= 1 - w.classOf(s).Late
+				st.Lost *= 1 - req.classOf(s).Late
 			}
 		}
 	}
 }
 
 // addNote adds an entry to the trace of a request.
-func (s *Sim) addNote(w *clientRequest, node int, what trace.What, format string, args ...any) {
-	if w.story != nil {
-		s.Trace.Add(w.story, s.elapsed(), node, what, format, args...)
+func (s *Sim) addNote(req *clientRequest, node int, what trace.What, format string, args ...any) {
+	if req.story != nil {
+		s.Trace.Add(req.story, s.elapsed(), node, what, format, args...)
 	}
 }
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// handleListCall handles an edge node's handleListCall for the list and its changes.
+// handleListCall handles an edge node's call for the list and its changes.
 func (s *Sim) handleListCall(n *node) {
 	inc := n.incarnation
 	wait := time.Duration(0)
@@ -80,7 +80,7 @@
 	})
 }
 
-// receiveFullList sends the current list to an edge node.
+// receiveFullList delivers the current list to an edge node.
 func (n *node) receiveFullList() {
 	var list []policy.Server
 	for _, srv := range n.sim.servers {
@@ -97,7 +97,7 @@
 	n.receiveEntries(policy.FullList, list)
 }
 
-// receiveEntries sends server entries to an edge node and records what the node knows about them.
+// receiveEntries delivers server entries to an edge node and records what the node knows about them.
 func (n *node) receiveEntries(kind policy.UpdateKind, list []policy.Server) {
 	for _, e := range list {
 		if e.State != policy.Running {
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -10,7 +10,7 @@
 	"valvering.example/valvering/policy"
 )
 
-// oneWayLatency draws the one-oneWayLatency latency between two zones.
+// oneWayLatency draws the one-way latency between two zones.
 func (s *Sim) oneWayLatency(from, to int) time.Duration {
 	mean := s.world.Net.Near.D()
 	if from != to {
@@ -97,7 +97,7 @@
 	}
 }
 
-// returnAnswer delivers a server's answer to the edge node. The connection is reused if whole is true.
+// returnAnswer delivers a server's answer to the edge node. The connection is reused if reuse is true.
 func (s *Sim) returnAnswer(a *attempt, code policy.Code, reuse bool) {
 	srv, n := a.srv, a.try.node
 	s.after(s.oneWayLatency(srv.zone, n.zone), func() {
@@ -135,19 +135,23 @@
 	if code == policy.TimedOut && !a.received {
 		s.recordMayHaveRun(t, a) // the edge node can't rule it out
 	}
-	s.addNote(t.request, n.index, trace.Outcome, "attempt %d at server %d: %s after %v", a.number, a.srv.index, outcomeNames[code], s.now-a.sent)
+	s.addNote(t.request, n.index, trace.Outcome, "attempt %d at server %d: %s after %v", a.number,
+		a.srv.index, outcomeNames[code], s.now-a.sent)
 	if t.answered {
-		n.handle(policy.Outcome{ID: t.id, Attempt: a.number, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Answered: true})
+		n.handle(policy.Outcome{ID: t.id, Attempt: a.number, Server: a.srv.id, Code: code,
+			Latency: s.now - a.sent, Answered: true})
 		return
 	}
 	succeeded := code == policy.OK
 	if succeeded {
 		s.deliverAnswer(t, tally.Served, 0)
 	}
-	n.handle(policy.Outcome{ID: t.id, Attempt: a.number, Server: a.srv.id, Code: code, Latency: s.now - a.sent, Answered: succeeded})
+	n.handle(policy.Outcome{ID: t.id, Attempt: a.number, Server: a.srv.id, Code: code,
+		Latency: s.now - a.sent, Answered: succeeded})
 }
 
-var outcomeNames = [...]string{"ok", "error", "turned away", "timed out", "could not connect", "reset", "cancelled", "moot"}
+var outcomeNames = [...]string{"ok", "error", "turned away", "timed out", "could not connect", "reset",
+	"cancelled", "moot"}
 
 // recordMayHaveRun records that an attempt may have run.
 func (s *Sim) recordMayHaveRun(t *try, a *attempt) {
@@ -159,13 +163,13 @@
 	}
 }
 
-// countAttempt charges a try's units when its first attempt has arrived whole, and counts the attempt under the
-// cap.
+// countAttempt charges a try's units when its first attempt has arrived whole, and counts the attempt
+// under the cap.
 func (s *Sim) countAttempt(a *attempt) {
-	t, acc := a.try, a.try.request.customer.account
+	t, account := a.try, a.try.request.customer.account
 	if !t.charged {
 		t.charged = true
-		inside, over := acc.Send(t.request.units, s.now)
+		inside, over := account.Send(t.request.units, s.now)
 		s.Book.FirstSends++
 		if win := s.Book.Window(s.elapsed()); win != nil {
 			if win.Sent++; !inside {
@@ -176,11 +180,12 @@
 			s.Book.Beyond++
 			t.request.end.Beyond = true
 		}
-		if over > s.world.Rules.Tolerance && acc.Plan.HardRate > 0 {
-			s.Book.Broken(tally.Ceiling, formatID(t.id), t.node.index, s.elapsed(), "customer %s is %.2f units over its ceiling", t.request.customer.key, over)
+		if over > s.world.Rules.Tolerance && account.Plan.HardRate > 0 {
+			s.Book.Broken(tally.Ceiling, formatID(t.id), t.node.index, s.elapsed(),
+				"customer %s is %.2f units over its ceiling", t.request.customer.key, over)
 		}
 	}
-	acc.Out(1)
+	account.Out(1)
 	s.inFlight++
 	if win := s.Book.Window(s.elapsed()); win != nil {
 		win.Out = max(win.Out, s.inFlight)
@@ -195,7 +200,7 @@
 	}
 }
 
-const maxDatagramBytes = 256 // bytes of a datagram
+const maxDatagramBytes = 256
 
 // sendDatagram sends a datagram to one other edge node, or to all.
 func (n *node) sendDatagram(a policy.SendMessage, cause policy.Event) {
@@ -216,15 +221,17 @@
 // transmit puts a datagram on the network, which may lose, delay or duplicate it.
 func (s *Sim) transmit(from, to *node, data []byte) {
 	copies := 1
-	if s.world.Net.Duplicate > 0 && s.datagrams.Float64() < s.world.Net.Duplicate {
+	if s.world.Net.Duplicate > 0 && s.datagramRand.Float64() < s.world.Net.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		if s.datagrams.Float64() < s.datagramLoss || !s.reachable(from.zone, to.zone) || s.receivesNone[to.index] {
+		if s.datagramRand.Float64() < s.datagramLoss || !s.reachable(from.zone, to.zone) ||
+			s.receivesNone[to.index] {
 			s.Book.MailLost++
 			continue
 		}
-		s.after(s.world.Net.Peer.D()+exponential(s.datagrams, s.world.Net.PeerMore.D()), func() { to.receive(from.index, data) })
+		s.after(s.world.Net.Peer.D()+exponential(s.datagramRand, s.world.Net.PeerMore.D()),
+			func() { to.receive(from.index, data) })
 	}
 }
 
@@ -257,23 +264,25 @@
 	if !ok {
 		return
 	}
-	w := n.askedFor[m.Tag]
-	if r, came := cause.(policy.Request); came && n.openTries[r.ID] != nil {
-		w = n.openTries[r.ID].request
+	req := n.askedFor[m.Tag]
+	if r, isRequest := cause.(policy.Request); isRequest && n.openTries[r.ID] != nil {
+		req = n.openTries[r.ID].request
 	}
-	for _, id := range slices.Sorted(maps.Keys(n.openTries)) { // a repeat under another tag: match by deadline and units
-		if w != nil {
+	// A repeated ask has another tag: match it by deadline and units.
+	for _, id := range slices.Sorted(maps.Keys(n.openTries)) {
+		if req != nil {
 			break
 		}
 		t := n.openTries[id]
 		remaining := (t.deadline - n.sim.now).Milliseconds()
-		if d := remaining - m.Remaining.Milliseconds(); d >= -1 && d <= 1 && t.request.units == m.Units {
-			w = t.request
+		if difference := remaining - m.Remaining.Milliseconds(); difference >= -1 && difference <= 1 &&
+			t.request.units == m.Units {
+			req = t.request
 		}
 	}
-	if w != nil {
-		n.askedFor[m.Tag] = w
-		n.sim.addNote(w, n.index, trace.Askroot, "edge node %d", a.To)
+	if req != nil {
+		n.askedFor[m.Tag] = req
+		n.sim.addNote(req, n.index, trace.Askroot, "edge node %d", a.To)
 	}
 }
 
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -19,7 +19,7 @@
 	zone          int
 	rng           *rand.Rand
 	up            bool
-	incarnation   int  // incarnation of the process; increases when a process ends
+	incarnation   int  // of the process; increases when a process ends
 	outOfRotation bool // the front-end load balancer sends it no requests
 	shuttingDown  bool // a planned shutdown is in progress
 	decider       Decider
@@ -34,33 +34,35 @@
 	lastDelivery  time.Duration                     // last scheduled list delivery; keeps their order
 	watching      bool
 
-	datagramSecond int // the second that mailIn counts
+	datagramSecond int // the second that datagramsIn counts
 	datagramsIn    int
 	datagramPeak   int
-	askedFor       map[uint32]*clientRequest // requests by the tag of the ask for them; only if a trace is kept
+	askedFor       map[uint32]*clientRequest // requests by the tag of their ask; only for traces
 }
 
 // conn is an idle connection to a process of a server.
 type conn struct {
-	used        time.Duration
+	idleSince   time.Duration
 	incarnation int
 }
 
 // start starts the process: first with the list that it remembers, then with the whole current list.
 func (n *node) start() {
 	s := n.sim
-	dec, err := s.make(n.index, s.world, n.rng.Uint64(), &s.Truth)
+	decider, err := s.make(n.index, s.world, n.rng.Uint64(), &s.Truth)
 	if err != nil {
 		s.err = cmp.Or(s.err, err)
 		return
 	}
-	n.decider, n.up, n.shuttingDown, n.watching, n.lastDelivery = dec, true, false, false, s.now
+	n.decider, n.up, n.shuttingDown, n.watching, n.lastDelivery = decider, true, false, false, s.now
 	n.openTries, n.idleConns = map[policy.RequestID]*try{}, map[int][]conn{}
-	n.drainKnownAt, n.knownStarts, n.askedFor = map[policy.ServerID]time.Duration{}, map[policy.ServerID]time.Duration{}, map[uint32]*clientRequest{}
+	n.drainKnownAt, n.knownStarts, n.askedFor =
+		map[policy.ServerID]time.Duration{}, map[policy.ServerID]time.Duration{}, map[uint32]*clientRequest{}
 	if n.servers == nil {
 		n.servers = s.serverList()
 	}
-	n.receiveEntries(policy.StoredList, slices.SortedFunc(maps.Values(n.servers), func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) }))
+	n.receiveEntries(policy.StoredList, slices.SortedFunc(maps.Values(n.servers),
+		func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) }))
 	s.pushList(n)
 	inc := n.incarnation
 	s.after(readyDelay, func() { // the front-end load balancer adds the node
@@ -72,9 +74,9 @@
 
 // Times of an edge node's process, as measured on the real program.
 const (
-	readyDelay          = 20 * time.Millisecond // from the start until it gets requests
+	readyDelay          = 20 * time.Millisecond // from the start until the node gets requests
 	restartDelay        = 100 * time.Millisecond
-	acceptAfterShutdown = 550 * time.Millisecond // of a planned shutdown, during which requests still arrive
+	acceptAfterShutdown = 550 * time.Millisecond // of a planned shutdown, while requests still arrive
 	handOverTimeout     = time.Second            // limit for the hand-over at shutdown
 )
 
@@ -101,7 +103,7 @@
 	n.handling = false
 }
 
-// execute carries out an action; because is the event that led to it.
+// execute carries out an action; cause is the event that led to it.
 func (n *node) execute(a policy.Action, cause policy.Event) {
 	s := n.sim
 	switch a := a.(type) {
@@ -140,10 +142,12 @@
 	s := n.sim
 	t, srv := n.openTries[a.ID], s.byID[a.Server]
 	if t == nil || srv == nil {
-		s.after(0, func() { n.handle(policy.Outcome{ID: a.ID, Server: a.Server, Code: policy.NotSent, Answered: true}) })
+		s.after(0, func() {
+			n.handle(policy.Outcome{ID: a.ID, Server: a.Server, Code: policy.NotSent, Answered: true})
+		})
 		return
 	}
-	no := t.attempts
+	number := t.attempts
 	t.attempts++
 	t.request.attempts++
 	id := formatID(t.id)
@@ -153,7 +157,7 @@
 		s.Book.Broken(r, id, n.index, s.elapsed(), format, args...)
 	}
 	if t.inFlight != nil {
-		reportBreach(tally.Overlap, "attempt %d while attempt %d is out", no, t.inFlight.number)
+		reportBreach(tally.Overlap, "attempt %d while attempt %d is out", number, t.inFlight.number)
 	}
 	if t.attempts > s.world.Rules.Attempts {
 		reportBreach(tally.Attempts, "attempt %d of %d", t.attempts, s.world.Rules.Attempts)
@@ -163,20 +167,24 @@
 	case effect == policy.Unsafe:
 		reportBreach(tally.SecondCopy, "%s sent again though it may have run", class.Name)
 	case effect == policy.Keyed && s.now-t.ranAt > class.Window.D():
-		reportBreach(tally.SecondCopy, "%s sent again %v after the first, outside its window", class.Name, s.now-t.ranAt)
+		reportBreach(tally.SecondCopy, "%s sent again %v after the first, outside its window", class.Name,
+			s.now-t.ranAt)
 	case effect == policy.Keyed && (group == policy.GroupZone && srv.zone != t.ranZone || group == policy.GroupCell && srv.cell != t.ranCell):
 		reportBreach(tally.SecondCopy, "%s sent again outside its group", class.Name)
 	}
 	if knownAt, draining := n.drainKnownAt[srv.id]; draining && s.now-knownAt > s.world.Rules.Grace.D() {
-		reportBreach(tally.Drain, "sent to server %d, %v after it was told that this drains or is gone", srv.id, s.now-knownAt)
+		reportBreach(tally.Drain, "sent to server %d, %v after it was told that this drains or is gone",
+			srv.id, s.now-knownAt)
 	}
-	newAttempt := &attempt{try: t, number: no, srv: srv, incarnation: srv.incarnation, sent: s.now, until: t.deadline}
+	newAttempt := &attempt{try: t, number: number, srv: srv, incarnation: srv.incarnation, sent: s.now,
+		until: t.deadline}
 	if a.Timeout > 0 {
 		newAttempt.until = min(newAttempt.until, s.now+a.Timeout)
 	}
 	t.inFlight = newAttempt
 	s.Book.Sends++
-	s.addNote(t.request, n.index, trace.Sent, "attempt %d to server %d in %s", no, srv.index, zoneName(srv.zone))
+	s.addNote(t.request, n.index, trace.Sent, "attempt %d to server %d in %s", number, srv.index,
+		zoneName(srv.zone))
 	if newAttempt.until < t.deadline {
 		s.at(newAttempt.until, func() { s.endAttempt(newAttempt, policy.TimedOut, false) })
 	}
@@ -220,11 +228,11 @@
 		}
 		s.addNote(t.request, n.index, trace.Crashed, "")
 		t.request.end.Node = n.index
-		w := t.request
-		s.after(s.world.Net.Near.D(), func() { s.retryOrClose(w, tally.Failed, 0, false) })
+		req := t.request
+		s.after(s.world.Net.Near.D(), func() { s.retryOrClose(req, tally.Failed, 0, false) })
 	}
-	for no, list := range n.idleConns {
-		srv := s.servers[no]
+	for index, list := range n.idleConns {
+		srv := s.servers[index]
 		for _, c := range list {
 			if c.incarnation == srv.incarnation {
 				srv.conns--
@@ -250,15 +258,16 @@
 	n.sim.after(down, n.start)
 }
 
-// beginShutdown is a planned shutdown: the front-end load balancer is notified, open requests are answered, the
-// state that other nodes depend on is handed over, and then another process starts.
+// beginShutdown starts a planned shutdown: the front-end load balancer is notified, open requests are
+// answered, the state that other nodes depend on is handed over, and then another process starts.
 func (n *node) beginShutdown() {
 	if !n.up || n.shuttingDown {
 		return
 	}
 	s := n.sim
 	n.shuttingDown = true
-	s.after(200*time.Millisecond+time.Duration(n.rng.Int64N(int64(200*time.Millisecond))), func() { n.outOfRotation = true })
+	s.after(200*time.Millisecond+time.Duration(n.rng.Int64N(int64(200*time.Millisecond))),
+		func() { n.outOfRotation = true })
 	var finish func()
 	inc := n.incarnation
 	finish = func() {
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -11,7 +11,7 @@
 	"valvering.example/valvering/policy"
 )
 
-// server is a lending server.
+// server is a server of the emulated platform.
 type server struct {
 	sim          *Sim
 	index        int
@@ -20,7 +20,7 @@
 	cell         int
 	weight       float64 // as in the list
 	state        policy.State
-	incarnation  int     // incarnation of its process
+	incarnation  int     // of its process
 	crashed      bool    // no process: connections are refused
 	unresponsive bool    // answers nothing and accepts no connection
 	slowdown     float64 // factor on the duration of all work
@@ -42,7 +42,7 @@
 	try          *try
 	number       int
 	srv          *server
-	incarnation  int // incarnation of the server's process
+	incarnation  int // of the server's process
 	sent         time.Duration
 	until        time.Duration
 	newConn      bool // on a new connection
@@ -56,17 +56,18 @@
 
 // addServer adds a fully warm server. size is its capacity relative to the mean.
 func (s *Sim) addServer(zoneIndex int, size float64) *server {
-	no := len(s.servers)
-	srv := &server{sim: s, index: no, id: policy.ServerID(uint32(no+1) * 2654435761), zone: s.world.ZoneOf(zoneIndex), slowdown: 1, weight: size,
+	index := len(s.servers)
+	srv := &server{sim: s, index: index, id: policy.ServerID(uint32(index+1) * 2654435761),
+		zone: s.world.ZoneOf(zoneIndex), slowdown: 1, weight: size,
 		desk: lending.New(s, &s.world.Server, s.world.Cores()*size), budget: lending.NewBudget(s.world)}
-	srv.cell = srv.zone*1000 + no/4
+	srv.cell = srv.zone*1000 + index/4
 	srv.setSlowdown(1)
 	s.servers = append(s.servers, srv)
 	s.byID[srv.id] = srv
 	return srv
 }
 
-// listEntry returns the server's listEntry in the discovery list.
+// listEntry returns the server's entry in the discovery list.
 func (v *server) listEntry() policy.Server {
 	return policy.Server{ID: v.id, Zone: zoneName(v.zone), Cell: v.cell, State: v.state, HasStart: v.desk.Start > 0, Start: v.desk.Start, Weight: v.weight}
 }
@@ -85,7 +86,8 @@
 	a.received = true
 	s.countAttempt(a)
 	working, waiting := v.desk.Load()
-	s.addNote(a.try.request, a.try.node.index, trace.Arrived, "server %d: %d at work, %d waiting", v.index, working, waiting)
+	s.addNote(a.try.request, a.try.node.index, trace.Arrived, "server %d: %d at work, %d waiting", v.index,
+		working, waiting)
 	switch {
 	case v.crashed:
 		s.returnAnswer(a, policy.Reset, false)
@@ -142,12 +144,13 @@
 	if v.crashed {
 		return
 	}
-	falls, known := v.budget.Came(v.desk, work, a.try.node.knownStarts[v.id] == v.desk.Start)
-	if known {
-		v.sim.Book.Broken(tally.Cold, formatID(a.try.id), a.try.node.index, v.sim.elapsed(), "server %d pushed over %v after its start, at %.0f%% of its capacity", v.index,
+	overloaded, sendersKnew := v.budget.Came(v.desk, work, a.try.node.knownStarts[v.id] == v.desk.Start)
+	if sendersKnew {
+		v.sim.Book.Broken(tally.Cold, formatID(a.try.id), a.try.node.index, v.sim.elapsed(),
+			"server %d pushed over %v after its start, at %.0f%% of its capacity", v.index,
 			v.sim.now-v.desk.Start, 100*v.desk.WarmUpFraction())
 	}
-	if falls {
+	if overloaded {
 		v.crash()
 	}
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -49,7 +49,7 @@
 	Truth Truth
 	Check func() error // called once per simulated second; an error ends the run
 
-	workRand, netRand, datagrams, clientRand, faultRand *rand.Rand
+	workRand, netRand, datagramRand, clientRand, faultRand *rand.Rand
 
 	nodes        []*node
 	servers      []*server
@@ -57,7 +57,7 @@
 	customers    []*customer
 	population   *world.Drawn
 	inFlight     int // attempts in flight
-	lastID       policy.RequestID
+	lastTryID    policy.RequestID
 	requestCount int
 	openRequests int // client requests that have not ended
 	err          error
@@ -74,6 +74,7 @@
 	callsServedAt         time.Duration // when discovery has served all calls it has accepted
 }
 
+// customer is a customer with its true quota.
 type customer struct {
 	index   int
 	key     string
@@ -85,20 +86,25 @@
 
 // New creates a run of a world that has passed Check.
 func New(w *world.World, seed uint64, newDecider Maker) *Sim {
-	s := &Sim{world: w, seed: seed, make: newDecider, now: epoch, Book: tally.NewBook(w), byID: map[policy.ServerID]*server{}, datagramLoss: w.Net.Loss, sharedSlowdown: 1,
-		eagerness: 1, cutBoth: map[int]bool{}, cutOut: map[int]bool{}, receivesNone: map[int]bool{}, workRand: world.Stream(seed, world.StreamWork),
-		netRand: world.Stream(seed, world.StreamNet), datagrams: world.Stream(seed, world.StreamMail), clientRand: world.Stream(seed, world.StreamClients), faultRand: world.Stream(seed, world.StreamFaults)}
+	s := &Sim{world: w, seed: seed, make: newDecider, now: epoch, Book: tally.NewBook(w),
+		byID: map[policy.ServerID]*server{}, datagramLoss: w.Net.Loss, sharedSlowdown: 1,
+		eagerness: 1, cutBoth: map[int]bool{}, cutOut: map[int]bool{}, receivesNone: map[int]bool{},
+		workRand: world.Stream(seed, world.StreamWork),
+		netRand:  world.Stream(seed, world.StreamNet), datagramRand: world.Stream(seed, world.StreamMail),
+		clientRand: world.Stream(seed, world.StreamClients),
+		faultRand:  world.Stream(seed, world.StreamFaults)}
 	s.Truth.sim = s
 	s.population = w.Draw(seed)
 	for i, size := range s.population.Sizes {
 		s.addServer(i, size)
 	}
 	for i, p := range s.population.People {
-		s.customers = append(s.customers, &customer{index: i, key: p.Key, plan: p.Plan, first: p.First, spread: p.Spread,
-			account: tally.NewAccount(&w.Plans[p.Plan], s.now)})
+		s.customers = append(s.customers, &customer{index: i, key: p.Key, plan: p.Plan, first: p.First,
+			spread: p.Spread, account: tally.NewAccount(&w.Plans[p.Plan], s.now)})
 	}
 	for i := range w.Nodes {
-		s.nodes = append(s.nodes, &node{sim: s, index: i, zone: w.ZoneOf(i), rng: world.Stream(seed, world.StreamNodes+i)})
+		s.nodes = append(s.nodes, &node{sim: s, index: i, zone: w.ZoneOf(i),
+			rng: world.Stream(seed, world.StreamNodes+i)})
 	}
 	return s
 }
@@ -109,9 +115,10 @@
 	s.queue.push(event{max(t, s.now), s.seq, do})
 }
 
+// after schedules a call after d.
 func (s *Sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
 
-// elapsed returns the time elapsed the run began.
+// elapsed returns the time since the run began.
 func (s *Sim) elapsed() time.Duration { return s.now - epoch }
 
 // Run runs the simulation to its end. arrivals gives the times of new client requests since the start of
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// faulty is the module with a planted fault.
+// faulty is the module with a planted fault: alter changes the actions that it returns.
 type faulty struct {
 	sim.Decider
 	alter func(ev policy.Event, acts []policy.Action) []policy.Action
@@ -134,13 +134,13 @@
 			w.Faults[0].Size = 0.5
 			return w
 		}(), withFault(func() alterFunc {
-			once := map[policy.RequestID]bool{}
+			unrepeatable := map[policy.RequestID]bool{}
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if r, ok := ev.(policy.Request); ok {
-					once[r.ID] = r.Class == "perpanjang"
+					unrepeatable[r.ID] = r.Class == "perpanjang"
 				}
 				o, ok := ev.(policy.Outcome)
-				if !ok || !once[o.ID] || o.Code != policy.Reset || o.Answered {
+				if !ok || !unrepeatable[o.ID] || o.Code != policy.Reset || o.Answered {
 					return acts
 				}
 				acts = slices.DeleteFunc(acts, func(a policy.Action) bool {
@@ -155,60 +155,62 @@
 			w.Faults = []world.Fault{{Kind: "release", Start: world.Duration(time.Second), For: world.Duration(time.Second), Part: 0.5, Size: 1}}
 			return w
 		}(), withFault(func() alterFunc {
-			var first policy.ServerID
+			var draining policy.ServerID
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if m, ok := ev.(policy.ServerListUpdate); ok && m.Kind == policy.Changes {
 					for _, s := range m.Servers {
 						if s.State == policy.Draining {
-							first = s.ID
+							draining = s.ID
 						}
 					}
 				}
 				for i, a := range acts {
-					if s, ok := a.(policy.Send); ok && first != 0 {
-						s.Server = first
+					if s, ok := a.(policy.Send); ok && draining != 0 {
+						s.Server = draining
 						acts[i] = s
 					}
 				}
 				return acts
 			}
 		})},
-		{"loses one refusal in a hundred", tally.AnswerLost, smallWorld(t, 6, 6, 8*time.Second, "burst"), withFault(func() alterFunc {
-			n := 0
-			return func(_ policy.Event, acts []policy.Action) []policy.Action {
-				return slices.DeleteFunc(acts, func(a policy.Action) bool {
-					if _, ok := a.(policy.Refuse); ok {
-						n++
-						return n%100 == 0
-					}
-					return false
-				})
-			}
-		})},
-		{"has two attempts in flight at once", tally.Overlap, smallWorld(t, 4, 6, 2*time.Second, ""), withFault(func() alterFunc {
-			return func(ev policy.Event, acts []policy.Action) []policy.Action {
-				if r, ok := ev.(policy.Request); ok {
-					for _, a := range acts {
-						if s, ok := a.(policy.Send); ok && s.ID == r.ID {
-							return append(acts, s)
+		{"loses one refusal in a hundred", tally.AnswerLost, smallWorld(t, 6, 6, 8*time.Second, "burst"),
+			withFault(func() alterFunc {
+				refusals := 0
+				return func(_ policy.Event, acts []policy.Action) []policy.Action {
+					return slices.DeleteFunc(acts, func(a policy.Action) bool {
+						if _, ok := a.(policy.Refuse); ok {
+							refusals++
+							return refusals%100 == 0
+						}
+						return false
+					})
+				}
+			})},
+		{"has two attempts in flight at once", tally.Overlap, smallWorld(t, 4, 6, 2*time.Second, ""),
+			withFault(func() alterFunc {
+				return func(ev policy.Event, acts []policy.Action) []policy.Action {
+					if r, ok := ev.(policy.Request); ok {
+						for _, a := range acts {
+							if s, ok := a.(policy.Send); ok && s.ID == r.ID {
+								return append(acts, s)
+							}
 						}
 					}
+					return acts
 				}
-				return acts
-			}
-		})},
+			})},
 		{"never gives up", tally.Attempts, func() *world.World {
 			w := smallWorld(t, 4, 4, 5*time.Second, "server-wrong")
 			w.Faults[0].Part, w.Faults[0].Size = 1, 1
 			return w
 		}(), withFault(func() alterFunc {
-			safe := map[policy.RequestID]bool{}
+			repeatable := map[policy.RequestID]bool{}
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if r, ok := ev.(policy.Request); ok {
-					safe[r.ID] = r.Class == "katalog"
+					repeatable[r.ID] = r.Class == "katalog"
 				}
 				o, ok := ev.(policy.Outcome)
-				if !ok || !safe[o.ID] || o.Answered || o.Code != policy.Error {
+				if !ok || !repeatable[o.ID] || o.Answered || o.Code != policy.Error {
 					return acts
 				}
 				acts = slices.DeleteFunc(acts, func(a policy.Action) bool {
@@ -241,35 +243,37 @@
 			w.Faults = []world.Fault{{Kind: "cold-bulk", Start: world.Duration(time.Second), For: world.Duration(time.Second), Part: 0.2, Size: 1}}
 			return w
 		}(), withFault(func() alterFunc {
-			var last policy.Server
+			var newest policy.Server
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if m, ok := ev.(policy.ServerListUpdate); ok {
 					for _, s := range m.Servers {
-						if s.HasStart && (s.Start > last.Start || s.Start == last.Start && s.ID < last.ID) {
-							last = s
+						if s.HasStart && (s.Start > newest.Start ||
+							s.Start == newest.Start && s.ID < newest.ID) {
+							newest = s
 						}
 					}
 				}
 				for i, a := range acts {
-					if s, ok := a.(policy.Send); ok && last.HasStart {
-						s.Server = last.ID
+					if s, ok := a.(policy.Send); ok && newest.HasStart {
+						s.Server = newest.ID
 						acts[i] = s
 					}
 				}
 				return acts
 			}
 		})},
-		{"sends long datagrams", tally.Datagram, smallWorld(t, 4, 4, 2*time.Second, ""), withFault(func() alterFunc {
-			return func(_ policy.Event, acts []policy.Action) []policy.Action {
-				for i, a := range acts {
-					if m, ok := a.(policy.SendMessage); ok {
-						m.Data = make([]byte, 257)
-						acts[i] = m
+		{"sends long datagrams", tally.Datagram, smallWorld(t, 4, 4, 2*time.Second, ""),
+			withFault(func() alterFunc {
+				return func(_ policy.Event, acts []policy.Action) []policy.Action {
+					for i, a := range acts {
+						if m, ok := a.(policy.SendMessage); ok {
+							m.Data = make([]byte, 257)
+							acts[i] = m
+						}
 					}
+					return acts
 				}
-				return acts
-			}
-		})},
+			})},
 	} {
 		if r := runSim(t, c.w, 1, c.mk); r.Rules[c.rule] == 0 {
 			t.Errorf("%s: breach not reported, rules %v", c.name, r.Rules)
@@ -296,7 +300,8 @@
 	if scores["module"] <= scores["all"] || scores["oracle"] <= scores["all"] {
 		t.Errorf("%v", scores)
 	}
-	if calm, cut := runSim(t, smallWorld(t, 60, 30, 6*time.Second, ""), 3, sim.Module), runSim(t, smallWorld(t, 60, 30, 6*time.Second, "zone-cut"), 3, sim.Module); calm.Worth <= cut.Worth {
+	if calm, cut := runSim(t, smallWorld(t, 60, 30, 6*time.Second, ""), 3, sim.Module),
+		runSim(t, smallWorld(t, 60, 30, 6*time.Second, "zone-cut"), 3, sim.Module); calm.Worth <= cut.Worth {
 		t.Errorf("calm %.3f, with a cut %.3f", calm.Worth, cut.Worth)
 	}
 }
--- a/internal/lab/stats/stats.go
+++ b/internal/lab/stats/stats.go
@@ -69,6 +69,7 @@
 		sample[i] = Median(y) - Median(x)
 	}
 	slices.Sort(sample)
-	d.Low, d.High = stat.Quantile(tailFraction, stat.Empirical, sample, nil), stat.Quantile(1-tailFraction, stat.Empirical, sample, nil)
+	d.Low, d.High = stat.Quantile(tailFraction, stat.Empirical, sample, nil), stat.Quantile(1-tailFraction,
+		stat.Empirical, sample, nil)
 	return d
 }
--- a/internal/lab/stats/stats_test.go
+++ b/internal/lab/stats/stats_test.go
@@ -27,7 +27,8 @@
 		}
 	}
 	if containing < experiments*85/100 || significant > experiments*15/100 {
-		t.Errorf("of %d experiments, %d intervals contain the difference, %d report one that does not exist", experiments, containing, significant)
+		t.Errorf("of %d experiments, %d intervals contain the difference, %d report one that does not exist",
+			experiments, containing, significant)
 	}
 	if d := Paired([]float64{1, 2}, []float64{3, 4}); d.Seen() || d.Diff != 2 {
 		t.Errorf("two pairs: %+v", d)
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -257,7 +257,8 @@
 			return nil, err
 		}
 		var l Line
-		if err := json.Unmarshal(line, &l); err != nil || len(line) > maxLineBytes || l.Result == nil && l.Error == "" {
+		if err := json.Unmarshal(line, &l); err != nil || len(line) > maxLineBytes || l.Result == nil &&
+			l.Error == "" {
 			return nil, fmt.Errorf("%s, line %d: not a result of a run", filepath.Join(dir, runsFile), no)
 		}
 		f.Lines = append(f.Lines, l)
--- a/internal/lab/tally/book.go
+++ b/internal/lab/tally/book.go
@@ -127,7 +127,8 @@
 
 // NewBook returns an empty book for a run of a world.
 func NewBook(w *world.World) *Book {
-	b := &Book{w: w, windows: make([]Window, int(math.Ceil(w.For.D().Seconds()))), digest: xxhash.New(), nodeCounts: make([]NodeCounts, w.Nodes)}
+	b := &Book{w: w, windows: make([]Window, int(math.Ceil(w.For.D().Seconds()))), digest: xxhash.New(),
+		nodeCounts: make([]NodeCounts, w.Nodes)}
 	for i := range b.windows {
 		b.windows[i].Second = i
 	}
@@ -253,7 +254,7 @@
 	Beyond   float64            `json:"beyond"`                 // share of first attempts beyond quota or cap
 	Sends    float64            `json:"sends"`                  // attempts per request
 	Mail     float64            `json:"mail"`                   // datagrams received per edge node and second
-	MailPeak int                `json:"mailpeak"`               // maximum datagrams at one edge node in a second
+	MailPeak int                `json:"mailpeak"`               // maximum per second at one edge node
 	MailLost float64            `json:"maillost"`               // share of datagrams that were lost
 	Rude     int                `json:"rude,omitempty"`         // clients that sent unreadable requests
 	Ignored  int                `json:"rude_ignored,omitempty"` // those that got no error or close in time
@@ -278,7 +279,7 @@
 		b.Broken(Quota, "-", -1, b.w.For.D(), "%d of %d first sends beyond quota or cap, over %g of them", b.Beyond, b.FirstSends, b.w.Rules.Beyond)
 	}
 	r := &Result{Seed: seed, Nodes: b.w.Nodes, Servers: b.w.Servers, Unsound: b.Unsound, Rules: map[Rule]int{}}
-	worst := func(list []Counts) float64 {
+	lowestShare := func(list []Counts) float64 {
 		low := 1.0
 		for i := range list {
 			if list[i].Asked > 0 {
@@ -290,7 +291,8 @@
 	for i := range b.classes {
 		p := &b.classes[i]
 		p.Share = share(p)
-		p.P50, p.P99, p.P999 = quantile(b.latencies[i], 50), quantile(b.latencies[i], 99), quantile(b.latencies[i], 99.9)
+		p.P50, p.P99, p.P999 =
+			quantile(b.latencies[i], 50), quantile(b.latencies[i], 99), quantile(b.latencies[i], 99.9)
 		p.Latencies = encode(b.latencies[i])
 	}
 	for i := range b.plans {
@@ -300,7 +302,8 @@
 		w := &b.windows[i]
 		w.P50, w.P99 = quantileOf(w.latencies, 0.5), quantileOf(w.latencies, 0.99)
 	}
-	r.Goals = map[string]float64{"whole": share(&b.all), "worst_window": b.worstWindow(), "worst_plan": worst(b.plans), "worst_class": worst(b.classes)}
+	r.Goals = map[string]float64{"whole": share(&b.all), "worst_window": b.worstWindow(),
+		"worst_plan": lowestShare(b.plans), "worst_class": lowestShare(b.classes)}
 	c := b.w.Charges
 	r.Charges = map[string]float64{
 		"waste":      c.Waste * b.Wasted / max(b.Worked, 1e-9),
@@ -311,7 +314,8 @@
 		"held_back":  c.HeldBack * b.heldBackValue / max(b.all.Asked, 1e-9),
 		"rude":       c.Rude * float64(b.RudeIgnored) / float64(max(1, b.Rude)),
 	}
-	r.Worth = goalWhole*r.Goals["whole"] + goalWindow*r.Goals["worst_window"] + goalPlan*r.Goals["worst_plan"] + goalClass*r.Goals["worst_class"]
+	r.Worth = goalWhole*r.Goals["whole"] + goalWindow*r.Goals["worst_window"] +
+		goalPlan*r.Goals["worst_plan"] + goalClass*r.Goals["worst_class"]
 	for _, name := range []string{"waste", "handshake", "peer", "late_fail", "over_quota", "held_back", "rude"} {
 		r.Worth -= r.Charges[name]
 	}
--- a/internal/lab/tally/merge_test.go
+++ b/internal/lab/tally/merge_test.go
@@ -36,7 +36,8 @@
 		}
 	}
 	for _, bad := range []string{"x", "SElTVEZBQUFB", want.Classes[0].Latencies[:40]} {
-		if _, err := Merge([]*Result{{Seed: 4, Classes: []Counts{{Name: "katalog", Latencies: bad}}}}); err == nil {
+		if _, err := Merge([]*Result{{Seed: 4,
+			Classes: []Counts{{Name: "katalog", Latencies: bad}}}}); err == nil {
 			t.Errorf("%q passed", bad)
 		}
 	}
@@ -49,7 +50,8 @@
 	f.Add(b.Result(1).Classes[0].Latencies)
 	f.Add("")
 	f.Fuzz(func(t *testing.T, text string) {
-		if list, err := Merge([]*Result{{Classes: []Counts{{Name: "a", Latencies: text}}}}); err == nil && len(list) > 1 {
+		if list, err := Merge([]*Result{{Classes: []Counts{{Name: "a", Latencies: text}}}}); err == nil &&
+			len(list) > 1 {
 			t.Errorf("%v", list)
 		}
 	})
--- a/internal/lab/tally/quota.go
+++ b/internal/lab/tally/quota.go
@@ -73,6 +73,7 @@
 // Room reports whether a try of the given units would lie within quota, cap and ceiling now.
 func (a *Account) Room(units float64, now time.Duration) bool {
 	a.advance(now)
-	return (a.Plan.Rate == 0 || a.tokens >= units) && (a.Plan.Parallel == 0 || a.inFlight < a.Plan.Parallel) &&
+	return (a.Plan.Rate == 0 || a.tokens >= units) &&
+		(a.Plan.Parallel == 0 || a.inFlight < a.Plan.Parallel) &&
 		(a.Plan.HardRate == 0 || a.ceilingTokens >= units)
 }
--- a/internal/lab/tally/rules.go
+++ b/internal/lab/tally/rules.go
@@ -50,7 +50,8 @@
 }
 
 // Broken records a breach.
-func (r *BreachLog) Broken(rule Rule, request string, node int, at time.Duration, format string, args ...any) {
+func (r *BreachLog) Broken(rule Rule, request string, node int, at time.Duration, format string,
+	args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.counts == nil {
--- a/internal/lab/world/draw.go
+++ b/internal/lab/world/draw.go
@@ -74,7 +74,8 @@
 
 // Anyone draws a customer, weighted by demand.
 func (d *Drawn) Anyone(rng *rand.Rand) int {
-	return min(sort.SearchFloat64s(d.cumulativeDemand, rng.Float64()*d.cumulativeDemand[len(d.cumulativeDemand)-1]), len(d.cumulativeDemand)-1)
+	return min(sort.SearchFloat64s(d.cumulativeDemand,
+		rng.Float64()*d.cumulativeDemand[len(d.cumulativeDemand)-1]), len(d.cumulativeDemand)-1)
 }
 
 // Share returns the fraction of all demand that comes from the listed customers.
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -67,12 +67,17 @@
 
 // Days holds named combinations of faults: the days that the platform defines, and calm.
 var Days = map[string][]Fault{
-	"calm":  {newFault("burst", 10, 5, 1, 1.5)},
-	"roll":  {newFault("roll", 2.5, 16, 0.1, 1), newFault("release", 3.5, 11, 0.5, 10)},
-	"herd":  {newFault("release", 4, 10, 0.5, 8), newFault("crash-wave", 10, 1, 0.7, 2), newFault("server-wrong", 6, 16, 0.125, 0.7)},
-	"zone":  {newFault("zone-loss", 6, 5, 1, 1), newFault("zone-cut", 16, 5, 1, 1), newFault("server-slow", 4, 18, 0.125, 3)},
-	"split": {newFault("zone-cut", 8, 6, 1, 1), newFault("peers-deaf", 8, 6, 1, 1), newFault("discovery-late", 6, 12, 1, 3), newFault("answers-lost", 6, 10, 1, 0.03), newFault("resets", 6, 10, 1, 0.02)},
-	"join":  {newFault("server-replace", 6, 7, 0.6, 1), newFault("server-spoilt", 4, 18, 0.2, 0.1), newFault("eager-clients", 6, 14, 1, 2)},
+	"calm": {newFault("burst", 10, 5, 1, 1.5)},
+	"roll": {newFault("roll", 2.5, 16, 0.1, 1), newFault("release", 3.5, 11, 0.5, 10)},
+	"herd": {newFault("release", 4, 10, 0.5, 8), newFault("crash-wave", 10, 1, 0.7, 2),
+		newFault("server-wrong", 6, 16, 0.125, 0.7)},
+	"zone": {newFault("zone-loss", 6, 5, 1, 1), newFault("zone-cut", 16, 5, 1, 1),
+		newFault("server-slow", 4, 18, 0.125, 3)},
+	"split": {newFault("zone-cut", 8, 6, 1, 1), newFault("peers-deaf", 8, 6, 1, 1),
+		newFault("discovery-late", 6, 12, 1, 3), newFault("answers-lost", 6, 10, 1, 0.03),
+		newFault("resets", 6, 10, 1, 0.02)},
+	"join": {newFault("server-replace", 6, 7, 0.6, 1), newFault("server-spoilt", 4, 18, 0.2, 0.1),
+		newFault("eager-clients", 6, 14, 1, 2)},
 }
 
 func newFault(kind string, start, length, part, size float64) Fault {
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -273,26 +273,34 @@
 		}
 	}
 	share := func(v float64, field string) { require(v >= 0 && v <= 1, field, "%g is not from 0 to 1", v) }
-	positive := func(v float64, field string) { require(v > 0 && !math.IsInf(v, 0), field, "%g is not above 0", v) }
+	positive := func(v float64, field string) {
+		require(v > 0 && !math.IsInf(v, 0), field, "%g is not above 0", v)
+	}
 	duration := func(d Duration, field string, minimum time.Duration) {
-		require(d.D() >= minimum && d.D() <= maxDuration, field, "%v is not from %v to %v", d.D(), minimum, maxDuration)
+		require(d.D() >= minimum && d.D() <= maxDuration, field, "%v is not from %v to %v", d.D(), minimum,
+			maxDuration)
 	}
 	require(w.Nodes >= 1 && w.Nodes <= MostNodes, "nodes", "%d is not from 1 to %d", w.Nodes, MostNodes)
-	require(w.Servers >= 1 && w.Servers <= MostServers, "servers", "%d is not from 1 to %d", w.Servers, MostServers)
+	require(w.Servers >= 1 && w.Servers <= MostServers, "servers", "%d is not from 1 to %d", w.Servers,
+		MostServers)
 	require(w.Zones >= 1 && w.Zones <= maxZones, "zones", "%d is not from 1 to %d", w.Zones, maxZones)
 	duration(w.For, "for", 100*time.Millisecond)
 	require(w.Warm >= 0 && w.Warm < w.For, "warm", "%v is not from 0 to below for", w.Warm.D())
-	require(w.Load.Rate > 0 && w.Load.Rate <= maxRate, "load.rate", "%g is not above 0 and up to %d", w.Load.Rate, maxRate)
-	require(slices.Contains(shapes, w.Load.Shape), "load.shape", "%q is not one of %s", w.Load.Shape, strings.Join(shapes, ", "))
+	require(w.Load.Rate > 0 && w.Load.Rate <= maxRate, "load.rate", "%g is not above 0 and up to %d",
+		w.Load.Rate, maxRate)
+	require(slices.Contains(shapes, w.Load.Shape), "load.shape", "%q is not one of %s", w.Load.Shape,
+		strings.Join(shapes, ", "))
 	require(w.Load.Shape != "trace" || w.Load.Trace != "", "load.trace", "empty, but the shape is trace")
 	share(w.Load.Swing, "load.swing")
 	duration(w.Load.Period, "load.period", time.Millisecond)
-	require(w.Load.Customers >= 1 && w.Load.Customers <= maxCustomers, "load.customers", "%d is not from 1 to %d", w.Load.Customers, maxCustomers)
+	require(w.Load.Customers >= 1 && w.Load.Customers <= maxCustomers, "load.customers",
+		"%d is not from 1 to %d", w.Load.Customers, maxCustomers)
 	require(w.Load.Spread >= 1, "load.spread", "%d is below 1", w.Load.Spread)
 	require(w.Load.Skew >= 0 && w.Load.Skew <= 3, "load.skew", "%g is not from 0 to 3", w.Load.Skew)
 	require(w.Load.Uneven >= 0 && w.Load.Uneven <= 2, "load.uneven", "%g is not from 0 to 2", w.Load.Uneven)
 	require(w.Load.Units >= 1 && w.Load.Units <= 1000, "load.units", "%d is not from 1 to 1000", w.Load.Units)
-	require(w.Client.Tries >= 1 && w.Client.Tries <= 20, "client.tries", "%d is not from 1 to 20", w.Client.Tries)
+	require(w.Client.Tries >= 1 && w.Client.Tries <= 20, "client.tries", "%d is not from 1 to 20",
+		w.Client.Tries)
 	share(w.Client.Heed, "client.heed")
 	share(w.Client.Leave, "client.leave")
 	duration(w.Client.Backoff, "client.backoff", time.Millisecond)
@@ -316,17 +324,22 @@
 	for i, p := range w.Plans {
 		at := fmt.Sprintf("plan[%d].", i)
 		require(p.Name != "", at+"name", "empty")
-		require(p.Part >= 0 && p.Rate >= 0 && p.Store >= 0 && p.Parallel >= 0 && p.HardRate >= 0 && p.HardSize >= 0 && p.Asks >= 0 &&
+		require(p.Part >= 0 && p.Rate >= 0 && p.Store >= 0 && p.Parallel >= 0 && p.HardRate >= 0 &&
+			p.HardSize >= 0 && p.Asks >= 0 &&
 			p.Earns >= 0 && p.Costs >= 0, at+"part", "a figure of the plan is negative")
 		require(p.Rate == 0 || p.Store > 0, at+"store", "not above 0, but the plan has a rate")
 		positive(p.Price, at+"price")
 	}
 	positive(w.Server.Load, "server.load")
-	require(w.Server.Slots >= 1 && w.Server.Slots <= 10_000, "server.slots", "%d is not from 1 to 10000", w.Server.Slots)
-	require(w.Server.Queue >= 0 && w.Server.Queue <= 100_000, "server.queue", "%d is not from 0 to 100000", w.Server.Queue)
-	require(w.Server.Spread >= 0 && w.Server.Spread <= 3, "server.spread", "%g is not from 0 to 3", w.Server.Spread)
+	require(w.Server.Slots >= 1 && w.Server.Slots <= 10_000, "server.slots", "%d is not from 1 to 10000",
+		w.Server.Slots)
+	require(w.Server.Queue >= 0 && w.Server.Queue <= 100_000, "server.queue", "%d is not from 0 to 100000",
+		w.Server.Queue)
+	require(w.Server.Spread >= 0 && w.Server.Spread <= 3, "server.spread", "%g is not from 0 to 3",
+		w.Server.Spread)
 	share(w.Server.Thrash, "server.thrash")
-	require(w.Server.Unequal >= 0 && w.Server.Unequal <= 1, "server.unequal", "%g is not from 0 to 1", w.Server.Unequal)
+	require(w.Server.Unequal >= 0 && w.Server.Unequal <= 1, "server.unequal", "%g is not from 0 to 1",
+		w.Server.Unequal)
 	require(w.Server.Connections >= 1, "server.connections", "%d is below 1", w.Server.Connections)
 	duration(w.Server.Idle, "server.idle", time.Millisecond)
 	share(w.Server.ColdShare, "server.cold_share")
@@ -335,7 +348,8 @@
 	share(w.Net.Duplicate, "net.duplicate")
 	positive(w.Net.Mail, "net.mail")
 	duration(w.Net.Dial, "net.dial", time.Millisecond)
-	require(w.Net.Near >= 0 && w.Net.Far >= 0 && w.Net.Peer >= 0 && w.Net.PeerMore >= 0, "net.near", "a time of the network is negative")
+	require(w.Net.Near >= 0 && w.Net.Far >= 0 && w.Net.Peer >= 0 && w.Net.PeerMore >= 0, "net.near",
+		"a time of the network is negative")
 	duration(w.Rules.Tick, "rules.tick", 100*time.Microsecond)
 	require(w.Rules.Attempts >= 1, "rules.attempts", "%d is below 1", w.Rules.Attempts)
 	share(w.Rules.Beyond, "rules.beyond")
