--- a/internal/lab/lending/lending.go
+++ b/internal/lab/lending/lending.go
@@ -76,11 +76,11 @@
 	if n == 0 {
 		return 0
 	}
-	speed := min(1, d.Cores/n)
+	perJob := min(1, d.Cores/n)
 	if over := n - d.Cores; over > 0 {
-		speed /= 1 + d.settings.Thrash*over
+		perJob /= 1 + d.settings.Thrash*over
 	}
-	return speed * d.WarmUpFraction() / d.slowdown
+	return perJob * d.WarmUpFraction() / d.slowdown
 }
 
 // advance accounts for the work done up to now.
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -117,7 +117,7 @@
 			w.Plans[0].Parallel = 4
 			w.SetRate(400)
 			w.Load.Customers, w.Load.Spread = 2, 2 // without a cap each has about eight in flight
-			w.Rules.Beyond = 0.5                   // reports carry means; some requests exceed a small cap
+			w.Rules.Beyond = 0.5                   // by design a few exceed a small cap: reports carry means
 			return w
 		}(), func(me int, w *world.World, seed uint64, truth *sim.Truth) (sim.Decider, error) {
 			s, err := w.Settings(me)
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -61,7 +61,7 @@
 	Stories   []*Story
 	Most      int // maximum number of notes
 	noteCount int
-	Dropped   int // notes and stories beyond Most
+	Dropped   int // notes and stories dropped because the log was full
 }
 
 // Begin starts the story of a request. It returns nil for a nil log or a full one.
