--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -75,7 +75,7 @@
 	config := map[string]any{
 		"name": fmt.Sprintf("n%d", n.no), "listen": n.addr, "discovery": n.agent.addr(), "seed": fmt.Sprintf("%016x", f.Seed<<20+uint64(n.no)<<8+uint64(n.inc)),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 256, "sockets": 2048}, "peer_listen": n.addr, "peers": f.relay.addrs,
-		"peers_all": f.relay.all, "known": known, "settings": f.w.NestedSettings(n.no),
+		"peers_all": f.relay.all, "known": known, "settings": f.w.Facts(n.no),
 	}
 	data, err := json.Marshal(config)
 	if err != nil {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -45,7 +45,7 @@
 
 // start starts the program.
 func (p *process) start(f *fleet, known any) error {
-	settings := f.world.NestedSettings(p.no)
+	settings := f.world.Facts(p.no)
 	config := map[string]any{
 		"name": fmt.Sprintf("n%d", p.no), "listen": p.at.String(), "discovery": p.discovery, "seed": fmt.Sprintf("%016x", f.Seed<<20+uint64(p.no)),
 		"limits":      map[string]any{"cores": 1.0, "memory_mb": toldMemoryMB, "sockets": toldSockets},
