--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -1,7 +1,6 @@
-// Package sim plays a world in simulated time: one deciding module for each edge node,
-// nothing shared between them, and round them clients, the front, the network, lending
-// servers and discovery as models. Equal worlds and seeds give equal results to the
-// byte. A run takes one goroutine; runs share nothing.
+// Package sim runs a world in simulated time. Each edge node has its own decision module, with no shared
+// state between them. Clients, the front-end load balancer, the network, servers and discovery are models.
+// Equal worlds and seeds give byte-identical results. A run uses one goroutine, and runs share nothing.
 package sim
 
 import (
@@ -16,16 +15,16 @@
 	"valvering.example/valvering/policy"
 )
 
-// Decider decides for one edge node, as policy.Gateway does.
+// Decider makes the decisions of one edge node, as policy.Gateway does.
 type Decider interface {
 	Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action
 }
 
-// Maker makes the decider of an edge node's process. truth is for policies that no
-// real one can be; the module is not given it.
+// Maker creates the decider of an edge node's process. truth is for baselines that use knowledge which no
+// real edge node has; the module doesn't get it.
 type Maker func(me int, w *world.World, seed uint64, truth *Truth) (Decider, error)
 
-// Module makes the project's own module.
+// Module creates the project's own decision module.
 func Module(me int, w *world.World, seed uint64, _ *Truth) (Decider, error) {
 	s, err := w.Settings(me)
 	if err != nil {
@@ -34,49 +33,50 @@
 	return policy.New(s, seed)
 }
 
-// epoch is when the clock of a run begins: start times before it must not be negative.
+// epoch is the clock time at which a run begins, so that start times before it are not negative.
 const epoch = time.Hour
 
 // Sim is one run.
 type Sim struct {
-	w     *world.World
+	world *world.World
 	seed  uint64
 	make  Maker
 	now   time.Duration
 	queue queue
 	seq   uint64
 	Book  *tally.Book
-	Trace *trace.Log // nil: none is kept
+	Trace *trace.Log // nil: no trace is kept
 	Truth Truth
-	Check func() error // asked now and then; an error ends the run
-
-	work, net, mail, clients, faults *rand.Rand
-
-	nodes     []*node
-	servers   []*server
-	byID      map[policy.ServerID]*server
-	customers []*customer
-	drawn     *world.Drawn
-	out       int // attempts out
-	nextID    policy.RequestID
-	nextWant  int
-	open      int // requests of clients that have not ended
-	err       error
-
-	// Troubles in force.
-	cutBoth, cutOut map[int]bool // zones
-	deaf            map[int]bool // edge nodes
-	loss            float64
-	lost, reset     float64 // of answers, of connections
-	shared          float64 // slowness of all servers
-	late            time.Duration
-	down            time.Duration // discovery is silent until then
-	eager           float64
-	callAt          time.Duration // when discovery has served the calls it has
+	Check func() error // called once per simulated second; an error ends the run
+
+	workRand, netRand, datagramRand, clientRand, faultRand *rand.Rand
+
+	nodes        []*node
+	servers      []*server
+	byID         map[policy.ServerID]*server
+	customers    []*customer
+	population   *world.Drawn
+	inFlight     int // attempts in flight
+	lastTryID    policy.RequestID
+	requestCount int
+	openRequests int // client requests that have not ended
+	err          error
+
+	// Effects of the active faults.
+	cutBoth, cutOut       map[int]bool // zones
+	receivesNone          map[int]bool // edge nodes
+	datagramLoss          float64
+	answerLoss, resetRate float64 // probability that an answer is lost, that a connection is reset
+	sharedSlowdown        float64 // slowdown factor of all servers
+	discoveryDelay        time.Duration
+	discoveryDownUntil    time.Duration // discovery does not answer until this time
+	eagerness             float64
+	callsServedAt         time.Duration // when discovery has served all calls it has accepted
 }
 
+// customer is a customer with its true quota.
 type customer struct {
-	no      int
+	index   int
 	key     string
 	plan    int
 	first   int
@@ -84,73 +84,78 @@
 	account *tally.Account
 }
 
-// New builds a run of a world that has passed Check.
-func New(w *world.World, seed uint64, mk Maker) *Sim {
-	s := &Sim{w: w, seed: seed, make: mk, now: epoch, Book: tally.NewBook(w), byID: map[policy.ServerID]*server{}, loss: w.Net.Loss, shared: 1,
-		eager: 1, cutBoth: map[int]bool{}, cutOut: map[int]bool{}, deaf: map[int]bool{}, work: world.Stream(seed, world.StreamWork),
-		net: world.Stream(seed, world.StreamNet), mail: world.Stream(seed, world.StreamMail), clients: world.Stream(seed, world.StreamClients), faults: world.Stream(seed, world.StreamFaults)}
-	s.Truth.s = s
-	s.drawn = w.Draw(seed)
-	for i, size := range s.drawn.Sizes {
+// New creates a run of a world that has passed Check.
+func New(w *world.World, seed uint64, newDecider Maker) *Sim {
+	s := &Sim{world: w, seed: seed, make: newDecider, now: epoch, Book: tally.NewBook(w),
+		byID: map[policy.ServerID]*server{}, datagramLoss: w.Net.Loss, sharedSlowdown: 1,
+		eagerness: 1, cutBoth: map[int]bool{}, cutOut: map[int]bool{}, receivesNone: map[int]bool{},
+		workRand: world.Stream(seed, world.StreamWork),
+		netRand:  world.Stream(seed, world.StreamNet), datagramRand: world.Stream(seed, world.StreamMail),
+		clientRand: world.Stream(seed, world.StreamClients),
+		faultRand:  world.Stream(seed, world.StreamFaults)}
+	s.Truth.sim = s
+	s.population = w.Draw(seed)
+	for i, size := range s.population.Sizes {
 		s.addServer(i, size)
 	}
-	for i, p := range s.drawn.People {
-		s.customers = append(s.customers, &customer{no: i, key: p.Key, plan: p.Plan, first: p.First, spread: p.Spread,
-			account: tally.NewAccount(&w.Plans[p.Plan], s.now)})
+	for i, p := range s.population.People {
+		s.customers = append(s.customers, &customer{index: i, key: p.Key, plan: p.Plan, first: p.First,
+			spread: p.Spread, account: tally.NewAccount(&w.Plans[p.Plan], s.now)})
 	}
 	for i := range w.Nodes {
-		s.nodes = append(s.nodes, &node{s: s, no: i, zone: w.ZoneOf(i), rng: world.Stream(seed, world.StreamNodes+i)})
+		s.nodes = append(s.nodes, &node{sim: s, index: i, zone: w.ZoneOf(i),
+			rng: world.Stream(seed, world.StreamNodes+i)})
 	}
 	return s
 }
 
-// at schedules something; a moment that has passed is now.
+// at schedules a call; a time in the past means now.
 func (s *Sim) at(t time.Duration, do func()) {
 	s.seq++
 	s.queue.push(event{max(t, s.now), s.seq, do})
 }
 
+// after schedules a call after d.
 func (s *Sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
 
-// since is the time since the run began.
-func (s *Sim) since() time.Duration { return s.now - epoch }
+// elapsed returns the time since the run began.
+func (s *Sim) elapsed() time.Duration { return s.now - epoch }
 
-// Run plays to the end. arrivals are the times at which clients ask, since the
-// beginning. step, if not nil, is called at each second.
+// Run runs the simulation to its end. arrivals gives the times of new client requests since the start of
+// the run. step, if not nil, is called every simulated second.
 func (s *Sim) Run(arrivals load.Source, step func(second int)) (*tally.Result, error) {
 	for _, n := range s.nodes {
 		s.at(s.now+time.Duration(n.rng.Int64N(int64(50*time.Millisecond))), n.start)
 	}
-	for i := range s.w.Faults {
-		s.schedule(&s.w.Faults[i])
+	for i := range s.world.Faults {
+		s.scheduleFault(&s.world.Faults[i])
 	}
 	var next func()
 	next = func() {
-		s.ask(s.anyone())
-		if t, more := arrivals.Next(); more && t < s.w.For.D() {
+		s.startRequest(s.drawCustomer())
+		if t, more := arrivals.Next(); more && t < s.world.For.D() {
 			s.at(epoch+t, next)
 		}
 	}
 	if t, more := arrivals.Next(); more {
-		s.at(epoch+settle+t, next)
+		s.at(epoch+startupTime+t, next)
 	}
 	s.every(time.Second, func() {
 		if s.Check != nil {
 			s.err = cmp.Or(s.err, s.Check())
 		}
 		if step != nil {
-			step(int(s.since() / time.Second))
+			step(int(s.elapsed() / time.Second))
 		}
 	})
-	// Clients that are still waiting are waited for; none does for longer than the
-	// longest deadline.
+	// The run goes on until no client waits; the longest deadline bounds that time.
 	longest := time.Duration(0)
-	for i := range s.w.Classes {
-		longest = max(longest, s.w.Classes[i].Deadline.D())
+	for i := range s.world.Classes {
+		longest = max(longest, s.world.Classes[i].Deadline.D())
 	}
-	end := epoch + s.w.For.D() + longest + time.Second
+	end := epoch + s.world.For.D() + longest + time.Second
 	for len(s.queue) > 0 && s.err == nil {
-		if t := s.queue[0].at; t > end || t > epoch+s.w.For.D() && s.open == 0 {
+		if t := s.queue[0].at; t > end || t > epoch+s.world.For.D() && s.openRequests == 0 {
 			break
 		}
 		e := s.queue.pop()
@@ -160,35 +165,36 @@
 	if s.err != nil {
 		return nil, s.err
 	}
-	s.finish()
+	s.recordDatagramPeak()
 	return s.Book.Result(s.seed), nil
 }
 
-// settle is how long edge nodes have to come up before clients do.
-const settle = 300 * time.Millisecond
+// startupTime is the time that edge nodes have to start before the first client request.
+const startupTime = 300 * time.Millisecond
 
+// every calls do at a fixed interval until the end of the run.
 func (s *Sim) every(d time.Duration, do func()) {
 	var tick func()
 	tick = func() {
 		do()
-		if s.since() < s.w.For.D() {
+		if s.elapsed() < s.world.For.D() {
 			s.after(d, tick)
 		}
 	}
 	s.after(d, tick)
 }
 
-// anyone draws a customer by demand.
-func (s *Sim) anyone() *customer { return s.customers[s.drawn.Anyone(s.clients)] }
+// drawCustomer draws a customer, weighted by demand.
+func (s *Sim) drawCustomer() *customer { return s.customers[s.population.Anyone(s.clientRand)] }
 
-// finish charges what is left: servers' work, mail.
-func (s *Sim) finish() {
+// recordDatagramPeak enters the peak datagram rate of the edge nodes into the book.
+func (s *Sim) recordDatagramPeak() {
 	for _, n := range s.nodes {
-		s.Book.MailPeak = max(s.Book.MailPeak, n.mailPeak)
+		s.Book.MailPeak = max(s.Book.MailPeak, n.datagramPeak)
 	}
 }
 
-// draw is an exponential time of a given mean.
-func draw(rng *rand.Rand, mean time.Duration) time.Duration {
+// exponential returns an exponentially distributed time with the given mean.
+func exponential(rng *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(rng.ExpFloat64() * float64(mean))
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -20,7 +20,7 @@
 
 var seeds = flag.Int("seeds", 6, "seeds that TestEqualSeedsEqualBytes plays, each on one worker and on eight")
 
-func small(t testing.TB, nodes, servers int, length time.Duration, fault string) *world.World {
+func smallWorld(t testing.TB, nodes, servers int, length time.Duration, fault string) *world.World {
 	t.Helper()
 	w := world.Default(nodes, servers)
 	w.For, w.Warm = world.Duration(length), world.Duration(length/10)
@@ -33,8 +33,8 @@
 	return w
 }
 
-// play plays a world by a decider.
-func play(t testing.TB, w *world.World, seed uint64, mk sim.Maker) *tally.Result {
+// runSim runs a world with the deciders that mk creates.
+func runSim(t testing.TB, w *world.World, seed uint64, mk sim.Maker) *tally.Result {
 	t.Helper()
 	source, err := load.New(&w.Load, seed, nil)
 	if err != nil {
@@ -47,15 +47,16 @@
 	return r
 }
 
-// Equal worlds and seeds give equal results, whatever the number of workers, on every
-// day: no map's order, no time of day and no neighbour has a say.
+// TestEqualSeedsEqualBytes checks that equal worlds and seeds give equal results on every preset day,
+// with one worker or several. It guards against results that depend on map order, wall-clock time or
+// concurrent runs.
 func TestEqualSeedsEqualBytes(t *testing.T) {
 	var runs []experiment.Run
 	for _, day := range []string{"roll", "herd", "zone", "split", "join"} {
 		for i := range max(1, *seeds/5) {
 			runs = append(runs, experiment.Run{Fault: day, Seed: uint64(i + 1), Variant: experiment.Variant{Name: "module"},
-				World: small(t, 45, 20, 24*time.Second/5, day)})
-			for k := range runs[len(runs)-1].World.Faults { // into the shorter run
+				World: smallWorld(t, 45, 20, 24*time.Second/5, day)})
+			for k := range runs[len(runs)-1].World.Faults { // scaled to the shorter run
 				f := &runs[len(runs)-1].World.Faults[k]
 				f.Start, f.For = f.Start/5, max(1, f.For/5)
 			}
@@ -83,27 +84,27 @@
 	}
 }
 
-// faulty is the module with a fault planted.
+// faulty is the module with a planted fault: alter changes the actions that it returns.
 type faulty struct {
 	sim.Decider
-	see func(ev policy.Event, acts []policy.Action) []policy.Action
+	alter func(ev policy.Event, acts []policy.Action) []policy.Action
 }
 
 func (f *faulty) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
-	return f.see(ev, f.Decider.Handle(now, ev, out))
+	return f.alter(ev, f.Decider.Handle(now, ev, out))
 }
 
-func planted(see func() func(ev policy.Event, acts []policy.Action) []policy.Action) sim.Maker {
+func withFault(newAlter func() func(ev policy.Event, acts []policy.Action) []policy.Action) sim.Maker {
 	return func(me int, w *world.World, seed uint64, truth *sim.Truth) (sim.Decider, error) {
 		d, err := sim.Module(me, w, seed, truth)
-		return &faulty{d, see()}, err
+		return &faulty{d, newAlter()}, err
 	}
 }
 
-// The module keeps the rules where its checkers see the same module with a fault
-// planted break them.
+// TestCheckersCatchPlantedFaults checks that each rule checker reports a module with a planted fault, and
+// reports nothing for the unchanged module in the same world.
 func TestCheckersCatchPlantedFaults(t *testing.T) {
-	type seeing = func(ev policy.Event, acts []policy.Action) []policy.Action
+	type alterFunc = func(ev policy.Event, acts []policy.Action) []policy.Action
 	for _, c := range []struct {
 		name string
 		rule tally.Rule
@@ -111,12 +112,12 @@
 		mk   sim.Maker
 	}{
 		{"ignores the cap", tally.Quota, func() *world.World {
-			w := small(t, 10, 5, 6*time.Second, "")
+			w := smallWorld(t, 10, 5, 6*time.Second, "")
 			w.Plans = w.Plans[2:3] // under a cap alone
 			w.Plans[0].Parallel = 4
 			w.SetRate(400)
-			w.Load.Customers, w.Load.Spread = 2, 2 // each has some eight out when nobody holds it back
-			w.Rules.Beyond = 0.5                   // reports tell of means: by design a part passes a small cap
+			w.Load.Customers, w.Load.Spread = 2, 2 // without a cap each has about eight in flight
+			w.Rules.Beyond = 0.5                   // by design a few exceed a small cap: reports carry means
 			return w
 		}(), func(me int, w *world.World, seed uint64, truth *sim.Truth) (sim.Decider, error) {
 			s, err := w.Settings(me)
@@ -128,18 +129,18 @@
 			}
 			return policy.New(s, seed)
 		}},
-		{"sends what must not run twice again", tally.SecondCopy, func() *world.World {
-			w := small(t, 6, 6, 8*time.Second, "resets")
+		{"retries a request that must not run twice", tally.SecondCopy, func() *world.World {
+			w := smallWorld(t, 6, 6, 8*time.Second, "resets")
 			w.Faults[0].Size = 0.5
 			return w
-		}(), planted(func() seeing {
-			once := map[policy.RequestID]bool{}
+		}(), withFault(func() alterFunc {
+			unrepeatable := map[policy.RequestID]bool{}
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if r, ok := ev.(policy.Request); ok {
-					once[r.ID] = r.Class == "perpanjang"
+					unrepeatable[r.ID] = r.Class == "perpanjang"
 				}
 				o, ok := ev.(policy.Outcome)
-				if !ok || !once[o.ID] || o.Code != policy.Reset || o.Answered {
+				if !ok || !unrepeatable[o.ID] || o.Code != policy.Reset || o.Answered {
 					return acts
 				}
 				acts = slices.DeleteFunc(acts, func(a policy.Action) bool {
@@ -149,65 +150,67 @@
 				return append(acts, policy.Send{ID: o.ID, Server: o.Server})
 			}
 		})},
-		{"goes on sending to a server that drains", tally.Drain, func() *world.World {
-			w := small(t, 6, 8, 9*time.Second, "")
+		{"keeps sending to a draining server", tally.Drain, func() *world.World {
+			w := smallWorld(t, 6, 8, 9*time.Second, "")
 			w.Faults = []world.Fault{{Kind: "release", Start: world.Duration(time.Second), For: world.Duration(time.Second), Part: 0.5, Size: 1}}
 			return w
-		}(), planted(func() seeing {
-			var first policy.ServerID
+		}(), withFault(func() alterFunc {
+			var draining policy.ServerID
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if m, ok := ev.(policy.ServerListUpdate); ok && m.Kind == policy.Changes {
 					for _, s := range m.Servers {
 						if s.State == policy.Draining {
-							first = s.ID
+							draining = s.ID
 						}
 					}
 				}
 				for i, a := range acts {
-					if s, ok := a.(policy.Send); ok && first != 0 {
-						s.Server = first
+					if s, ok := a.(policy.Send); ok && draining != 0 {
+						s.Server = draining
 						acts[i] = s
 					}
 				}
 				return acts
 			}
 		})},
-		{"loses one answer in a thousand", tally.AnswerLost, small(t, 6, 6, 8*time.Second, "burst"), planted(func() seeing {
-			n := 0
-			return func(_ policy.Event, acts []policy.Action) []policy.Action {
-				return slices.DeleteFunc(acts, func(a policy.Action) bool {
-					if _, ok := a.(policy.Refuse); ok {
-						n++
-						return n%100 == 0
-					}
-					return false
-				})
-			}
-		})},
-		{"has two attempts out at once", tally.Overlap, small(t, 4, 6, 2*time.Second, ""), planted(func() seeing {
-			return func(ev policy.Event, acts []policy.Action) []policy.Action {
-				if r, ok := ev.(policy.Request); ok {
-					for _, a := range acts {
-						if s, ok := a.(policy.Send); ok && s.ID == r.ID {
-							return append(acts, s)
+		{"loses one refusal in a hundred", tally.AnswerLost, smallWorld(t, 6, 6, 8*time.Second, "burst"),
+			withFault(func() alterFunc {
+				refusals := 0
+				return func(_ policy.Event, acts []policy.Action) []policy.Action {
+					return slices.DeleteFunc(acts, func(a policy.Action) bool {
+						if _, ok := a.(policy.Refuse); ok {
+							refusals++
+							return refusals%100 == 0
+						}
+						return false
+					})
+				}
+			})},
+		{"has two attempts in flight at once", tally.Overlap, smallWorld(t, 4, 6, 2*time.Second, ""),
+			withFault(func() alterFunc {
+				return func(ev policy.Event, acts []policy.Action) []policy.Action {
+					if r, ok := ev.(policy.Request); ok {
+						for _, a := range acts {
+							if s, ok := a.(policy.Send); ok && s.ID == r.ID {
+								return append(acts, s)
+							}
 						}
 					}
+					return acts
 				}
-				return acts
-			}
-		})},
+			})},
 		{"never gives up", tally.Attempts, func() *world.World {
-			w := small(t, 4, 4, 5*time.Second, "server-wrong")
+			w := smallWorld(t, 4, 4, 5*time.Second, "server-wrong")
 			w.Faults[0].Part, w.Faults[0].Size = 1, 1
 			return w
-		}(), planted(func() seeing {
-			safe := map[policy.RequestID]bool{}
+		}(), withFault(func() alterFunc {
+			repeatable := map[policy.RequestID]bool{}
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if r, ok := ev.(policy.Request); ok {
-					safe[r.ID] = r.Class == "katalog"
+					repeatable[r.ID] = r.Class == "katalog"
 				}
 				o, ok := ev.(policy.Outcome)
-				if !ok || !safe[o.ID] || o.Answered || o.Code != policy.Error {
+				if !ok || !repeatable[o.ID] || o.Answered || o.Code != policy.Error {
 					return acts
 				}
 				acts = slices.DeleteFunc(acts, func(a policy.Action) bool {
@@ -220,7 +223,7 @@
 			}
 		})},
 		{"ignores a ceiling", tally.Ceiling, func() *world.World {
-			w := small(t, 4, 4, 6*time.Second, "")
+			w := smallWorld(t, 4, 4, 6*time.Second, "")
 			w.Plans = w.Plans[3:]
 			w.Plans[0].HardRate, w.Plans[0].HardSize, w.Plans[0].Asks = w.Plans[0].Rate, w.Plans[0].Store, 3
 			w.SetRate(w.Load.Rate)
@@ -235,73 +238,75 @@
 			}
 			return policy.New(s, seed)
 		}},
-		{"sends all to the server that started last", tally.Cold, func() *world.World {
-			w := small(t, 8, 8, 8*time.Second, "")
+		{"sends all requests to the server that started last", tally.Cold, func() *world.World {
+			w := smallWorld(t, 8, 8, 8*time.Second, "")
 			w.Faults = []world.Fault{{Kind: "cold-bulk", Start: world.Duration(time.Second), For: world.Duration(time.Second), Part: 0.2, Size: 1}}
 			return w
-		}(), planted(func() seeing {
-			var last policy.Server
+		}(), withFault(func() alterFunc {
+			var newest policy.Server
 			return func(ev policy.Event, acts []policy.Action) []policy.Action {
 				if m, ok := ev.(policy.ServerListUpdate); ok {
 					for _, s := range m.Servers {
-						if s.HasStart && (s.Start > last.Start || s.Start == last.Start && s.ID < last.ID) {
-							last = s
+						if s.HasStart && (s.Start > newest.Start ||
+							s.Start == newest.Start && s.ID < newest.ID) {
+							newest = s
 						}
 					}
 				}
 				for i, a := range acts {
-					if s, ok := a.(policy.Send); ok && last.HasStart {
-						s.Server = last.ID
+					if s, ok := a.(policy.Send); ok && newest.HasStart {
+						s.Server = newest.ID
 						acts[i] = s
 					}
 				}
 				return acts
 			}
 		})},
-		{"sends long datagrams", tally.Datagram, small(t, 4, 4, 2*time.Second, ""), planted(func() seeing {
-			return func(_ policy.Event, acts []policy.Action) []policy.Action {
-				for i, a := range acts {
-					if m, ok := a.(policy.SendMessage); ok {
-						m.Data = make([]byte, 257)
-						acts[i] = m
+		{"sends long datagrams", tally.Datagram, smallWorld(t, 4, 4, 2*time.Second, ""),
+			withFault(func() alterFunc {
+				return func(_ policy.Event, acts []policy.Action) []policy.Action {
+					for i, a := range acts {
+						if m, ok := a.(policy.SendMessage); ok {
+							m.Data = make([]byte, 257)
+							acts[i] = m
+						}
 					}
+					return acts
 				}
-				return acts
-			}
-		})},
+			})},
 	} {
-		if r := play(t, c.w, 1, c.mk); r.Rules[c.rule] == 0 {
-			t.Errorf("%s: not seen, %v", c.name, r.Rules)
+		if r := runSim(t, c.w, 1, c.mk); r.Rules[c.rule] == 0 {
+			t.Errorf("%s: breach not reported, rules %v", c.name, r.Rules)
 		} else if len(r.Breaches) == 0 || r.Breaches[0].At <= 0 {
 			t.Errorf("%s: %+v", c.name, r.Breaches)
 		}
-		if r := play(t, c.w, 1, sim.Module); r.Rules[c.rule] > 0 {
+		if r := runSim(t, c.w, 1, sim.Module); r.Rules[c.rule] > 0 {
 			t.Errorf("%s: the module itself breaks %s: %v", c.name, c.rule, r.Breaches[0])
 		}
 	}
 }
 
-// A fleet does better than one that lets all in, and no better than one that sees the
-// truth; a trouble costs something.
+// TestBaselinesBracketTheModule checks that the module and the oracle beat the baseline that admits every
+// request, and that a zone cut costs the module something.
 func TestBaselinesBracketTheModule(t *testing.T) {
-	worth := map[string]float64{}
+	scores := map[string]float64{}
 	for _, name := range append([]string{"module"}, baseline.Names...) {
 		mk := sim.Module
 		if name != "module" {
 			mk = baseline.Maker(name)
 		}
-		worth[name] = play(t, small(t, 60, 30, 6*time.Second, ""), 3, mk).Worth
+		scores[name] = runSim(t, smallWorld(t, 60, 30, 6*time.Second, ""), 3, mk).Worth
 	}
-	if worth["module"] <= worth["all"] || worth["oracle"] <= worth["all"] {
-		t.Errorf("%v", worth)
+	if scores["module"] <= scores["all"] || scores["oracle"] <= scores["all"] {
+		t.Errorf("%v", scores)
 	}
-	if calm, cut := play(t, small(t, 60, 30, 6*time.Second, ""), 3, sim.Module), play(t, small(t, 60, 30, 6*time.Second, "zone-cut"), 3, sim.Module); calm.Worth <= cut.Worth {
+	if calm, cut := runSim(t, smallWorld(t, 60, 30, 6*time.Second, ""), 3, sim.Module),
+		runSim(t, smallWorld(t, 60, 30, 6*time.Second, "zone-cut"), 3, sim.Module); calm.Worth <= cut.Worth {
 		t.Errorf("calm %.3f, with a cut %.3f", calm.Worth, cut.Worth)
 	}
 }
 
-// BenchmarkSim tells how fast fleets are played: simulated seconds a second of one
-// core, and the cost of a request.
+// BenchmarkSim measures simulated seconds per second of one core, and the time per request.
 func BenchmarkSim(b *testing.B) {
 	for _, n := range []int{10, 80, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("%d edge nodes", n), func(b *testing.B) {
@@ -309,8 +314,8 @@
 			requests := 0
 			const length = 10
 			for i := range b.N {
-				w := small(b, n, max(5, min(world.MostServers, n*2/3)), length*time.Second, "")
-				requests += play(b, w, uint64(i+1), sim.Module).Requests
+				w := smallWorld(b, n, max(5, min(world.MostServers, n*2/3)), length*time.Second, "")
+				requests += runSim(b, w, uint64(i+1), sim.Module).Requests
 			}
 			b.ReportMetric(length*float64(b.N)/b.Elapsed().Seconds(), "played/s")
 			b.ReportMetric(b.Elapsed().Seconds()*1e6/float64(requests), "us/request")
--- a/internal/lab/tally/merge_test.go
+++ b/internal/lab/tally/merge_test.go
@@ -8,8 +8,8 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// Runs taken together have the quantiles of one run that saw it all; what is no histogram is
-// refused, and runs of an older program, which kept none, are passed over.
+// TestMerge checks that merged runs have the same quantiles as one run with all requests, that an invalid
+// histogram gives an error, and that results of versions that stored no histogram are skipped.
 func TestMerge(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	w := world.Default(3, 3)
@@ -21,7 +21,7 @@
 		parts[i%3].Close(e)
 	}
 	want := whole.Result(1)
-	runs := []*Result{{Classes: []Part{{Name: "katalog"}}}}
+	runs := []*Result{{Classes: []Counts{{Name: "katalog"}}}}
 	for i, b := range parts {
 		runs = append(runs, b.Result(uint64(i)))
 	}
@@ -36,20 +36,22 @@
 		}
 	}
 	for _, bad := range []string{"x", "SElTVEZBQUFB", want.Classes[0].Latencies[:40]} {
-		if _, err := Merge([]*Result{{Seed: 4, Classes: []Part{{Name: "katalog", Latencies: bad}}}}); err == nil {
+		if _, err := Merge([]*Result{{Seed: 4,
+			Classes: []Counts{{Name: "katalog", Latencies: bad}}}}); err == nil {
 			t.Errorf("%q passed", bad)
 		}
 	}
 }
 
-// Histograms come from files.
+// FuzzMerge checks that arbitrary histogram text from a file causes no panic.
 func FuzzMerge(f *testing.F) {
 	b := NewBook(world.Default(3, 3))
 	b.Close(End{At: time.Hour, How: Served, Latency: time.Second})
 	f.Add(b.Result(1).Classes[0].Latencies)
 	f.Add("")
 	f.Fuzz(func(t *testing.T, text string) {
-		if list, err := Merge([]*Result{{Classes: []Part{{Name: "a", Latencies: text}}}}); err == nil && len(list) > 1 {
+		if list, err := Merge([]*Result{{Classes: []Counts{{Name: "a", Latencies: text}}}}); err == nil &&
+			len(list) > 1 {
 			t.Errorf("%v", list)
 		}
 	})
