--- a/policy/events.go
+++ b/policy/events.go
@@ -33,9 +33,9 @@
 			g.sendTransfers()
 		}
 	case PeerMessage:
-		g.onPeer(ev)
+		g.onPeerMessage(ev)
 	case ServerListUpdate:
-		g.onMembers(ev)
+		g.onServerList(ev)
 	case Reconfigure:
 		g.reconfigure(ev.Settings)
 	case Restore:
@@ -47,8 +47,8 @@
 	return out
 }
 
-// onMembers applies a whole server list, or changes to it.
-func (g *Gateway) onMembers(ev ServerListUpdate) {
+// onServerList applies a whole server list, or changes to it.
+func (g *Gateway) onServerList(ev ServerListUpdate) {
 	if ev.Kind == WatchFailed {
 		g.watchSent = false
 		return
@@ -71,8 +71,8 @@
 	g.capacity = g.usableCapacity()
 }
 
-// onPeer decodes another gateway's message and passes it to its handler.
-func (g *Gateway) onPeer(ev PeerMessage) {
+// onPeerMessage decodes another gateway's message and passes it to its handler.
+func (g *Gateway) onPeerMessage(ev PeerMessage) {
 	if ev.From < 0 || ev.From >= len(g.peers) || ev.From == g.settings.Self {
 		return
 	}
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -176,12 +176,12 @@
 	}
 }
 
-// transferMonitorStates queues the state of the servers whose first monitor is the given
-// gateway. It goes to their first (0) or second (1) monitor.
+// transferMonitorStates queues transfers of the state of all servers whose first monitor is the
+// gateway first. The receiver is each server's first monitor if to is 0, its second if to is 1.
 func (g *Gateway) transferMonitorStates(first, to int) {
 	for _, s := range g.tracked {
-		if w := s.monitors; !g.largeFleet || s.State == Removed || w[0] != first ||
-			w[1-to] != g.settings.Self || w[to] == g.settings.Self || g.isAbsent(w[to]) {
+		if monitors := s.monitors; !g.largeFleet || s.State == Removed || monitors[0] != first ||
+			monitors[1-to] != g.settings.Self || monitors[to] == g.settings.Self || g.isAbsent(monitors[to]) {
 			continue
 		}
 		g.transferSeq++
@@ -262,8 +262,8 @@
 	}
 }
 
-// acknowledge acknowledges a transfer and reports whether it is to be applied, which is so
-// for its first copy only.
+// acknowledge acknowledges a transfer and reports whether to apply it: only its first copy is
+// applied.
 func (g *Gateway) acknowledge(from int, incarnation, seq uint32) bool {
 	g.emit(SendMessage{To: from, Data: encode(transferAck{incarnation, seq})})
 	k := transferKey{from, incarnation, seq}
@@ -295,8 +295,8 @@
 	}
 }
 
-// transferBack transfers to a gateway that is asked again its customers' counts, and the state
-// of the servers that it monitors.
+// transferBack transfers counts and states back to a gateway that is asked again: the token
+// buckets of its customers, and the state of the servers that it monitors.
 func (g *Gateway) transferBack(root int) {
 	for _, c := range g.customerList {
 		if c.actsAsRoot && len(c.rootAndDeputy) > 0 && c.rootAndDeputy[0] == root {
@@ -324,7 +324,8 @@
 	data     []byte
 }
 
-// sendEnd sends an end. It is false where this gateway itself counts the attempt by now.
+// sendEnd sends the end of an attempt to the gateway that counts it. It returns false, and sends
+// nothing, if that is now this gateway.
 func (g *Gateway) sendEnd(e attemptEnd) bool {
 	to := e.root
 	if len(e.customer.rootAndDeputy) > 0 && to == e.customer.rootAndDeputy[0] && g.isAbsent(to) {
@@ -336,7 +337,7 @@
 	return to != g.settings.Self
 }
 
-// resendEnds sends the latest ends once more, to the gateways that count them by now.
+// resendEnds sends the ends of the last tick once more, to the gateways that count the attempts now.
 func (g *Gateway) resendEnds() {
 	for _, e := range g.recentEnds {
 		g.sendEnd(e)
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// cluster drives hundreds of gateways by hand, a message taking 20 ms.
+// cluster drives hundreds of gateways in simulated time. A message takes 20 ms.
 type cluster struct {
-	t        testing.TB
-	now      time.Duration
-	gs       []*Gateway
-	inFlight []datagram
-	lose     func(from, to int) bool
-	kept     func(from, to int, data []byte) // what is not lost; nil: nobody asks
+	t          testing.TB
+	now        time.Duration
+	gs         []*Gateway
+	inFlight   []datagram
+	lose       func(from, to int) bool
+	onDelivery func(from, to int, data []byte) // called as a message is sent, unless it is lost; may be nil
 
-	told   int   // messages, by receiver
-	got    []int // the same for each
-	sends  []Send
-	from   []int
-	sentAt []time.Duration
-	over   int // sends that have ended
-	final  int
+	messagesSent int   // messages sent, counted once for each receiver
+	sentTo       []int // messages sent, by receiver
+	sends        []Send
+	senders      []int
+	sentAt       []time.Duration
+	endedSends   int // sends that have ended
+	rejected     int // requests refused or failed
 }
 
 type datagram struct {
@@ -31,9 +31,10 @@
 
 func newCluster(t testing.TB, n int, servers []Server) *cluster {
 	t.Helper()
-	c := &cluster{t: t, now: 10 * time.Second, got: make([]int, n), lose: func(int, int) bool { return false }}
+	c := &cluster{t: t, now: 10 * time.Second, sentTo: make([]int, n),
+		lose: func(int, int) bool { return false }}
 	for i := range n {
-		s := base()
+		s := baseSettings()
 		s.Self, s.Gateways = i, n
 		g, err := New(s, uint64(i+1))
 		if err != nil {
@@ -45,47 +46,47 @@
 	return c
 }
 
-func (c *cluster) do(i int, ev Event) { c.carry(i, c.gs[i].Handle(c.now, ev, nil)) }
+func (c *cluster) do(i int, ev Event) { c.execute(i, c.gs[i].Handle(c.now, ev, nil)) }
 
-// carry carries out what a gateway wants done.
-func (c *cluster) carry(i int, acts []Action) {
+// execute executes a gateway's actions.
+func (c *cluster) execute(i int, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case SendMessage:
 			if len(a.Data) > 256 || a.To >= len(c.gs) || a.To == i {
-				c.t.Fatalf("gateway %d tells %d %d bytes", i, a.To, len(a.Data))
+				c.t.Fatalf("gateway %d sends %d a message of %d bytes", i, a.To, len(a.Data))
 			}
 			for to := range c.gs {
 				if to == a.To || a.To < 0 && to != i {
-					c.told++
-					c.got[to]++
+					c.messagesSent++
+					c.sentTo[to]++
 					if c.lose(i, to) {
 						continue
 					}
 					c.inFlight = append(c.inFlight, datagram{c.now + 20*ms, i, to, a.Data})
-					if c.kept != nil {
-						c.kept(i, to, a.Data)
+					if c.onDelivery != nil {
+						c.onDelivery(i, to, a.Data)
 					}
 				}
 			}
 		case Send:
-			c.sends, c.from, c.sentAt = append(c.sends, a), append(c.from, i), append(c.sentAt, c.now)
+			c.sends, c.senders, c.sentAt = append(c.sends, a), append(c.senders, i), append(c.sentAt, c.now)
 		case Refuse, Fail:
-			c.final++
+			c.rejected++
 		}
 	}
 }
 
-// pass lets time go by in steps of 10 ms, each attempt ending well after 50.
-func (c *cluster) pass(d time.Duration, step func(at time.Duration)) {
+// advance advances the clock by d in steps of 10 ms. Each attempt succeeds after 50 ms.
+func (c *cluster) advance(d time.Duration, step func(at time.Duration)) {
 	for end := c.now + d; c.now < end; {
 		c.now += 10 * ms
 		var due []datagram
 		for len(c.inFlight) > 0 && c.inFlight[0].at <= c.now {
 			due, c.inFlight = append(due, c.inFlight[0]), c.inFlight[1:]
 		}
-		for _, l := range due {
-			c.do(l.to, PeerMessage{From: l.from, Data: l.data})
+		for _, m := range due {
+			c.do(m.to, PeerMessage{From: m.from, Data: m.data})
 		}
 		for i := range c.gs {
 			c.do(i, Timer{Token: "ask"})
@@ -94,9 +95,10 @@
 				c.do(i, Timer{Token: "tick"})
 			}
 		}
-		for ; c.over < len(c.sends) && c.sentAt[c.over]+50*ms <= c.now; c.over++ {
-			s := c.sends[c.over]
-			c.do(c.from[c.over], Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Answered: true})
+		for ; c.endedSends < len(c.sends) && c.sentAt[c.endedSends]+50*ms <= c.now; c.endedSends++ {
+			s := c.sends[c.endedSends]
+			c.do(c.senders[c.endedSends], Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms,
+				Answered: true})
 		}
 		if step != nil {
 			step(c.now)
@@ -104,16 +106,16 @@
 	}
 }
 
-// leave has a gateway leave, until it has told so.
-func (c *cluster) leave(i int) {
+// shutDown shuts a gateway down and returns once it has announced its shutdown.
+func (c *cluster) shutDown(i int) {
 	c.do(i, Shutdown{})
 	for range 300 {
 		if c.gs[i].shutdownAnnounced {
 			return
 		}
-		c.pass(10*ms, nil)
+		c.advance(10*ms, nil)
 	}
-	c.t.Fatalf("gateway %d never told that it has left", i)
+	c.t.Fatalf("gateway %d never announced its shutdown", i)
 }
 
 func (c *cluster) request(i int, id RequestID, customer, plan, class string, spread int) {
@@ -121,89 +123,90 @@
 		Remaining: 2 * time.Second, Spread: spread})
 }
 
-// Reports from all to all take no more of anybody's intake of datagrams than is theirs, at any size of
-// the fleet: beyond, members ask roots. Fleets of 20 to 38 gateways told each other more
-// than they could take in.
-func TestReportsFitTheMail(t *testing.T) {
+// Reports from all gateways to all stay within their share of the datagram budget at any fleet size; in
+// larger fleets gateways ask roots instead. Without that bound, fleets of 20 to 38 gateways sent each
+// other more than they could receive.
+func TestReportsFitDatagramBudget(t *testing.T) {
 	for n := 2; n <= 300; n++ {
-		s := base()
+		s := baseSettings()
 		s.Gateways, s.DatagramsPerSecond = n, 100
 		g, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if told := float64(n-1) / g.tick.Seconds(); !g.largeFleet && told > 1.001*reportBudgetShare*s.DatagramsPerSecond {
-			t.Errorf("%d gateways: %.0f reports a second to each", n, told)
+		if reportRate := float64(n-1) / g.tick.Seconds(); !g.largeFleet &&
+			reportRate > 1.001*reportBudgetShare*s.DatagramsPerSecond {
+			t.Errorf("%d gateways: %.0f reports a second to each", n, reportRate)
 		}
-		if tree := n > 13; g.largeFleet != tree {
-			t.Errorf("%d gateways: roots %v", n, g.largeFleet)
+		if wantLarge := n > 13; g.largeFleet != wantLarge {
+			t.Errorf("%d gateways: large fleet %v", n, g.largeFleet)
 		}
 	}
 }
 
-// Hundreds of gateways, each seeing few requests of a customer that asks five
-// times its quota, pass no more than the quota together and leave little of it
-// unused, with a few messages a request.
+// A customer sends up to five times its quota over hundreds of gateways, each of which gets few of the
+// requests. Together they admit no more than the quota, leave little of it unused, and send a few messages
+// a request.
 func TestHundredsOfGatewaysKeepTheQuota(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		every int // a request in each such step of 10 ms
-		lost  int // a message in so many is lost
-		least int
+		name            string
+		requestInterval int // steps of 10 ms between requests
+		lossInterval    int // one message in this many is lost
+		minAdmitted     int
 	}{
 		{"far above", 2, 1 << 30, 85}, {"far above, datagrams lost", 2, 12, 85}, {"inside", 20, 1 << 30, 50},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newCluster(t, 300, fleet(40))
+			w := newCluster(t, 300, testServers(40))
 			n := 0
-			w.lose = func(int, int) bool { n++; return n%c.lost == 0 }
+			w.lose = func(int, int) bool { n++; return n%c.lossInterval == 0 }
 			asked := 0
-			w.pass(10*time.Second, func(at time.Duration) {
-				if int(at/ms/10)%c.every == 0 && at < 19*time.Second {
+			w.advance(10*time.Second, func(at time.Duration) {
+				if int(at/ms/10)%c.requestInterval == 0 && at < 19*time.Second {
 					asked++
 					w.request(asked*37%200, RequestID(asked), "k", "rate", "safe", 200)
 				}
 			})
-			passed := len(w.sends)
-			if most := 10 + 10*10; passed > most*23/20 || passed < min(c.least, asked) {
-				t.Errorf("%d of %d passed, the quota holds %d", passed, asked, most)
+			admitted := len(w.sends)
+			if maxAdmitted := 10 + 10*10; admitted > maxAdmitted*23/20 ||
+				admitted < min(c.minAdmitted, asked) {
+				t.Errorf("%d of %d admitted, the quota is %d", admitted, asked, maxAdmitted)
 			}
-			if passed+w.final != asked {
-				t.Errorf("%d passed and %d refused of %d", passed, w.final, asked)
+			if admitted+w.rejected != asked {
+				t.Errorf("%d admitted and %d refused of %d", admitted, w.rejected, asked)
 			}
-			if w.told > 6*asked {
-				t.Errorf("%d messages for %d requests", w.told, asked)
+			if w.messagesSent > 6*asked {
+				t.Errorf("%d messages for %d requests", w.messagesSent, asked)
 			}
 		})
 	}
 }
 
-// A root that answers nothing must not stop its customers: the deputy counts
-// for it.
-func TestDeputyStepsIn(t *testing.T) {
-	w := newCluster(t, 100, fleet(20))
+// A root that doesn't answer must not block its customers: the deputy counts in its place.
+func TestDeputyReplacesSilentRoot(t *testing.T) {
+	w := newCluster(t, 100, testServers(20))
 	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
 	w.lose = func(from, to int) bool { return to == roots[0] || from == roots[0] }
 	asked := 0
-	w.pass(8*time.Second, func(at time.Duration) {
+	w.advance(8*time.Second, func(at time.Duration) {
 		if i := asked * 7 % 50; int(at/ms/10)%5 == 0 && at < 17*time.Second && i != roots[0] {
 			w.request(i, RequestID(asked+1), "k", "rate", "safe", 50)
 		}
 		asked++
 	})
 	if n := len(w.sends); n < 45 || n > 120 {
-		t.Errorf("%d passed with root %v lost and deputy %d, the quota holds 90", n, roots, deputy)
+		t.Errorf("%d admitted with root %v cut off and deputy %d, the quota is 90", n, roots, deputy)
 	}
 }
 
-// Least parts of one each would let hundreds of gateways push a cold server
-// over together.
+// Hundreds of gateways together must not overload a cold server, as they would if each of them were always
+// allowed one attempt.
 func TestColdShareIsBoundedOverTheFleet(t *testing.T) {
-	servers := fleet(20)
+	servers := testServers(20)
 	servers[0].HasStart, servers[0].Start = true, 10*time.Second
 	w := newCluster(t, 300, servers)
-	for _, g := range w.gs { // the warm ones are all slow
+	for _, g := range w.gs { // the warm servers are all slow
 		for _, s := range g.tracked[1:] {
 			s.relativeLatency = maxRelativeLatency
 		}
@@ -221,23 +224,22 @@
 			cold++
 		}
 	}
-	// An even share is 60; the server has a fifth of its capacity, and falls
-	// at twice that.
+	// An equal share is 60. The server has a fifth of its capacity, and fails at twice that.
 	if cold > 24 {
-		t.Errorf("%d of %d sent to a server that bears %d", cold, len(w.sends), 24)
+		t.Errorf("%d of %d sent to a server that handles %d", cold, len(w.sends), 24)
 	}
 }
 
-// A watcher hears of one class failing on a server and tells all; the other
-// classes still go there.
-func TestWatcherTellsOfOneClass(t *testing.T) {
-	w := newCluster(t, 100, fleet(10))
+// A health monitor that observes failures of one class at a server sends its verdict to all gateways; the
+// server stays in use for the other classes.
+func TestVerdictCoversOneClass(t *testing.T) {
+	w := newCluster(t, 100, testServers(10))
 	s := w.gs[0].trackedByID[3]
 	id := 0
 	for range 6 {
 		for i := range 12 {
 			from := (s.monitors[0] + 1 + i) % 100
-			w.do(from, PeerMessage{From: s.monitors[0], Data: []byte{shortVersion}}) // foreign: nothing
+			w.do(from, PeerMessage{From: s.monitors[0], Data: []byte{shortVersion}}) // malformed: ignored
 			g := w.gs[from]
 			w.do(s.monitors[0], PeerMessage{From: from,
 				Data: encode(observation{uint32(s.ID), byte(g.classes["safe"].index), byte(Error), 5})})
@@ -245,7 +247,7 @@
 				Data: encode(observation{uint32(s.ID), byte(g.classes["once"].index), byte(OK), 80})})
 		}
 	}
-	w.pass(100*ms, nil)
+	w.advance(100*ms, nil)
 	hits := map[string]int{}
 	for _, class := range []string{"safe", "once"} {
 		before := len(w.sends)
@@ -264,14 +266,14 @@
 		}
 	}
 	if hits["safe"] > 0 || hits["once"] < 5 {
-		t.Errorf("sent to a server that fails one class: %v", hits)
+		t.Errorf("attempts at a server that fails class safe, by class: %v", hits)
 	}
 }
 
-// The watcher may be lost with the server: one that can't be reached is told
-// to a second.
-func TestSecondWatcherTellsOfUnreachable(t *testing.T) {
-	w := newCluster(t, 100, fleet(10))
+// A health monitor may fail together with the server, so failures to connect are sent to the second
+// monitor too.
+func TestSecondMonitorReportsUnreachableServer(t *testing.T) {
+	w := newCluster(t, 100, testServers(10))
 	s := w.gs[0].trackedByID[3]
 	w.lose = func(from, to int) bool { return from == s.monitors[0] || to == s.monitors[0] }
 	cl := w.gs[70].classes["safe"]
@@ -285,150 +287,152 @@
 			}
 		}
 	}
-	w.pass(100*ms, nil)
+	w.advance(100*ms, nil)
 	if v := w.gs[20].healthOf(w.gs[20].trackedByID[3], cl); !v.outOfUse {
-		t.Error("a gateway far off has not heard of it")
+		t.Error("another gateway did not receive the verdict")
 	}
 }
 
-// An ask that comes twice counts once, and is answered twice: the first answer
-// may be lost.
+// A repeated ask counts once, but each copy is answered, since the first answer may be lost.
 func TestRepeatedAskCountsOnce(t *testing.T) {
-	w := newCluster(t, 100, fleet(10))
+	w := newCluster(t, 100, testServers(10))
 	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, _ := w.gs[0].roots(c)
-	m := encode(askMessage{Customer: customerKey("k"), Spread: 50, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9, AskChance: 250, TokenFill: unknownTokens})
+	m := encode(askMessage{Customer: customerKey("k"), Spread: 50, Plan: 1, Units: 4, RemainingMS: 2000,
+		Tag: 9, AskChance: 250, TokenFill: unknownTokens})
 	for range 3 {
 		w.do(roots[0], PeerMessage{From: 99, Data: m})
 	}
-	if got := w.gs[roots[0]].customers[customerKey("k")].admittedUnits; got != 4 || w.told != 3 {
-		t.Errorf("%d units counted, %d answers", got, w.told)
+	if got := w.gs[roots[0]].customers[customerKey("k")].admittedUnits; got != 4 || w.messagesSent != 3 {
+		t.Errorf("%d units counted, %d answers", got, w.messagesSent)
 	}
 }
 
-// A member that no longer wants what it asked for tells the root: neither a
-// request held there nor a grant on its way may keep a place under the cap.
-func TestGivenUpRequestFreesItsPlace(t *testing.T) {
-	w := newCluster(t, 100, fleet(10))
+// A gateway tells the root when the client of a request that it asked for disconnects. Neither a request
+// held at the root nor a grant in transit may keep its place under the cap.
+func TestAbandonedRequestFreesItsPlace(t *testing.T) {
+	w := newCluster(t, 100, testServers(10))
 	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["open"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
-	i := 0
-	for i == roots[0] || i == deputy {
-		i++
+	member := 0
+	for member == roots[0] || member == deputy {
+		member++
 	}
-	m := askMessage{Customer: customerKey("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 5000, AskChance: 250, TokenFill: unknownTokens}
+	m := askMessage{Customer: customerKey("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 5000,
+		AskChance: 250, TokenFill: unknownTokens}
 	for m.Tag = range uint32(2) {
 		w.do(roots[0], PeerMessage{From: 99, Data: encode(m)})
 	}
 	root := w.gs[roots[0]].customers[customerKey("k")]
-	w.request(i, 1, "k", "open", "safe", 50)
-	w.pass(100*ms, nil)
+	w.request(member, 1, "k", "open", "safe", 50)
+	w.advance(100*ms, nil)
 	if root.inFlight != 2 || len(root.held) != 1 {
-		t.Fatalf("%d out, %d held", root.inFlight, len(root.held))
+		t.Fatalf("%d in flight, %d held", root.inFlight, len(root.held))
 	}
-	w.do(i, ClientDisconnected{ID: 1})
-	w.pass(100*ms, nil)
+	w.do(member, ClientDisconnected{ID: 1})
+	w.advance(100*ms, nil)
 	if len(root.held) != 0 {
-		t.Error("held at the root after its client has gone")
+		t.Error("held at the root after its client disconnected")
 	}
 
-	w.request(i, 2, "k", "open", "safe", 50)
-	w.pass(100*ms, nil)
+	w.request(member, 2, "k", "open", "safe", 50)
+	w.advance(100*ms, nil)
 	w.do(roots[0], PeerMessage{From: 99, Data: encode(endMessage{Customer: customerKey("k"), Tag: 0})})
 	if root.inFlight != 2 || len(root.held) != 0 {
-		t.Fatalf("%d out, %d held: not granted", root.inFlight, len(root.held))
+		t.Fatalf("%d in flight, %d held: not granted", root.inFlight, len(root.held))
 	}
-	w.do(i, ClientDisconnected{ID: 2}) // the grant is on its way
-	w.pass(100*ms, nil)
+	w.do(member, ClientDisconnected{ID: 2}) // the grant is in transit
+	w.advance(100*ms, nil)
 	if root.inFlight != 1 {
-		t.Errorf("%d out: a grant that nobody took keeps its place", root.inFlight)
+		t.Errorf("%d in flight: an unused grant keeps its place", root.inFlight)
 	}
 }
 
-// A root's word that a request waits may be lost too: it is said again, or the
-// member would turn to the deputy, which knows of no attempt under the cap.
-func TestLostWordOfWaitingIsSaidAgain(t *testing.T) {
-	w := newCluster(t, 100, fleet(10))
+// A root repeats its answer that a request is held, since the answer may be lost. Otherwise the asking
+// gateway would ask the deputy, which knows of no attempt in flight and would grant beyond the cap.
+func TestLostHeldAnswerIsRepeated(t *testing.T) {
+	w := newCluster(t, 100, testServers(10))
 	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["open"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
-	i := 0
-	for i == roots[0] || i == deputy {
-		i++
+	member := 0
+	for member == roots[0] || member == deputy {
+		member++
 	}
-	m := askMessage{Customer: customerKey("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 5000, AskChance: 250, TokenFill: unknownTokens}
+	m := askMessage{Customer: customerKey("k"), Spread: 50, Plan: 2, Units: 1, RemainingMS: 5000,
+		AskChance: 250, TokenFill: unknownTokens}
 	for m.Tag = range uint32(2) {
 		w.do(roots[0], PeerMessage{From: 99, Data: encode(m)})
 	}
-	said := 0
+	messages := 0
 	w.lose = func(from, to int) bool {
-		said++
-		return from == roots[0] && to == i && said == 2
+		messages++
+		return from == roots[0] && to == member && messages == 2
 	}
-	w.request(i, 1, "k", "open", "safe", 50)
-	w.pass(250*ms, nil)
+	w.request(member, 1, "k", "open", "safe", 50)
+	w.advance(250*ms, nil)
 	if len(w.sends) != 0 {
-		t.Error("sent on beyond the cap")
+		t.Error("attempt sent beyond the cap")
 	}
 }
 
-// A granted attempt counts at its root while it is out, however late it is, and no
-// longer than a tick after its end, though one message is lost; where all are lost, no
-// longer than leaseTicks. A root that starts anew learns of it within two ticks.
-func TestGrantCountsUntilItsEnd(t *testing.T) {
-	w := newCluster(t, 100, fleet(10))
+// A granted attempt counts at its root while it is in flight, however late it is, and for at most a tick
+// after its end, even if one message is lost. If all are lost, its lease expires after leaseTicks. A root
+// that restarts learns of the attempt within two ticks.
+func TestGrantCountsUntilAttemptEnds(t *testing.T) {
+	w := newCluster(t, 100, testServers(10))
 	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["open"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
-	i := 0
-	for i == roots[0] || i == deputy {
-		i++
+	member := 0
+	for member == roots[0] || member == deputy {
+		member++
 	}
-	w.do(roots[0], PeerMessage{From: 99, Data: encode(askMessage{Customer: customerKey("k"), Spread: 50, Plan: 2, Units: 1,
-		RemainingMS: 2000, AskChance: 250, TokenFill: unknownTokens})})
+	w.do(roots[0], PeerMessage{From: 99, Data: encode(askMessage{Customer: customerKey("k"), Spread: 50,
+		Plan: 2, Units: 1, RemainingMS: 2000, AskChance: 250, TokenFill: unknownTokens})})
 	root := w.gs[roots[0]].customers[customerKey("k")]
-	w.pass(500*ms, nil)
+	w.advance(500*ms, nil)
 	if root.inFlight != 1 {
-		t.Errorf("%d out, one was granted", root.inFlight)
+		t.Errorf("%d in flight, one was granted", root.inFlight)
 	}
-	w.pass(500*ms, nil) // that member says no more of it
+	w.advance(500*ms, nil) // that gateway renews no lease
 	if root.inFlight != 0 {
-		t.Errorf("%d out of which nothing was heard", root.inFlight)
+		t.Errorf("%d in flight after the lease expired", root.inFlight)
 	}
-	w.over = 1 << 30 // attempts last
-	w.request(i, 9, "k", "open", "once", 50)
-	w.pass(1500*ms, nil) // the latency target is 800 ms
+	w.endedSends = 1 << 30 // attempts don't end
+	w.request(member, 9, "k", "open", "once", 50)
+	w.advance(1500*ms, nil) // the latency target is 800 ms
 	if root.inFlight != 1 {
-		t.Errorf("%d out for a client that waits", root.inFlight)
+		t.Errorf("%d in flight for a client that waits", root.inFlight)
 	}
-	set := base()
+	set := baseSettings()
 	set.Self, set.Gateways = roots[0], 100
 	w.gs[roots[0]], _ = New(set, 99)
-	w.do(roots[0], ServerListUpdate{Kind: StoredList, Servers: fleet(10)})
-	w.pass(500*ms, nil)
+	w.do(roots[0], ServerListUpdate{Kind: StoredList, Servers: testServers(10)})
+	w.advance(500*ms, nil)
 	if root = w.gs[roots[0]].customers[customerKey("k")]; root == nil || root.inFlight != 1 {
-		t.Fatalf("a root that starts anew does not know of the attempt out: %+v", root)
-	}
-	w.do(i, Outcome{ID: 9, Server: w.sends[len(w.sends)-1].Server, Code: OK, Answered: true})
-	w.over = len(w.sends)
-	w.pass(300*ms, nil) // its end has been told twice
-	w.request(i, 1, "k", "open", "safe", 50)
-	w.pass(40*ms, nil)
-	lost := 0
+		t.Fatalf("a restarted root does not know of the attempt in flight: %+v", root)
+	}
+	w.do(member, Outcome{ID: 9, Server: w.sends[len(w.sends)-1].Server, Code: OK, Answered: true})
+	w.endedSends = len(w.sends)
+	w.advance(300*ms, nil) // its end has been sent twice
+	w.request(member, 1, "k", "open", "safe", 50)
+	w.advance(40*ms, nil)
+	endsSent := 0
 	w.lose = func(from, to int) bool {
-		if from == i && to == roots[0] {
-			lost++
+		if from == member && to == roots[0] {
+			endsSent++
 		}
-		return from == i && to == roots[0] && lost == 1
+		return from == member && to == roots[0] && endsSent == 1
 	}
-	w.pass(time.Second, nil) // the client of the first has given up by then
-	if lost != 2 || root.inFlight != 0 {
-		t.Errorf("told %d times of the end, %d out", lost, root.inFlight)
+	w.advance(time.Second, nil) // the first client has disconnected by then
+	if endsSent != 2 || root.inFlight != 0 {
+		t.Errorf("end sent %d times, %d in flight", endsSent, root.inFlight)
 	}
 }
 
-// Where most servers have just started, they take a part of the work that goes
-// with their capacity: the few warm ones can't do it all.
-func TestColdServersTakeTheirPart(t *testing.T) {
-	servers := fleet(20)
+// Where most servers have just started, they get a share of the requests by their capacity, since the few
+// warm servers can't handle all.
+func TestColdServersGetTheirShare(t *testing.T) {
+	servers := testServers(20)
 	for i := range 12 {
 		servers[i].HasStart, servers[i].Start = true, 10*time.Second
 	}
@@ -442,189 +446,192 @@
 			cold++
 		}
 	}
-	// Twelve with a fifth of their capacity are a fifth of what works; half of
-	// what makes them fall is a seventh here.
+	// Twelve servers with a fifth of their capacity are about a fifth of the total capacity; half of the
+	// load at which they fail is a seventh of the requests.
 	if cold < 130 || cold > 210 {
 		t.Errorf("%d of %d sent to the cold servers", cold, len(w.sends))
 	}
 }
 
-// A server that has just started is as slow as its part of the capacity says:
-// its watcher does not take it for a slow one on top of that.
-func TestColdServerIsNotTakenForSlow(t *testing.T) {
-	servers := fleet(20)
+// A server that has just started is slow by its warm-up fraction. Its health monitor must not count that
+// slowness a second time in its relative latency.
+func TestColdServerIsNotMeasuredAsSlow(t *testing.T) {
+	servers := testServers(20)
 	servers[0].HasStart, servers[0].Start = true, 10*time.Second
 	w := newCluster(t, 100, servers)
-	watcher := w.gs[0].trackedByID[1].monitors[0]
-	g := w.gs[watcher]
+	monitor := w.gs[0].trackedByID[1].monitors[0]
+	g := w.gs[monitor]
 	s := g.trackedByID[1]
 	for range 200 {
 		latency := g.classes["safe"].meanLatency / g.warmUpFraction(s) * 1000
-		w.do(watcher, PeerMessage{From: (watcher + 1) % 100, Data: encode(observation{Server: 1, Latency: uint16(latency)})})
+		w.do(monitor, PeerMessage{From: (monitor + 1) % 100,
+			Data: encode(observation{Server: 1, Latency: uint16(latency)})})
 	}
 	if s.monitoredLatency < 0.9 || s.monitoredLatency > 1.1 {
-		t.Errorf("taken to be %.1f times as slow as the rest", s.monitoredLatency)
+		t.Errorf("relative latency %.1f, want about 1", s.monitoredLatency)
 	}
 }
 
-// A gateway of a large fleet keeps to a part of the servers, so that few
-// connections are made; all servers are in as many parts. Once its own drain it
-// moves on to others.
-func TestGatewaysKeepToAPartOfTheServers(t *testing.T) {
-	w := newCluster(t, 80, fleet(60))
-	used := map[ServerID]map[int]bool{}
-	by := map[int]map[ServerID]bool{}
-	play := func() {
-		w.sends, w.from, w.sentAt, w.over = nil, nil, nil, 0
-		clear(used)
-		clear(by)
+// A gateway of a large fleet uses a subset of the servers, which keeps the number of connections low, and
+// each server is in about as many subsets. When its subset drains, a gateway uses other servers.
+func TestGatewayUsesSubsetOfServers(t *testing.T) {
+	w := newCluster(t, 80, testServers(60))
+	usersOf := map[ServerID]map[int]bool{}
+	usedBy := map[int]map[ServerID]bool{}
+	sendRequests := func() {
+		w.sends, w.senders, w.sentAt, w.endedSends = nil, nil, nil, 0
+		clear(usersOf)
+		clear(usedBy)
 		for id := range 80 * 200 {
 			w.request(id%80, RequestID(id+1), "k", "free", "safe", 80)
 		}
 		for k, s := range w.sends {
-			if used[s.Server] == nil {
-				used[s.Server] = map[int]bool{}
+			if usersOf[s.Server] == nil {
+				usersOf[s.Server] = map[int]bool{}
 			}
-			if by[w.from[k]] == nil {
-				by[w.from[k]] = map[ServerID]bool{}
+			if usedBy[w.senders[k]] == nil {
+				usedBy[w.senders[k]] = map[ServerID]bool{}
 			}
-			used[s.Server][w.from[k]], by[w.from[k]][s.Server] = true, true
+			usersOf[s.Server][w.senders[k]], usedBy[w.senders[k]][s.Server] = true, true
 		}
-		w.pass(100*ms, nil)
+		w.advance(100*ms, nil)
 	}
-	play()
-	for i, servers := range by {
+	sendRequests()
+	for i, servers := range usedBy {
 		if len(servers) > minSubsetSize {
 			t.Errorf("gateway %d uses %d servers", i, len(servers))
 		}
 	}
 	for id := range ServerID(60) {
-		if n := len(used[id+1]); n < 24 || n > 30 { // 80 gateways of 20 servers each: 26.7
+		if n := len(usersOf[id+1]); n < 24 || n > 30 { // 80 gateways of 20 servers each: 26.7
 			t.Errorf("server %d is used by %d gateways", id+1, n)
 		}
 	}
-	own := []Server{}
-	for id := range by[0] {
-		own = append(own, Server{ID: id, Zone: "a", State: Draining, Weight: 1})
+	drained := []Server{}
+	for id := range usedBy[0] {
+		drained = append(drained, Server{ID: id, Zone: "a", State: Draining, Weight: 1})
 	}
 	for i := range w.gs {
-		w.do(i, ServerListUpdate{Kind: Changes, Servers: own})
+		w.do(i, ServerListUpdate{Kind: Changes, Servers: drained})
 	}
-	play()
-	if len(by[0]) == 0 || len(by[0]) > minSubsetSize {
-		t.Errorf("once its own drain, gateway 0 uses %d others", len(by[0]))
+	sendRequests()
+	if len(usedBy[0]) == 0 || len(usedBy[0]) > minSubsetSize {
+		t.Errorf("after its subset drained, gateway 0 uses %d other servers", len(usedBy[0]))
 	}
 }
 
-// A try without time left is refused at once: it can't wait for its root.
-func TestNoTimeLeftIsRefused(t *testing.T) {
-	w := newCluster(t, 100, fleet(10))
+// A request without time left is refused at once, since it can't wait for an answer of its root.
+func TestRequestWithoutTimeLeftIsRefused(t *testing.T) {
+	w := newCluster(t, 100, testServers(10))
 	for i := range 20 {
-		w.do(i, Request{ID: RequestID(i + 1), Customer: "k", Plan: "rate", Class: "safe", Units: 1, Spread: 100})
+		w.do(i, Request{ID: RequestID(i + 1), Customer: "k", Plan: "rate", Class: "safe", Units: 1,
+			Spread: 100})
 	}
-	if w.final != 20 || len(w.sends) > 0 {
-		t.Errorf("%d refused, %d sent", w.final, len(w.sends))
+	if w.rejected != 20 || len(w.sends) > 0 {
+		t.Errorf("%d refused, %d sent", w.rejected, len(w.sends))
 	}
 }
 
-// Times are rounded on their way: a timer that comes a little before its time
-// must not leave a request with no timer at all.
-func TestTimerARoundingEarly(t *testing.T) {
-	w := newCluster(t, 100, fleet(10))
+// Rounding can make a timer fire slightly early. The request must then not be left without a timer.
+func TestTimerFiresSlightlyEarly(t *testing.T) {
+	w := newCluster(t, 100, testServers(10))
 	c := w.gs[0].newCustomer(customerKey("k"), w.gs[0].plans["rate"], 0, 50)
 	roots, deputy := w.gs[0].roots(c)
-	i := 0
-	for i == roots[0] || i == deputy {
-		i++
+	member := 0
+	for member == roots[0] || member == deputy {
+		member++
 	}
-	acts := w.gs[i].Handle(w.now, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 1,
+	acts := w.gs[member].Handle(w.now, Request{ID: 1, Customer: "k", Plan: "rate", Class: "safe", Units: 1,
 		Remaining: time.Second, Spread: 50}, nil)
 	timers := of[SetTimer](acts)
 	if len(timers) != 1 {
 		t.Fatalf("got %v", acts)
 	}
-	acts = w.gs[i].Handle(w.now+timers[0].After-time.Microsecond/2, Timer{Token: "ask"}, nil)
+	acts = w.gs[member].Handle(w.now+timers[0].After-time.Microsecond/2, Timer{Token: "ask"}, nil)
 	if len(of[SendMessage](acts)) != 1 || len(of[SetTimer](acts)) != 1 {
 		t.Errorf("not asked again: %v", acts)
 	}
 }
 
-// A root that has told of its end is not waited for: its members turn to the
-// deputy at once, and back to it together once it may be there again. Where the
-// word is lost they find out as ever.
-func TestLeaverIsNotAsked(t *testing.T) {
+// After a root announces its shutdown, the other gateways ask its deputy at once, and all ask the root
+// again after shutdownAbsence. Where the announcement is lost, their asks time out instead.
+func TestAbsentRootIsNotAsked(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		w := newCluster(t, 100, fleet(40))
-		roots, deputy := w.gs[0].roots(&customer{key: customerKey("k"), plan: w.gs[0].plans["rate"], first: 0, spread: 50})
-		root, i := roots[0], 0
-		for i == root || i == deputy {
-			i++
+		w := newCluster(t, 100, testServers(40))
+		roots, deputy := w.gs[0].roots(&customer{key: customerKey("k"), plan: w.gs[0].plans["rate"], first: 0,
+			spread: 50})
+		root, member := roots[0], 0
+		for member == root || member == deputy {
+			member++
 		}
 		asked := map[int]int{}
 		dead := false
 		w.lose = func(from, to int) bool {
-			if from == i {
+			if from == member {
 				asked[to]++
 			}
 			return lost && from == root || dead && to == root
 		}
-		w.leave(root)
+		w.shutDown(root)
 		dead = true
-		w.pass(30*ms, nil)
+		w.advance(30*ms, nil)
 		clear(asked)
-		w.request(i, 1, "k", "rate", "safe", 50)
-		w.pass(40*ms, nil)
+		w.request(member, 1, "k", "rate", "safe", 50)
+		w.advance(40*ms, nil)
 		if lost && asked[root] == 0 {
-			t.Error("the lost word was heard")
+			t.Error("the root is not asked though its announcement was lost")
 		}
 		if !lost && (asked[root] > 0 || asked[deputy] == 0 || len(w.sends) != 1) {
-			t.Errorf("%d asks to the root that has left, %d to its deputy, %d sent on", asked[root], asked[deputy], len(w.sends))
+			t.Errorf("%d asks to the root that shut down, %d to its deputy, %d attempts", asked[root],
+				asked[deputy], len(w.sends))
 		}
-		w.pass(shutdownAbsence+300*ms, nil)
+		w.advance(shutdownAbsence+300*ms, nil)
 		dead = false
 		clear(asked)
-		w.request(i, 2, "k", "rate", "safe", 50)
-		w.pass(100*ms, nil)
-		if asked[root] == 0 || asked[deputy] > 0 || len(w.gs[i].absentUntil) > 0 {
-			t.Errorf("lost %v: %d asks to the root that is back, %d to its deputy", lost, asked[root], asked[deputy])
+		w.request(member, 2, "k", "rate", "safe", 50)
+		w.advance(100*ms, nil)
+		if asked[root] == 0 || asked[deputy] > 0 || len(w.gs[member].absentUntil) > 0 {
+			t.Errorf("lost %v: %d asks to the restarted root, %d to its deputy", lost, asked[root],
+				asked[deputy])
 		}
 	}
 }
 
-// In a small fleet the part of a cap and of a rate that a leaver had is free at
-// once, its last units are told, a late report does not bring it back, and another
-// process of it does.
-func TestLeaverFreesItsPart(t *testing.T) {
-	w := newWorld(t, base(), fleet(8))
-	ask := func() int {
-		_, acts := w.ask("safe", "open", "c", 1)
+// In a small fleet, a peer's share of a cap and of a rate is free once it announces its shutdown. It sends
+// a last report before. A delayed report of the old process doesn't restore its share, and a report of its
+// next process does.
+func TestShutdownFreesPeerShare(t *testing.T) {
+	w := newHarness(t, baseSettings(), testServers(8))
+	countSends := func() int {
+		_, acts := w.request("safe", "open", "c", 1)
 		return len(of[Send](acts))
 	}
-	first := ask()
-	w.hear(1, 1, 1, true, customerEntry{hash: hashOf("c"), inFlight: 15, rate: 60})
-	if first != 1 || ask() != 0 {
+	firstSends := countSends()
+	w.receiveReport(1, 1, 1, true, customerEntry{hash: hashOf("c"), inFlight: 15, rate: 60})
+	if firstSends != 1 || countSends() != 0 {
 		t.Fatal("the cap is not full")
 	}
-	w.do(PeerMessage{From: 1, Data: encode(shutdownMessage{Incarnation: 7})}) // of a process before that one
+	w.do(PeerMessage{From: 1, Data: encode(shutdownMessage{Incarnation: 7})}) // of an earlier process
 	w.now += ms
 	if w.g.peers[1].shutDown {
-		t.Error("another process's end counts")
+		t.Error("the shutdown of another process counts")
 	}
 	w.do(PeerMessage{From: 1, Data: encode(shutdownMessage{Incarnation: 1})})
-	w.hear(1, 1, 2, true, customerEntry{hash: hashOf("c"), inFlight: 15})
-	w.pass(50 * ms)
-	if n := ask() + ask(); w.g.customers[customerKey("c")].inFlight != 2 {
-		t.Errorf("%d sent on of a cap of 2, %d out", n, w.g.customers[customerKey("c")].inFlight)
-	}
-	w.pass(time.Minute) // gone for good, it counts for nothing
-	if out, _ := w.g.peerCounts(w.g.customers[customerKey("c")]); out != 0 {
-		t.Errorf("%v out at one that has left", out)
-	}
-	w.hear(1, 2, 1, true, customerEntry{hash: hashOf("c"), inFlight: 4})
-	if out, _ := w.g.peerCounts(w.g.customers[customerKey("c")]); out != 1 {
-		t.Errorf("%v out at its next process", out)
-	}
-	if tells := of[SendMessage](w.do(Shutdown{})); len(tells) != 2 || tells[0].To != 1 || tells[1].To != -1 {
-		t.Errorf("%v, want a last report and the word to all", tells)
+	w.receiveReport(1, 1, 2, true, customerEntry{hash: hashOf("c"), inFlight: 15})
+	w.advance(50 * ms)
+	if n := countSends() + countSends(); w.g.customers[customerKey("c")].inFlight != 2 {
+		t.Errorf("%d sent under a cap of 2, %d in flight", n, w.g.customers[customerKey("c")].inFlight)
+	}
+	w.advance(time.Minute) // the peer stays silent and counts for nothing
+	if inFlight, _ := w.g.peerCounts(w.g.customers[customerKey("c")]); inFlight != 0 {
+		t.Errorf("%v in flight at a peer that shut down", inFlight)
+	}
+	w.receiveReport(1, 2, 1, true, customerEntry{hash: hashOf("c"), inFlight: 4})
+	if inFlight, _ := w.g.peerCounts(w.g.customers[customerKey("c")]); inFlight != 1 {
+		t.Errorf("%v in flight at its next process", inFlight)
+	}
+	if messages := of[SendMessage](w.do(Shutdown{})); len(messages) != 2 || messages[0].To != 1 ||
+		messages[1].To != -1 {
+		t.Errorf("%v, want a last report and the announcement to all", messages)
 	}
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -28,7 +28,7 @@
 type answerMessage struct {
 	Tag                uint32
 	Verdict, TokenFill byte
-	LoadRatio          byte // of the root, 100: latencies equal aims
+	LoadRatio          byte // of the root, 100: latencies equal their targets
 	FittingShare       byte // of the requested units, 250: all
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -64,7 +64,7 @@
 	queueWeight       = 0.5             // service times that each attempt in flight adds to a latency
 	maxWaitShare      = 0.15            // of the shortest latency target: a longer wait makes a server full,
 	minFullLoad       = 2.5             // but not with fewer attempts in flight than this
-	fullServerBackoff = 2 * time.Second // for the plan that a server turned away
+	fullServerBackoff = 2 * time.Second // for the plan that a server refused as full
 
 	// Cold servers (slow start).
 	warmUpSlots = 2.0 // slots in OverloadTime, in which gateways take turns to send
@@ -76,7 +76,7 @@
 	// Health verdicts, and trials of servers that are out of use.
 	failureWeight       = 0.2         // of a failure in the failure average
 	maxFailureAverage   = 0.45        // above it a server is out of use for the class
-	maxOutOfUseShare    = 0.7         // above it servers out of use are used all the same
+	maxOutOfUseShare    = 0.7         // above it servers out of use are used nevertheless
 	trialSuccessFactor  = 0.6         // of the failure average that a successful trial leaves
 	minTrialInterval    = time.Second // each trial doubles the interval and adds this
 	maxTrialInterval    = 8 * time.Second
@@ -131,10 +131,11 @@
 		return nil, err
 	}
 	g := newGateway(s, seed)
-	g.retryBudget, g.minAim = maxRetryBudget, math.Inf(1)
+	g.retryBudget, g.minTarget = maxRetryBudget, math.Inf(1)
 	for _, c := range g.classes {
 		c.meanLatency = c.LatencyTarget.Seconds() / initialLatencyDivisor
-		g.meanLatency, g.minAim = max(g.meanLatency, c.meanLatency), min(g.minAim, c.LatencyTarget.Seconds())
+		g.meanLatency, g.minTarget = max(g.meanLatency, c.meanLatency),
+			min(g.minTarget, c.LatencyTarget.Seconds())
 	}
 	reportBudget := max(s.DatagramsPerSecond*reportBudgetShare, 1)
 	g.tick = time.Duration(float64(max(s.Gateways-1, 1)) / reportBudget * float64(time.Second))
@@ -386,7 +387,8 @@
 	c := r.customer
 	c.reportTicksLeft = changeReportTicks
 	// A client's retry is often late. It yields to first tries while requests wait for servers or the token
-	// bucket is low. This protects against retry storms; it harms where retries come soon and aims are long.
+	// bucket is low. This protects against retry storms. It harms clients whose retries come soon, where
+	// latency targets are long.
 	scarce := c.plan.Rate > 0 && g.allowance(c) < r.units+retryReserve*c.plan.Burst ||
 		!r.remote && g.noRoomAt > 0 && g.now-g.noRoomAt < noRoomWindow
 	if !g.withinQuota(r) || r.clientRetry && scarce {
@@ -551,12 +553,12 @@
 func (g *Gateway) full(s *server) bool {
 	load := g.load(s) / g.relativeSize(s)
 	return load >= minFullLoad &&
-		g.meanLatency*s.relativeLatency/g.warmUpFraction(s)*queueWeight*load > maxWaitShare*g.minAim
+		g.meanLatency*s.relativeLatency/g.warmUpFraction(s)*queueWeight*load > maxWaitShare*g.minTarget
 }
 
-// usable reports whether a request may go to a server at all: the server runs and hasn't just turned the plan
-// away, a keyed request that may have run stays inside its group and window, and a cold server's budget has
-// room.
+// usable reports whether a request may go to a server at all: the server runs and hasn't just refused the
+// plan as full, a keyed request that may have run stays inside its group and window, and a cold server may
+// get one more request from this gateway.
 func (g *Gateway) usable(s *server, r *request) bool {
 	if s.State != Running || g.now < s.fullUntil[r.customer.plan] ||
 		r.mayHaveRun && r.class.Effect == Keyed && (g.now-r.ranAt >= r.class.Window || !r.sameGroup(s)) {
@@ -571,7 +573,7 @@
 // request included, relative to the capacity of these servers.
 func (g *Gateway) warmUpAllowance(s *server) float64 {
 	if g.settings.OverloadMultiple <= 0 {
-		return math.MaxInt32 // no load brings it down
+		return math.MaxInt32 // no load makes it fail
 	}
 	capacity := (g.recentAccepted + 1) / max(1, g.capacity) * g.warmUpFraction(s) * g.relativeSize(s)
 	return capacity * g.settings.OverloadMultiple * warmUpSlots / (warmUpSlots + 1)
@@ -606,9 +608,9 @@
 // warmUpSlot returns this gateway's position, from 0 to 1, in the order of the gateways that may send a cold
 // server a request in the current slot.
 func (g *Gateway) warmUpSlot(s *server) float64 {
-	turn := math.Floor(warmUpSlots * float64(max(0, g.now-s.Start)) /
+	slot := math.Floor(warmUpSlots * float64(max(0, g.now-s.Start)) /
 		float64(max(1, g.settings.OverloadTime)))
-	return fractionalPart(s.warmUpRank + turn*math.Phi)
+	return fractionalPart(s.warmUpRank + slot*math.Phi)
 }
 
 // pick chooses a server, or returns nil when none has room. Servers that are out of use for the class are
@@ -683,8 +685,8 @@
 	return ok, outOfUse
 }
 
-// tooManyOutOfUse reports whether the share of servers out of use is so large that they are used all the
-// same.
+// tooManyOutOfUse reports whether the share of servers out of use is so large that they are used
+// nevertheless.
 func tooManyOutOfUse(outOfUse, ok []*server) bool {
 	return float64(len(outOfUse)) > maxOutOfUseShare*float64(len(ok)+len(outOfUse))
 }
@@ -731,8 +733,8 @@
 // chooseSubset picks the servers that this gateway of a large fleet uses. If every gateway used all servers,
 // each server would have connections from every gateway, most of them for a request or two. From each zone a
 // gateway takes a run of the running servers in the order of their IDs, in proportion to the zone's size.
-// Each gateway starts at another position, so all servers are in equally many subsets, give or take one for
-// each zone, and the loss of a zone never takes a whole subset. One server more or less changes at most two
+// Each gateway starts at another position, so all servers are in equally many subsets, to within one for each
+// zone, and the loss of a zone never takes a whole subset. Adding or removing one server changes at most two
 // members of a subset, and servers of a lost zone are replaced by more servers of the other zones.
 func (g *Gateway) chooseSubset() {
 	if !g.largeFleet {
@@ -809,16 +811,16 @@
 		r.class.meanLatency += max(classSampleWeight, 1/(r.class.outcomes+1)) *
 			(min(idleLatency, maxLatencyMeans*r.class.meanLatency) - r.class.meanLatency)
 	case Full:
-		// The server may turn away one plan only, so requests of this plan go elsewhere for a while.
+		// The server may refuse this plan only, so requests of the plan go elsewhere for a while.
 		s.fullUntil[r.customer.plan] = g.now + fullServerBackoff
 		g.recentAccepted = max(0, g.recentAccepted-1)
 		g.loadRatio += loadRatioWeight * (1 - g.loadRatio)
 	}
 }
 
-// adaptAdmission changes the share of the requests that is admitted by the ratio of latencies to their aims
-// (load shedding). It protects against load on all servers that isn't reported to this gateway: silent peers,
-// slow fleets. It harms where aims are close to idle latencies.
+// adaptAdmission adapts the admitted share of the requests to the load ratio (load shedding). It protects
+// against load on all servers that isn't reported to this gateway: silent peers, slow fleets. It refuses too
+// much where latency targets are close to the latencies of idle servers.
 func (g *Gateway) adaptAdmission(dt time.Duration) {
 	if g.loadRatio > sheddingLoadRatio {
 		g.admittedFraction = max(minAdmitted,
@@ -1127,8 +1129,8 @@
 // therefore has a health monitor among the gateways, which receives the outcomes of all and sends its
 // verdicts, by class, to all.
 
-// observeOutcome adds an outcome to the monitor's state of a server. A server that turns requests away counts
-// as very slow, so that it gets few more until it answers.
+// observeOutcome adds an outcome to the monitor's state of a server. A server that refuses requests as full
+// counts as very slow, so that it gets few more until it answers.
 func (g *Gateway) observeOutcome(s *server, class int, code Code, latency time.Duration) {
 	v, mean := &s.health[class], g.classes[g.settings.Classes[class].Name].meanLatency
 	relative := min(latency.Seconds()/mean*g.warmUpFraction(s), maxRelativeLatency)
@@ -1186,6 +1188,8 @@
 	}
 }
 
-// encodeRelativeLatency encodes a relative latency for a message, in steps of 1/16 of its log2.
-func encodeRelativeLatency(pace float64) byte { return toByte(16 * (4 + math.Log2(max(pace, 0.1)))) }
-func decodeRelativeLatency(b byte) float64    { return math.Exp2(float64(b)/16 - 4) }
+// encodeRelativeLatency encodes a relative latency for a message, in steps of 1/16 of its binary logarithm.
+func encodeRelativeLatency(latency float64) byte {
+	return toByte(16 * (4 + math.Log2(max(latency, 0.1))))
+}
+func decodeRelativeLatency(b byte) float64 { return math.Exp2(float64(b)/16 - 4) }
--- a/policy/report.go
+++ b/policy/report.go
@@ -34,10 +34,10 @@
 	inFlight byte
 }
 
-// customerEntry is a report's part on one customer.
+// customerEntry is the part of a report on one customer.
 type customerEntry struct {
 	hash          uint32 // 24 bits
-	inFlight      byte   // inFlightScale times the root of the mean over the tick, up to 15
+	inFlight      byte   // inFlightScale times the square root of the mean over the tick, up to 15
 	held          byte   // up to maxHeld
 	admittedUnits byte   // running total, its lowest bits
 	rate          byte   // requested units a second: rateScale * log2(1 + rate), up to maxRate
@@ -85,7 +85,7 @@
 	}
 	for _, e := range m.customers {
 		b = append(b, byte(e.hash>>16), byte(e.hash>>8), byte(e.hash), e.inFlight<<4|e.held)
-		b = append(b, e.admittedUnits, 0) // in older versions the second byte lent parts of ceilings
+		b = append(b, e.admittedUnits, 0) // older versions lent parts of hard ceilings in the second byte
 		rate := e.rate
 		if e.restarted {
 			rate |= flagRestarted
@@ -158,8 +158,8 @@
 	return m, true
 }
 
-// update stores an entry and returns the units admitted since the last one. It also reports
-// whether the sender's total was not known or has restarted, and the units count from there.
+// update stores an entry and returns the units admitted since the last one. newBase reports that
+// the sender's total was not known before or has restarted; the units then count from there.
 func (v *peerView) update(e customerEntry, incarnation uint32, now time.Duration) (admitted float64,
 	newBase bool) {
 	quiet := now-v.receivedAt > totalRestartWindow
--- a/policy/scale_bench_test.go
+++ b/policy/scale_bench_test.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// BenchmarkFleetSize measures what one edge node's module costs at today's and at the planned
-// size: a request without a quota with its outcome, a tick at rest, and a changed line.
+// BenchmarkFleetSize measures one gateway in fleets of the present and of the planned size: a request
+// without a quota and its outcome, an idle tick, and a change of one server in the list.
 func BenchmarkFleetSize(b *testing.B) {
-	for _, size := range []struct{ gateways, servers, zones int }{{300, 200, 4}, {300, 2000, 4}, {plannedGateways, plannedServers, plannedZones}} {
-		set := base()
+	for _, size := range []struct{ gateways, servers, zones int }{{300, 200, 4}, {300, 2000, 4},
+		{plannedGateways, plannedServers, plannedZones}} {
+		set := baseSettings()
 		set.Gateways = size.gateways
-		servers := spreadOut(size.servers, size.zones)
+		servers := zonedServers(size.servers, size.zones)
 		name := fmt.Sprintf("%dx%d", size.gateways, size.servers)
 		b.Run("request/"+name, func(b *testing.B) {
-			w := newWorld(b, set, servers)
+			w := newHarness(b, set, servers)
 			for range b.N {
 				w.now += time.Millisecond
-				_, acts := w.ask("safe", "free", "c", 1)
+				_, acts := w.request("safe", "free", "c", 1)
 				for _, s := range of[Send](acts) {
 					w.do(Outcome{ID: s.ID, Server: s.Server, Code: OK, Latency: 50 * ms, Answered: true})
 				}
 			}
 		})
 		b.Run("tick/"+name, func(b *testing.B) {
-			w := newWorld(b, set, servers)
+			w := newHarness(b, set, servers)
 			for range b.N {
-				w.pass(w.g.tick)
+				w.advance(w.g.tick)
 			}
 		})
 		b.Run("change/"+name, func(b *testing.B) {
-			w := newWorld(b, set, servers)
+			w := newHarness(b, set, servers)
 			for i := range b.N {
 				m := servers[i*7919%len(servers)]
 				m.State = State(i / len(servers) % 2)
--- a/policy/serverlist.go
+++ b/policy/serverlist.go
@@ -8,7 +8,7 @@
 )
 
 // serverList is the list of all servers of the fleet, an entry of some tens of bytes each, with
-// the sums and orders that decisions use. A change of one entry costs O(log n).
+// the sums and sorted sets that decisions use. A change of one entry costs O(log n).
 type serverList struct {
 	entryByID map[ServerID]listEntry
 	byZone    map[string]*zone
@@ -114,7 +114,7 @@
 	}
 }
 
-// zone returns a zone, added where it is new.
+// zone returns a zone, and creates it if it is new.
 func (l *serverList) zone(name string) *zone {
 	if z := l.byZone[name]; z != nil {
 		return z
@@ -133,14 +133,14 @@
 
 // endFullList removes the entries that the full list did not name.
 func (l *serverList) endFullList() {
-	var gone []ServerID
+	var missing []ServerID
 	for id, e := range l.entryByID {
 		if e.fullList != l.fullLists {
-			gone = append(gone, id)
+			missing = append(missing, id)
 		}
 	}
-	slices.Sort(gone)
-	for _, id := range gone {
+	slices.Sort(missing)
+	for _, id := range missing {
 		l.remove(id)
 	}
 }
@@ -158,10 +158,10 @@
 		s.relativeLatency, s.monitoredLatency = 1, 1
 		clear(s.health)
 	}
-	gone := s.removedAt
+	removedAt := s.removedAt
 	s.Server, s.removedAt = entry, 0
 	if entry.State == Removed {
-		s.removedAt = gone
+		s.removedAt = removedAt
 		s.markRemoved(g.now)
 	}
 }
@@ -169,7 +169,8 @@
 // serverHash spreads IDs. It maps no two of them to the same value.
 func serverHash(id ServerID) uint32 { return uint32(id) * 0x9e3779b1 }
 
-// track returns the state of a server, made from its entry at first use; nil: not in the list.
+// track returns the state of a server, and creates it from its entry at first use; nil: not in the
+// list.
 func (g *Gateway) track(id ServerID) *server {
 	if s := g.trackedByID[id]; s != nil {
 		return s
@@ -211,7 +212,7 @@
 	return newRanked() // no server of the group is left
 }
 
-// groupSample returns the states of n servers of a group, from this gateway's position on.
+// groupSample returns the states of n servers of a group, starting at this gateway's position.
 func (g *Gateway) groupSample(group *ranked, n int) []*server {
 	list := make([]*server, n)
 	first := int(g.ringPosition(0) * float64(group.len()))
@@ -234,5 +235,5 @@
 	return fractionalPart(float64(g.settings.Self)*math.Phi + offset)
 }
 
-// fractionalPart is the distance of v from the next whole number below.
+// fractionalPart returns v minus the largest whole number that is not above it.
 func fractionalPart(v float64) float64 { return v - math.Floor(v) }
--- a/policy/serverlist_test.go
+++ b/policy/serverlist_test.go
@@ -13,8 +13,8 @@
 // plannedServers, plannedGateways and plannedZones are the planned size of the fleet.
 const plannedServers, plannedGateways, plannedZones = 56000, 6200, 18
 
-// spreadOut returns the lines of n servers in so many zones, two to a cell.
-func spreadOut(n, zones int) []Server {
+// zonedServers returns n servers spread over the zones, two in each cell.
+func zonedServers(n, zones int) []Server {
 	list := make([]Server, n)
 	for i := range list {
 		list[i] = Server{ID: ServerID(i + 1), Zone: fmt.Sprint("zone ", i%zones), Cell: i / 2, Weight: 1}
@@ -22,8 +22,7 @@
 	return list
 }
 
-// ranked holds what a sorted slice holds, at the same ranks, whatever was inserted and removed
-// before, and looks at a number of entries that grows with the logarithm.
+// After any insertions and removals, ranked holds the same IDs at the same ranks as a sorted slice.
 func TestRankedAgainstASortedSlice(t *testing.T) {
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -57,13 +56,14 @@
 	}
 }
 
+// The number of entries that an operation of ranked visits grows with the logarithm of their number.
 func TestRankedVisitsFewEntries(t *testing.T) {
 	for _, n := range []int{200, 2000, plannedServers} {
 		set := newRanked()
 		for i := range n {
 			set.insert(ServerID(i + 1))
 		}
-		most := 5 * math.Log2(float64(n))
+		maxVisits := 5 * math.Log2(float64(n))
 		for _, op := range []struct {
 			name string
 			do   func(i int)
@@ -79,15 +79,15 @@
 			for i := range 1000 {
 				op.do(i)
 			}
-			if mean := float64(set.visits-before) / 1000; mean > most {
-				t.Errorf("%s visits %.0f of %d entries, %.0f at most", op.name, mean, n, most)
+			if mean := float64(set.visits-before) / 1000; mean > maxVisits {
+				t.Errorf("%s visits %.0f of %d entries, want at most %.0f", op.name, mean, n, maxVisits)
 			}
 		}
 	}
 }
 
-// recount works out by a walk what a list keeps as sums and orders.
-func recount(t *testing.T, l *serverList, model map[ServerID]Server) {
+// compareWithRecount compares a list's sums and ranked sets with those computed from all servers.
+func compareWithRecount(t *testing.T, l *serverList, model map[ServerID]Server) {
 	t.Helper()
 	running, weight := 0, 0.0
 	zones, cells := map[string][]ServerID{}, map[int][]ServerID{}
@@ -101,17 +101,18 @@
 			cells[s.Cell] = append(cells[s.Cell], id)
 		}
 		if got, ok := l.find(id); !ok || got != s {
-			t.Fatalf("line %+v, want %+v", got, s)
+			t.Fatalf("entry %+v, want %+v", got, s)
 		}
 	}
-	if l.len() != len(model) || l.running != running || math.Abs(l.weight-weight) > 1e-6 || len(l.zones) != len(listed) {
-		t.Fatalf("%d lines, %d running, weight %v, %d zones; want %d, %d, %v, %d", l.len(), l.running, l.weight,
-			len(l.zones), len(model), running, weight, len(listed))
+	if l.len() != len(model) || l.running != running || math.Abs(l.weight-weight) > 1e-6 ||
+		len(l.zones) != len(listed) {
+		t.Fatalf("%d entries, %d running, weight %v, %d zones; want %d, %d, %v, %d", l.len(), l.running,
+			l.weight, len(l.zones), len(model), running, weight, len(listed))
 	}
-	same := func(set *ranked, want []ServerID) {
+	compareRanked := func(set *ranked, want []ServerID) {
 		slices.Sort(want)
 		if set.len() != len(want) {
-			t.Fatalf("%d servers in order, want %d", set.len(), len(want))
+			t.Fatalf("%d servers in a ranked set, want %d", set.len(), len(want))
 		}
 		for rank, id := range want {
 			if set.at(rank) != id {
@@ -121,30 +122,31 @@
 	}
 	for _, z := range l.zones {
 		if z.servers != listed[z.name] {
-			t.Fatalf("zone %s: %d lines, want %d", z.name, z.servers, listed[z.name])
+			t.Fatalf("zone %s: %d servers, want %d", z.name, z.servers, listed[z.name])
 		}
-		same(z.running, zones[z.name])
+		compareRanked(z.running, zones[z.name])
 	}
 	if len(l.cells) != len(cells) {
 		t.Fatalf("%d cells, want %d", len(l.cells), len(cells))
 	}
 	for cell, want := range cells {
-		same(l.cells[cell], want)
+		compareRanked(l.cells[cell], want)
 	}
 }
 
-// After any events the list's sums and orders are those that a walk over all servers finds, and
-// a gateway's working set is what is worked out from all servers in one go.
-func TestServerListAgainstAWalk(t *testing.T) {
+// After any updates, the list's sums and ranked sets, and a gateway's subset, equal those computed from all
+// servers at once.
+func TestServerListAgainstRecount(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		set := base()
+		set := baseSettings()
 		set.Gateways, set.Self = 300, rng.IntN(300)
-		w := newWorld(t, set, nil)
+		w := newHarness(t, set, nil)
 		model := map[ServerID]Server{}
 		draw := func() Server {
 			id := ServerID(rng.IntN(400) + 1)
-			return Server{ID: id, Zone: fmt.Sprint(rng.IntN(4)), Cell: rng.IntN(30), State: State(rng.IntN(3)), HasStart: rng.IntN(2) == 0,
+			return Server{ID: id, Zone: fmt.Sprint(rng.IntN(4)), Cell: rng.IntN(30),
+				State: State(rng.IntN(3)), HasStart: rng.IntN(2) == 0,
 				Start: time.Duration(rng.IntN(5)) * time.Second, Weight: float64(rng.IntN(9)) / 4}
 		}
 		for round := range 300 {
@@ -164,25 +166,26 @@
 				}
 			}
 			w.do(ev)
-			recount(t, w.g.allServers, model)
+			compareWithRecount(t, w.g.allServers, model)
 			if w.g.runningServers != w.g.allServers.running || w.g.meanWeight != w.g.allServers.meanWeight() {
-				t.Fatalf("the gateway goes by %d running of weight %v", w.g.runningServers, w.g.meanWeight)
+				t.Fatalf("the gateway counts %d running servers of mean weight %v", w.g.runningServers,
+					w.g.meanWeight)
 			}
-			checkWorkingSet(t, w.g)
+			checkSubset(t, w.g)
 			if rng.IntN(4) == 0 {
-				checkWiderRuns(t, w.g)
-				checkWorkingSet(t, w.g)
+				checkWiderSubset(t, w.g)
+				checkSubset(t, w.g)
 			}
 			if rng.IntN(4) == 0 {
-				w.pass(time.Second)
-				checkWorkingSet(t, w.g)
+				w.advance(time.Second)
+				checkSubset(t, w.g)
 			}
 		}
 	}
 }
 
-// walkedRuns works a set so many times as large as a gateway's out from all running servers.
-func walkedRuns(g *Gateway, times float64) (want []ServerID) {
+// expectedSubset computes a gateway's subset, enlarged by a factor, from all running servers.
+func expectedSubset(g *Gateway, factor float64) (want []ServerID) {
 	zones := map[string][]ServerID{}
 	for id := range g.allServers.entryByID {
 		if s, _ := g.allServers.find(id); s.State == Running {
@@ -193,7 +196,7 @@
 		slices.Sort(ids)
 		n := float64(len(ids))
 		first := g.ringPosition(g.allServers.byZone[name].offset) * n
-		part := g.subsetSize() * n / float64(g.runningServers) * times
+		part := g.subsetSize() * n / float64(g.runningServers) * factor
 		for i := int(first); i < min(int(first+part), int(first)+len(ids)); i++ {
 			want = append(want, ids[i%len(ids)])
 		}
@@ -202,15 +205,15 @@
 	return want
 }
 
-// checkWiderRuns sees that a wider set is the working set's runs made longer, without the
-// cold servers that others keep to.
-func checkWiderRuns(t *testing.T, g *Gateway) {
+// checkWiderSubset checks that the wider set is the enlarged subset, without the cold servers outside
+// the subset.
+func checkWiderSubset(t *testing.T, g *Gateway) {
 	t.Helper()
 	var got []ServerID
 	for _, s := range g.widerSubset() {
 		got = append(got, s.ID)
 	}
-	want := slices.DeleteFunc(walkedRuns(g, widerSubsetFactor), func(id ServerID) bool {
+	want := slices.DeleteFunc(expectedSubset(g, widerSubsetFactor), func(id ServerID) bool {
 		s := g.trackedByID[id]
 		return g.warmUpFraction(s) < 1 && !slices.Contains(g.subset, s)
 	})
@@ -219,44 +222,46 @@
 	}
 }
 
-// checkWorkingSet works a gateway's set out from all running servers, sorted anew, and sees
-// that the state here is the set's and what is of use beyond.
-func checkWorkingSet(t *testing.T, g *Gateway) {
+// checkSubset compares a gateway's subset with one computed from all running servers, and checks that its
+// servers are tracked and that the tracked servers are in order.
+func checkSubset(t *testing.T, g *Gateway) {
 	t.Helper()
-	want := walkedRuns(g, 1)
+	want := expectedSubset(g, 1)
 	var got []ServerID
 	for _, s := range g.subset {
 		got = append(got, s.ID)
 		if g.trackedByID[s.ID] != s || s.State != Running {
-			t.Fatalf("server %d of the set is not known, or in state %v", s.ID, s.State)
+			t.Fatalf("server %d of the subset is not tracked, or is in state %v", s.ID, s.State)
 		}
 	}
 	if !slices.Equal(got, want) {
-		t.Fatalf("set %v, want %v", got, want)
+		t.Fatalf("subset %v, want %v", got, want)
 	}
-	if len(g.tracked) != len(g.trackedByID) || !slices.IsSortedFunc(g.tracked, func(a, b *server) int { return int(a.ID) - int(b.ID) }) {
-		t.Fatalf("%d servers in order, %d by ID", len(g.tracked), len(g.trackedByID))
+	if len(g.tracked) != len(g.trackedByID) || !slices.IsSortedFunc(g.tracked,
+		func(a, b *server) int { return int(a.ID) - int(b.ID) }) {
+		t.Fatalf("%d servers in tracked, %d in trackedByID, or tracked is not sorted", len(g.tracked),
+			len(g.trackedByID))
 	}
 }
 
-// A line costs some tens of bytes, and state is made for the working set alone.
+// An entry of the list takes some tens of bytes, and only servers of the subset are tracked.
 func TestBytesOfAServer(t *testing.T) {
-	set := base()
+	set := baseSettings()
 	set.Gateways = plannedGateways
-	list := spreadOut(plannedServers, plannedZones)
+	list := zonedServers(plannedServers, plannedZones)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	w := newWorld(t, set, list)
+	w := newHarness(t, set, list)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	each := float64(after.HeapAlloc-before.HeapAlloc) / plannedServers
-	t.Logf("%.0f bytes a server", each)
-	if each > 200 {
-		t.Errorf("%.0f bytes a server, 200 at most", each)
+	perServer := float64(after.HeapAlloc-before.HeapAlloc) / plannedServers
+	t.Logf("%.0f bytes a server", perServer)
+	if perServer > 200 {
+		t.Errorf("%.0f bytes a server, want at most 200", perServer)
 	}
 	if n := len(w.g.tracked); n > maxSubsetSize {
-		t.Errorf("state of %d servers", n)
+		t.Errorf("%d servers tracked", n)
 	}
 	runtime.KeepAlive(list)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -15,7 +15,7 @@
 	first             int     // its requests enter at spread gateways,
 	spread            int     // counted from first, wrapping round
 	rootAndDeputy     []int   // to ask; empty where this gateway sums the counts
-	fittingShare      float64 // share of the requested units that fits, as its root answered
+	fittingShare      float64 // share of the requested units that fits its quota, by its root's last answer
 	fittingShareAt    time.Duration
 	actsAsRoot        bool                     // other gateways ask this one, as root or deputy
 	leases            map[leaseKey]activeLease // granted to other gateways, end not reported
@@ -129,7 +129,7 @@
 	remote      bool          // it entered at another gateway, which asks this one
 	root        int           // that gateway, or else the one that is asked
 	tag         uint32        // names it in messages
-	table       *table        // whose numbers the message uses
+	table       *table        // whose indexes the messages use
 	askCount    int           // number of asks sent
 	askedAt     time.Duration // time of the last one
 	answerDue   time.Duration // when to give up waiting for the answer
@@ -205,7 +205,7 @@
 	meanWeight       float64              // in the server list
 	runningServers   int                  // in the server list
 	meanLatency      float64              // of an idle server over all classes, in seconds
-	minAim           float64              // the shortest latency target, in seconds
+	minTarget        float64              // the shortest latency target, in seconds
 	unansweredAsks   int                  // since the last message from any peer
 	recentGrants     float64              // requests that roots granted, decayed over grantDecayTime
 	isolationCredit  float64              // requests that may pass now without a root's answer
@@ -321,7 +321,8 @@
 	}
 }
 
-// decay moves what is known of a server by a part of the way back to the defaults.
+// decay moves a server's relative latency and failure averages towards their defaults, by the given part of
+// the distance.
 func (s *server) decay(part float64) {
 	s.relativeLatency += (1 - s.relativeLatency) * part
 	for i := range s.health {
@@ -329,7 +330,7 @@
 	}
 }
 
-// expireLeases drops the leases whose time is over.
+// expireLeases drops the leases that have expired.
 func (g *Gateway) expireLeases(c *customer) {
 	for l, v := range c.leases {
 		if g.now > v.until {
@@ -371,8 +372,8 @@
 	v.peer.views = slices.DeleteFunc(v.peer.views, func(o *peerView) bool { return o == v })
 }
 
-// indexCustomer enters a customer in the tables. Customers with the same short hash can't be
-// told apart in reports, so report entries with that hash are ignored.
+// indexCustomer adds a customer to the list and to the maps. Customers with the same short hash
+// can't be told apart in reports, so report entries with that hash are ignored.
 func (g *Gateway) indexCustomer(c *customer) {
 	g.customers[c.key] = c
 	if _, duplicate := g.customersByHash[c.hash]; duplicate {
@@ -383,7 +384,8 @@
 	g.customerList = append(g.customerList, c)
 }
 
-// learnGrant learns from a root's final answer: share is 1 if it granted the request, else 0.
+// learnGrant updates the estimates of granted requests by a root's final answer: share is 1 if the
+// root granted the request, else 0.
 func (g *Gateway) learnGrant(r *request, share float64) {
 	g.recentGrants += share
 	g.isolationCredit = max(0, g.isolationCredit-share)
@@ -410,9 +412,9 @@
 	for _, s := range list {
 		sum += s.drawWeight
 	}
-	at := g.rng.Float64() * sum
+	remaining := g.rng.Float64() * sum
 	for _, s := range list {
-		if at -= s.drawWeight; at < 0 {
+		if remaining -= s.drawWeight; remaining < 0 {
 			return s
 		}
 	}
@@ -433,7 +435,7 @@
 	return sum
 }
 
-// enqueue puts a request in its customer's queue, in front if its units are taken.
+// enqueue puts a request in its customer's queue, in front if its units are already charged.
 func (g *Gateway) enqueue(r *request) {
 	if len(r.customer.held) == 0 {
 		g.waitingCustomers = append(g.waitingCustomers, r.customer)
@@ -465,7 +467,7 @@
 	return 1
 }
 
-// newGateway returns a gateway with empty tables.
+// newGateway returns a gateway without customers, servers and peers.
 func newGateway(s Settings, seed uint64) *Gateway {
 	g := &Gateway{settings: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		classes: map[string]*class{}, plans: map[string]*quota{}, customers: map[uint64]*customer{},
@@ -491,7 +493,7 @@
 	}
 }
 
-// peer returns the state of a gateway, made at first use.
+// peer returns the state of another gateway, and creates it at first use.
 func (g *Gateway) peer(num int) *peer {
 	if g.peers[num] == nil {
 		g.peers[num] = &peer{num: num}
@@ -514,7 +516,7 @@
 	}
 }
 
-// requestServerList asks for the server list once, where it must be asked for.
+// requestServerList subscribes to the server list once, where the settings require it.
 func (g *Gateway) requestServerList() {
 	if g.settings.MustWatch && !g.watchSent {
 		g.watchSent = true
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -63,8 +63,8 @@
 	return t
 }
 
-// newTag returns a tag for a request, with the mark of table t. The check covers the counter
-// too, so that an older program's tags pass it now and then, not always.
+// newTag returns a tag for a request, with the mark of table t. The check bits cover the counter
+// too, so that an older program's successive tags don't all pass the check.
 func (g *Gateway) newTag(t *table) uint32 {
 	g.nextTag++
 	body := uint32(t.mark)<<countBits&(1<<(32-checkBits)-1) | g.nextTag&(1<<countBits-1)
@@ -116,7 +116,7 @@
 // determined; a gateway whose table is not known is sent the mark of the newest table here.
 func (g *Gateway) resolveAsk(from int, m *askMessage) (*quota, *class) {
 	if g.shuttingDown {
-		return nil, nil // another gateway sums these counts by now
+		return nil, nil // another gateway sums these counts now
 	}
 	mark, marked := tagMark(m.Tag)
 	t := g.tables[0]
@@ -278,8 +278,8 @@
 // a new one, so that pending requests keep the old settings. It returns the removed classes.
 func (g *Gateway) replaceClasses(list []Class) (old map[string]*class) {
 	old = g.classes
-	g.classes, g.minAim = map[string]*class{}, math.Inf(1)
-	oldIndexes := make([]int, len(list)) // index before
+	g.classes, g.minTarget = map[string]*class{}, math.Inf(1)
+	oldIndexes := make([]int, len(list)) // in the old settings; -1: new
 	for i, c := range list {
 		oldIndexes[i] = -1
 		cl := old[c.Name]
@@ -289,7 +289,7 @@
 			cl = &class{Class: c, meanLatency: cl.meanLatency, outcomes: cl.outcomes}
 		}
 		g.classes[c.Name] = cl
-		g.minAim = min(g.minAim, c.LatencyTarget.Seconds())
+		g.minTarget = min(g.minTarget, c.LatencyTarget.Seconds())
 	}
 	for _, cl := range old {
 		cl.index = -1
@@ -302,13 +302,13 @@
 		}
 	}
 	for _, srv := range g.tracked {
-		by := make([]classHealth, len(list))
+		health := make([]classHealth, len(list))
 		for i, at := range oldIndexes {
 			if at >= 0 {
-				by[i] = srv.health[at]
+				health[i] = srv.health[at]
 			}
 		}
-		srv.health = by
+		srv.health = health
 	}
 	return old
 }
