--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -9,14 +9,17 @@
 
 const (
 	// Shares of the file descriptors. A request needs one for its client and one for its server.
-	clientShare, serverShare = 0.5, 0.35
+	clientShare = 0.5
+	serverShare = 0.35
 
 	// Descriptors of the runtime, the log, the listeners, snapshots and the configuration file, and four for
 	// connections of operators.
 	reservedDescriptors = 19
 
-	// Concurrent calls to discovery: one for each so many descriptors, but at least minDiscoveryCalls.
-	minDiscoveryCalls, descriptorsPerDiscoveryCall = 2, 16
+	// Limit on concurrent calls to discovery: one per descriptorsPerDiscoveryCall, but at least
+	// minDiscoveryCalls and at most maxDiscoveryCalls.
+	minDiscoveryCalls           = 2
+	descriptorsPerDiscoveryCall = 16
 )
 
 // connLimits returns the limits on client connections and on server connections for a configuration file.
@@ -30,9 +33,9 @@
 }
 
 // usableDescriptors returns the number of descriptors that the process can use, and the limit of the
-// system. The system may allow fewer than the file says. With the figure of the file, client connections
-// would then use up the descriptors that their requests need for server connections, and no request would
-// be served.
+// system. The system may allow fewer than the file says. With the larger number of the file, client
+// connections would use up the descriptors that their requests need for server connections, and no request
+// would be served.
 func usableDescriptors(f *config.File) (n int, allowed uint64) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(f.Sockets) {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -35,7 +35,10 @@
 
 	// Fractions of the drain grace period, within which requests to a draining server must end; used where
 	// discovery pushes the list.
-	pollTimeoutFraction, pollSlackFraction, hedgeDelayFraction, maxBackoffFraction = 0.25, 0.125, 0.25, 0.125
+	pollTimeoutFraction = 0.25
+	pollSlackFraction   = 0.125
+	hedgeDelayFraction  = 0.25
+	maxBackoffFraction  = 0.125
 
 	// Lower bounds of the times computed from these fractions.
 	minPollTime   = 50 * time.Millisecond
@@ -51,9 +54,9 @@
 	maxResponseTime   = 10 * time.Second // limit on a response that makes progress
 )
 
-// callTiming holds the timeouts and pauses of calls to discovery. A watch that got lost looks like one
-// without changes. A call that a silent agent dropped is never answered, although the agent may
-// be back a moment later; from then on its changes count as announced to this edge node.
+// callTiming holds the timeouts and pauses of calls to discovery. A lost watch looks like a watch without
+// changes. A call that the agent dropped during an outage is never answered, even after the agent has
+// recovered, but from the recovery on its changes count as announced to this edge node.
 type callTiming struct {
 	pollTimeout  time.Duration // long-poll time: discovery answers a watch by then, with or without changes
 	pollSlack    time.Duration // a watch fails this much after its long-poll time
@@ -72,8 +75,8 @@
 }
 
 // pollTiming is the timing where the edge node must poll for the list: all edge nodes share one service,
-// which many calls overload. A change that a silent watch misses counts as announced 6 s after the
-// watch fell silent. The watch fails after 4 s, and the call that follows does not long-poll.
+// which many calls overload. A change that a lost watch misses counts as announced 6 s after the watch was
+// lost. The watch fails after 4 s, and the call that follows does not long-poll.
 var pollTiming = callTiming{pollTimeout: 3 * time.Second, pollSlack: time.Second,
 	hedgeDelay: 2 * time.Second, callTimeout: 2 * time.Second, shortTimeout: 500 * time.Millisecond,
 	maxChangePause: 150 * time.Millisecond, maxCalls: 1, maxBackoff: 400 * time.Millisecond, jitter: 0.5}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -20,137 +20,140 @@
 	"valvering.example/valvering/policy"
 )
 
-// pipes is a network of one listener.
-type pipes struct {
-	next chan net.Conn
-	over chan struct{} // closed with the listener
+// pipeListener is a listener that also dials: each dial yields an in-memory connection.
+type pipeListener struct {
+	dialed chan net.Conn
+	closed chan struct{} // closed by Close
 }
 
-func newPipes() pipes { return pipes{make(chan net.Conn), make(chan struct{})} }
+func newPipeListener() pipeListener { return pipeListener{make(chan net.Conn), make(chan struct{})} }
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.next:
+	case c := <-p.dialed:
 		return c, nil
-	case <-p.over:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p pipes) Close() error   { close(p.over); return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { close(p.closed); return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p pipes) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
+func (p pipeListener) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
 	client, agent := net.Pipe()
 	select {
-	case p.next <- agent:
+	case p.dialed <- agent:
 		return client, nil
-	case <-p.over:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// agent is discovery in a synctest bubble. Calls that it swallows are never answered,
-// also not once it is back.
-type agent struct {
-	mu     sync.Mutex
-	rev    int64
-	silent bool
-	muted  int           // so many watches that are opened from now on fall silent
-	turn   chan struct{} // closed at a change of any kind
+// fakeAgent is a discovery agent in a synctest bubble. Calls that it receives while it is silent are never
+// answered, even if the agent recovers.
+type fakeAgent struct {
+	mu            sync.Mutex
+	rev           int64
+	silent        bool
+	watchesToDrop int           // number of the next watches that are never answered
+	changed       chan struct{} // closed and replaced at each change
 }
 
-func (a *agent) set(do func()) {
+func (a *fakeAgent) set(change func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	do()
-	close(a.turn)
-	a.turn = make(chan struct{})
+	change()
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	never := func() { <-r.Context().Done() }
+func (a *fakeAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	hang := func() { <-r.Context().Done() }
 	q := r.URL.Query()
 	ms, _ := strconv.Atoi(q.Get("timeout_ms"))
-	until := time.After(time.Duration(ms) * time.Millisecond)
+	timeout := time.After(time.Duration(ms) * time.Millisecond)
 	a.mu.Lock()
 	if a.silent {
 		a.mu.Unlock()
-		never()
+		hang()
 		return
 	}
-	if ms > 0 && a.muted > 0 {
-		a.muted--
+	if ms > 0 && a.watchesToDrop > 0 {
+		a.watchesToDrop--
 		a.mu.Unlock()
-		never()
+		hang()
 		return
 	}
-	for late := false; q.Get("since") == strconv.FormatInt(a.rev, 10) && !late; {
-		turn := a.turn
+	for timedOut := false; q.Get("since") == strconv.FormatInt(a.rev, 10) && !timedOut; {
+		changed := a.changed
 		a.mu.Unlock()
 		select {
-		case <-turn:
-		case <-until:
-			late = true
+		case <-changed:
+		case <-timeout:
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
 		if a.mu.Lock(); a.silent {
 			a.mu.Unlock()
-			never()
+			hang()
 			return
 		}
 	}
-	l := serverList{Rev: a.rev, All: true, Targets: []target{serving("s-00000001", "10.0.0.1:1")}}
+	l := serverList{Rev: a.rev, All: true, Targets: []target{servingTarget("s-00000001", "10.0.0.1:1")}}
 	a.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// What the agent has counts as told, whether or not it was heard: work out how late a
-// change can be heard, whatever moment an outage, a silent watch or two in a row begin at,
-// and with graces long and short. All is in simulated time.
-func TestChangesAreHeardWithinTheGrace(t *testing.T) {
-	const way = drainGraceMargin // what sending, the loop and the last write may take
-	type day struct {
+// A change counts as announced once the agent has it, whether or not the edge node receives it. The test
+// determines how late the edge node can receive a change, for outages and lost watches that begin at
+// different times, and for short and long grace periods, in simulated time.
+func TestChangesArriveWithinGrace(t *testing.T) {
+	const margin = drainGraceMargin // time for the network, the loop and the last write
+	type scenario struct {
 		name string
-		play func(a *agent, from time.Duration) (toldBy time.Duration) // since the play's begin
+		// run returns when its last change counts as announced, as a delay from its return.
+		run func(a *fakeAgent, offset time.Duration) (announcedAfter time.Duration)
 	}
-	days := []day{
-		{"an outage", func(a *agent, from time.Duration) time.Duration {
-			time.Sleep(from)
+	scenarios := []scenario{
+		{"an outage", func(a *fakeAgent, offset time.Duration) time.Duration {
+			time.Sleep(offset)
 			a.set(func() { a.silent = true })
-			time.Sleep(from/2 + time.Millisecond)
+			time.Sleep(offset/2 + time.Millisecond)
 			a.set(func() { a.silent, a.rev = false, 2 })
 			return 0
 		}},
-		{"a silent watch", func(a *agent, from time.Duration) time.Duration {
-			time.Sleep(from)
-			a.set(func() { a.muted, a.rev = 1, 2 })
+		{"a lost watch", func(a *fakeAgent, offset time.Duration) time.Duration {
+			time.Sleep(offset)
+			a.set(func() { a.watchesToDrop, a.rev = 1, 2 })
 			time.Sleep(time.Millisecond)
-			a.set(func() { a.rev = 3 }) // missed by the watch that was just opened
+			a.set(func() { a.rev = 3 }) // the watch that was just opened misses this change
 			return 6 * time.Second
 		}},
-		{"two silent watches", func(a *agent, from time.Duration) time.Duration {
-			time.Sleep(from)
-			a.set(func() { a.muted, a.rev = 2, 2 })
+		{"two lost watches", func(a *fakeAgent, offset time.Duration) time.Duration {
+			time.Sleep(offset)
+			a.set(func() { a.watchesToDrop, a.rev = 2, 2 })
 			time.Sleep(time.Millisecond)
 			a.set(func() { a.rev = 3 })
 			return 6 * time.Second
 		}},
 	}
-	for _, ask := range []bool{false, true} {
-		for _, grace := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second} {
-			for _, d := range days {
-				if ask && d.name == "an outage" {
-					continue // of the agent that pushes
+	for _, polls := range []bool{false, true} {
+		for _, grace := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond,
+			2 * time.Second} {
+			for _, d := range scenarios {
+				if polls && d.name == "an outage" {
+					continue // concerns only an agent that pushes
 				}
-				for from := time.Duration(0); from < 5*time.Second; from += 83 * time.Millisecond {
+				for offset := time.Duration(0); offset < 5*time.Second; offset += 83 * time.Millisecond {
 					synctest.Test(t, func(t *testing.T) {
-						late := hearsAfter(t, ask, grace, from, d.play)
-						if late > grace-way {
-							t.Errorf("asked for %v, grace %v, %s from %v: heard %v after it was told", ask, grace, d.name, from, late)
+						delay := deliveryDelay(t, polls, grace, offset, d.run)
+						if delay > grace-margin {
+							t.Errorf("polls %v, grace %v, %s at %v: received %v after the announcement",
+								polls, grace, d.name, offset, delay)
 						}
 					})
 				}
@@ -159,78 +162,80 @@
 	}
 }
 
-// hearsAfter plays and returns how long after it counted as told the last change was heard.
-func hearsAfter(t *testing.T, ask bool, grace, from time.Duration, play func(*agent, time.Duration) time.Duration) time.Duration {
-	f := &config.File{Discovery: "agent", DrainGrace: grace, Settings: policy.Settings{MustWatch: ask}}
-	network, a := newPipes(), &agent{rev: 1, turn: make(chan struct{})}
+// deliveryDelay runs a scenario and returns how long after its announcement the last change was received.
+func deliveryDelay(t *testing.T, polls bool, grace, offset time.Duration,
+	run func(*fakeAgent, time.Duration) time.Duration) time.Duration {
+	f := &config.File{Discovery: "agent", DrainGrace: grace, Settings: policy.Settings{MustWatch: polls}}
+	network, a := newPipeListener(), &fakeAgent{rev: 1, changed: make(chan struct{})}
 	srv := &http.Server{Handler: a}
 	go func() { _ = srv.Serve(network) }()
-	type word struct {
+	type delivery struct {
 		rev int64
 		at  time.Time
 	}
-	heard := make(chan word, 1000)
+	delivered := make(chan delivery, 1000)
 	d := newDiscovery(f, func(l *serverList, _ policy.UpdateKind) {
 		if l != nil {
-			heard <- word{l.Rev, time.Now()}
+			delivered <- delivery{l.Rev, time.Now()}
 		}
 	})
 	d.client.Transport.(*http.Transport).DialContext = network.DialContext
-	ctx, end := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { d.run(ctx); close(done) }()
-	told := play(a, from)
+	announcedAfter := run(a, offset)
 	a.mu.Lock()
 	last := a.rev
 	a.mu.Unlock()
-	by := time.Now().Add(told)
-	w := word{}
-	for limit := time.After(time.Minute); w.rev != last; {
+	announcedAt := time.Now().Add(announcedAfter)
+	received := delivery{}
+	for limit := time.After(time.Minute); received.rev != last; {
 		select {
-		case w = <-heard:
+		case received = <-delivered:
 		case <-limit:
-			t.Fatalf("revision %d never heard", last)
+			t.Fatalf("revision %d never received", last)
 		}
 	}
-	end()
+	cancel()
 	<-done
 	_ = srv.Close()
-	return w.at.Sub(by)
+	return received.at.Sub(announcedAt)
 }
 
-// An agent that stays silent is told of, though calls go on being made beside one another;
-// where calls cost there is one at a time.
-func TestSilentAgentIsToldOf(t *testing.T) {
-	for _, ask := range []bool{false, true} {
+// The failures of a silent agent are reported even while parallel calls are made. Where the list is polled,
+// only one call is in flight at a time.
+func TestReportsSilentAgent(t *testing.T) {
+	for _, polls := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			network := newPipes()
-			var out, most atomic.Int32
+			network := newPipeListener()
+			var inFlight, maxInFlight atomic.Int32
 			srv := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-				if n := out.Add(1); n > most.Load() {
-					most.Store(n)
+				if n := inFlight.Add(1); n > maxInFlight.Load() {
+					maxInFlight.Store(n)
 				}
 				<-r.Context().Done()
-				out.Add(-1)
+				inFlight.Add(-1)
 			})}
 			go func() { _ = srv.Serve(network) }()
-			told := make(chan time.Time, 1000)
+			reports := make(chan time.Time, 1000)
 			began := time.Now()
-			f := &config.File{Discovery: "agent", DrainGrace: 2 * time.Second, Settings: policy.Settings{MustWatch: ask}}
-			d := newDiscovery(f, func(*serverList, policy.UpdateKind) { told <- time.Now() })
+			f := &config.File{Discovery: "agent", DrainGrace: 2 * time.Second,
+				Settings: policy.Settings{MustWatch: polls}}
+			d := newDiscovery(f, func(*serverList, policy.UpdateKind) { reports <- time.Now() })
 			d.client.Transport.(*http.Transport).DialContext = network.DialContext
-			ctx, end := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { d.run(ctx); close(done) }()
 			for range 3 {
-				<-told
+				<-reports
 			}
-			if past := time.Since(began); past < 3*time.Second || past > 8*time.Second {
-				t.Errorf("asked for %v: the third failure told of after %v", ask, past)
+			if elapsed := time.Since(began); elapsed < 3*time.Second || elapsed > 8*time.Second {
+				t.Errorf("polls %v: the third failure reported after %v", polls, elapsed)
 			}
-			if n := most.Load(); ask && n != 1 || !ask && (n < 2 || n > maxDiscoveryCalls) {
-				t.Errorf("asked for %v: %d calls beside one another", ask, n)
+			if n := maxInFlight.Load(); polls && n != 1 || !polls && (n < 2 || n > maxDiscoveryCalls) {
+				t.Errorf("polls %v: %d calls in parallel", polls, n)
 			}
-			end()
+			cancel()
 			<-done
 			_ = srv.Close()
 			time.Sleep(time.Minute)
@@ -238,33 +243,35 @@
 	}
 }
 
-// An agent that takes longer than a call is expected to is heard all the same.
-func TestSlowAgentIsHeard(t *testing.T) {
-	for _, slow := range []time.Duration{600 * time.Millisecond, 700 * time.Millisecond, 1900 * time.Millisecond} {
+// The list of an agent that responds later than expected is still received.
+func TestSlowAgent(t *testing.T) {
+	for _, slow := range []time.Duration{600 * time.Millisecond, 700 * time.Millisecond,
+		1900 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			network := newPipes()
+			network := newPipeListener()
 			srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				time.Sleep(slow)
 				_ = json.NewEncoder(w).Encode(serverList{Rev: 9, All: true})
 			})}
 			go func() { _ = srv.Serve(network) }()
-			heard := make(chan time.Time, 100)
+			delivered := make(chan time.Time, 100)
 			began := time.Now()
-			d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: 2 * time.Second}, func(l *serverList, _ policy.UpdateKind) {
-				if l != nil {
-					heard <- time.Now()
-				}
-			})
+			d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: 2 * time.Second},
+				func(l *serverList, _ policy.UpdateKind) {
+					if l != nil {
+						delivered <- time.Now()
+					}
+				})
 			d.client.Transport.(*http.Transport).DialContext = network.DialContext
-			ctx, end := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { d.run(ctx); close(done) }()
-			for want := range 3 { // also where watches are held to be broken
-				if at := <-heard; want == 0 && at.Sub(began) > slow+time.Millisecond {
-					t.Errorf("an agent that takes %v was heard after %v", slow, at.Sub(began))
+			for i := range 3 { // also after watches have failed
+				if at := <-delivered; i == 0 && at.Sub(began) > slow+time.Millisecond {
+					t.Errorf("an agent that takes %v: received after %v", slow, at.Sub(began))
 				}
 			}
-			end()
+			cancel()
 			<-done
 			_ = srv.Close()
 			time.Sleep(time.Minute)
@@ -272,62 +279,62 @@
 	}
 }
 
-// A version that goes back is another list's: it is asked for whole, not for what has
-// changed since.
-func TestVersionGoesBack(t *testing.T) {
+// A lower version belongs to another list: the next call must fetch the whole list instead of changes.
+func TestLowerVersionRefetchesList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network, asked := newPipes(), make(chan string, 100)
+		network, requested := newPipeListener(), make(chan string, 100)
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- r.URL.Query().Get("since")
+			requested <- r.URL.Query().Get("since")
 			l := serverList{Rev: 9, All: true}
 			if r.URL.Query().Get("since") != "" {
 				time.Sleep(100 * time.Millisecond)
-				l = serverList{Rev: 3, Targets: []target{serving("s-00000001", "10.0.0.1:1")}}
+				l = serverList{Rev: 3, Targets: []target{servingTarget("s-00000001", "10.0.0.1:1")}}
 			}
 			_ = json.NewEncoder(w).Encode(l)
 		})}
 		go func() { _ = srv.Serve(network) }()
-		d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: time.Second}, func(*serverList, policy.UpdateKind) {})
+		d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: time.Second},
+			func(*serverList, policy.UpdateKind) {})
 		d.client.Transport.(*http.Transport).DialContext = network.DialContext
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { d.run(ctx); close(done) }()
 		for i, want := range []string{"", "9", "", "9"} {
-			if got := <-asked; got != want {
+			if got := <-requested; got != want {
 				t.Errorf("call %d: since %q, want %q", i, got, want)
 			}
 		}
-		end()
+		cancel()
 		<-done
 		_ = srv.Close()
-		time.Sleep(time.Second) // for the answer that was being made
+		time.Sleep(time.Second) // for the handler that is still sleeping
 	})
 }
 
-// logLines counts the lines of the log that warn, and keeps the last.
-type logLines struct {
+// warningLog counts the warnings in the log and stores the last one.
+type warningLog struct {
 	slog.Handler
 	mu    sync.Mutex
-	warns int
+	count int
 	last  string
 }
 
-func (l *logLines) Enabled(context.Context, slog.Level) bool { return true }
+func (l *warningLog) Enabled(context.Context, slog.Level) bool { return true }
 
-func (l *logLines) Handle(_ context.Context, r slog.Record) error {
+func (l *warningLog) Handle(_ context.Context, r slog.Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r.Level >= slog.LevelWarn {
-		l.warns++
+		l.count++
 		l.last = r.Message
 		r.Attrs(func(a slog.Attr) bool { l.last += " " + a.String(); return true })
 	}
 	return nil
 }
 
-// A list that can't be used changes nothing, however often it comes: the one held stays,
-// and one line of the log tells what is wrong and where.
-func TestRefusedListsChangeNothing(t *testing.T) {
+// Lists that can't be parsed change nothing, however often they arrive: the last list stays in force, and
+// one log line says what is wrong and where.
+func TestInvalidListsChangeNothing(t *testing.T) {
 	line := func(i int) string {
 		return fmt.Sprintf(`{"uid":"s-%08x","endpoint":"10.0.0.1:1","state":"SERVING"}`, i)
 	}
@@ -350,11 +357,11 @@
 		"over 26214 lines":   endless("," + line(1)),
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			log := &logLines{Handler: slog.DiscardHandler}
+			log := &warningLog{Handler: slog.DiscardHandler}
 			before := slog.Default()
 			slog.SetDefault(slog.New(log))
 			defer slog.SetDefault(before)
-			network := newPipes()
+			network := newPipeListener()
 			var watches atomic.Int32
 			srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				switch since := r.URL.Query().Get("since"); {
@@ -372,26 +379,28 @@
 				rev  int64
 				kind policy.UpdateKind
 			}
-			heard := make(chan event, 100)
-			d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: 2 * time.Second, MemoryMB: 16}, func(l *serverList, kind policy.UpdateKind) {
-				if l == nil {
-					l = &serverList{}
-				}
-				heard <- event{l.Rev, kind}
-			})
+			delivered := make(chan event, 100)
+			d := newDiscovery(&config.File{Discovery: "agent", DrainGrace: 2 * time.Second, MemoryMB: 16},
+				func(l *serverList, kind policy.UpdateKind) {
+					if l == nil {
+						l = &serverList{}
+					}
+					delivered <- event{l.Rev, kind}
+				})
 			d.client.Transport.(*http.Transport).DialContext = network.DialContext
-			ctx, end := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { d.run(ctx); close(done) }()
-			for i, want := range []event{{9, policy.FullList}, {0, policy.WatchFailed}, {0, policy.WatchFailed}, {0, policy.WatchFailed}, {11, policy.Changes}} {
-				if got := <-heard; got != want {
+			for i, want := range []event{{9, policy.FullList}, {0, policy.WatchFailed},
+				{0, policy.WatchFailed}, {0, policy.WatchFailed}, {11, policy.Changes}} {
+				if got := <-delivered; got != want {
 					t.Errorf("%s: event %d: %+v, want %+v", place, i, got, want)
 				}
 			}
-			if log.warns != 1 || !strings.Contains(log.last, place) || len(log.last) > 500 {
-				t.Errorf("%d warnings, the last %q, want one that names %q", log.warns, log.last, place)
+			if log.count != 1 || !strings.Contains(log.last, place) || len(log.last) > 500 {
+				t.Errorf("%d warnings, the last %q, want one that names %q", log.count, log.last, place)
 			}
-			end()
+			cancel()
 			<-done
 			_ = srv.Close()
 			time.Sleep(time.Minute)
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -20,24 +20,24 @@
 	"valvering.example/valvering/internal/testkit"
 )
 
-const patience = 10 * time.Second // how long a client waits for an answer
+const clientTimeout = 10 * time.Second // how long a test client waits for a response
 
-// app is an app server that does with each request what the test says.
-type app struct {
-	ln    net.Listener
-	conns atomic.Int32 // accepted
-	seen  atomic.Int32 // requests that came whole
-	ended atomic.Int32 // connections that the edge node ended
+// testServer is a server that handles each request as the test specifies.
+type testServer struct {
+	ln           net.Listener
+	conns        atomic.Int32 // accepted
+	requests     atomic.Int32 // complete requests received
+	closedByNode atomic.Int32 // connections that the edge node closed
 }
 
-// newApp serves with do, which returns false to end the connection.
-func newApp(t *testing.T, do func(c net.Conn, r *http.Request, body string) bool) *app {
+// newTestServer starts a server. handle returns false to close the connection.
+func newTestServer(t *testing.T, handle func(c net.Conn, r *http.Request, body string) bool) *testServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &app{ln: ln}
+	a := &testServer{ln: ln}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -53,15 +53,15 @@
 				for {
 					r, err := http.ReadRequest(br)
 					if err != nil {
-						a.ended.Add(1)
+						a.closedByNode.Add(1)
 						return
 					}
 					body, err := io.ReadAll(r.Body)
 					if err != nil {
 						return
 					}
-					a.seen.Add(1)
-					if !do(c, r, string(body)) {
+					a.requests.Add(1)
+					if !handle(c, r, string(body)) {
 						return
 					}
 				}
@@ -71,51 +71,51 @@
 	return a
 }
 
-func (a *app) addr() string { return a.ln.Addr().String() }
+func (a *testServer) addr() string { return a.ln.Addr().String() }
 
-// answer writes a plain answer with the given status line and headers.
-func answer(status, headers, body string) func(net.Conn, *http.Request, string) bool {
+// respondWith returns a handler that sends a response with the given status line and headers.
+func respondWith(status, headers, body string) func(net.Conn, *http.Request, string) bool {
 	return func(c net.Conn, _ *http.Request, _ string) bool {
 		fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 		return true
 	}
 }
 
-// deaf reads requests and never answers.
-func deaf(net.Conn, *http.Request, string) bool { return true }
+// neverRespond reads requests and never answers.
+func neverRespond(net.Conn, *http.Request, string) bool { return true }
 
-// refusing returns an address where nothing listens.
-var refusing = testkit.FreeAddr
+// unusedAddr returns an address where nothing listens.
+var unusedAddr = testkit.FreeAddr
 
-// registry is a discovery agent.
-type registry struct {
-	mu    sync.Mutex
-	rev   int64
-	list  []target
-	news  chan struct{} // closed at a change
-	down  bool
-	calls atomic.Int32
-	http  *http.Server
-	addr  string
+// discoveryServer is a discovery service with long-polling.
+type discoveryServer struct {
+	mu      sync.Mutex
+	rev     int64
+	list    []target
+	changed chan struct{} // closed and replaced at each change
+	down    bool
+	calls   atomic.Int32
+	http    *http.Server
+	addr    string
 }
 
-func newRegistry(t *testing.T, list ...target) *registry {
+func newDiscoveryServer(t *testing.T, list ...target) *discoveryServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &registry{rev: 1, list: list, news: make(chan struct{}), addr: ln.Addr().String()}
+	g := &discoveryServer{rev: 1, list: list, changed: make(chan struct{}), addr: ln.Addr().String()}
 	g.http = &http.Server{Handler: g}
 	go g.http.Serve(ln)
 	t.Cleanup(func() { g.http.Close() })
 	return g
 }
 
-func (g *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.calls.Add(1)
 	g.mu.Lock()
-	since, news, down := r.URL.Query().Get("since"), g.news, g.down
+	since, changed, down := r.URL.Query().Get("since"), g.changed, g.down
 	if down {
 		g.mu.Unlock()
 		w.WriteHeader(http.StatusInternalServerError)
@@ -125,7 +125,7 @@
 		g.mu.Unlock()
 		wait, _ := time.ParseDuration(r.URL.Query().Get("timeout_ms") + "ms")
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(wait):
 		case <-r.Context().Done():
 			return
@@ -140,16 +140,16 @@
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-func (g *registry) set(down bool, list ...target) {
+func (g *discoveryServer) set(down bool, list ...target) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.rev++
 	g.list, g.down = list, down
-	close(g.news)
-	g.news = make(chan struct{})
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
-func serving(uid, addr string) target {
+func servingTarget(uid, addr string) target {
 	return target{UID: uid, Endpoint: addr, Zone: "a", State: "SERVING", Weight: 1}
 }
 
@@ -165,12 +165,12 @@
 	return fileConfig(t, discovery, "", testSettings)
 }
 
-// fileConfig starts from a file, which the test may write anew; more are further
-// fields of it.
-func fileConfig(t *testing.T, discovery, more, settings string) *config.History {
+// fileConfig writes a configuration file, which the test may rewrite, and loads it. extraFields are further
+// fields of the file.
+func fileConfig(t *testing.T, discovery, extraFields, settings string) *config.History {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, discovery, more, settings)
+	writeConfig(t, path, discovery, extraFields, settings)
 	h, err := config.Start(config.Source{Getenv: func(key string) string {
 		return map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": discovery}[key]
 	}}.Load(), time.Now())
@@ -180,17 +180,17 @@
 	return h
 }
 
-func writeConfig(t *testing.T, path, discovery, more, settings string) {
+func writeConfig(t *testing.T, path, discovery, extraFields, settings string) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",%s
-		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":%s}`, discovery, more, settings)
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":%s}`, discovery, extraFields, settings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// running is an edge node under test.
-type running struct {
+// testNode is an edge node under test.
+type testNode struct {
 	*Node
 	url  string
 	term chan os.Signal
@@ -198,22 +198,23 @@
 	done chan error
 }
 
-func start(t *testing.T, cfg *config.History) *running {
+func startNode(t *testing.T, cfg *config.History) *testNode {
 	t.Helper()
-	return startFrom(t, cfg, nil)
+	return startNodeFromSnapshots(t, cfg, nil)
 }
 
-func startFrom(t *testing.T, cfg *config.History, kept *Snapshots) *running {
+func startNodeFromSnapshots(t *testing.T, cfg *config.History, snapshots *Snapshots) *testNode {
 	t.Helper()
-	n, err := New(cfg, kept)
+	n, err := New(cfg, snapshots)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &running{Node: n, url: "http://" + n.Addr().String(), term: make(chan os.Signal, 2), hup: make(chan os.Signal, 1),
+	r := &testNode{Node: n, url: "http://" + n.Addr().String(), term: make(chan os.Signal, 2),
+		hup:  make(chan os.Signal, 1),
 		done: make(chan error, 1)}
 	go func() { r.done <- n.Run(r.term, r.hup) }()
 	t.Cleanup(func() {
-		r.stop()
+		r.requestShutdown()
 		http.DefaultClient.CloseIdleConnections()
 	})
 	testkit.Eventually(t, "healthz 200", func() bool {
@@ -227,26 +228,26 @@
 	return r
 }
 
-// stop begins a planned stop, or hastens it.
-func (r *running) stop() {
+// requestShutdown sends a signal that starts a shutdown or shortens one in progress.
+func (r *testNode) requestShutdown() {
 	select {
 	case r.term <- syscall.SIGTERM:
-	default: // the second is waiting already
+	default: // two signals are queued already
 	}
 }
 
-// nodeWith starts an edge node that knows the app servers at the addresses.
-func nodeWith(t *testing.T, addrs ...string) *running {
+// startNodeWithServers starts an edge node whose discovery lists servers at the given addresses.
+func startNodeWithServers(t *testing.T, addrs ...string) *testNode {
 	t.Helper()
 	var list []target
 	for i, a := range addrs {
-		list = append(list, serving(fmt.Sprintf("s-%08x", i+1), a))
+		list = append(list, servingTarget(fmt.Sprintf("s-%08x", i+1), a))
 	}
-	return start(t, testConfig(t, newRegistry(t, list...).addr))
+	return startNode(t, testConfig(t, newDiscoveryServer(t, list...).addr))
 }
 
-// request makes a client's request; POST for the keyed class.
-func request(url, class string, deadline time.Duration) *http.Request {
+// newRequest returns a client's request. For the keyed class it is a POST.
+func newRequest(url, class string, deadline time.Duration) *http.Request {
 	method, body := http.MethodGet, ""
 	if class == "loan" {
 		method, body = http.MethodPost, "order=17"
@@ -267,8 +268,8 @@
 	return r
 }
 
-// ask sends a request and returns the whole answer.
-func ask(t *testing.T, r *http.Request) (*http.Response, string) {
+// doRequest sends a request and returns the response with its body.
+func doRequest(t *testing.T, r *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
--- a/internal/node/heartbeat.go
+++ b/internal/node/heartbeat.go
@@ -35,9 +35,9 @@
 }
 
 // lag returns the current lag of the loop, and the worst in the current and the previous window.
-func (p *heartbeat) lag(now time.Duration) (present, worst time.Duration) {
+func (p *heartbeat) lag(now time.Duration) (current, worst time.Duration) {
 	if due := time.Duration(p.nextBeat.Load()); due != 0 {
-		present = max(0, now-due)
+		current = max(0, now-due)
 	}
-	return present, max(present, time.Duration(p.worstLag.Load()))
+	return current, max(current, time.Duration(p.worstLag.Load()))
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -31,7 +31,8 @@
 	refusalRetryAfter = time.Millisecond      // Retry-After during a shortened shutdown
 	minTimerDelay     = time.Microsecond      // timers fire strictly after the event that set them
 
-	statusBadRequest, statusConflict = 400, 409
+	statusBadRequest = 400
+	statusConflict   = 409
 )
 
 // call is an open request of a client. The goroutine of the client's connection waits for commands and
@@ -428,13 +429,13 @@
 // startAttempt starts an attempt. If that is no longer possible, policy gets the outcome NotSent.
 func (l *loop) startAttempt(s policy.Send) {
 	c, now := l.calls[s.ID], l.clock.now()
-	moot := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NotSent, Answered: c == nil}
+	notSent := policy.Outcome{ID: s.ID, Server: s.Server, Code: policy.NotSent, Answered: c == nil}
 	if c != nil {
-		moot.Attempt = c.attemptCount
+		notSent.Attempt = c.attemptCount
 		c.attemptCount++
 	}
 	if c == nil || c.inFlight != nil || c.finalCommand != nil || now >= c.deadline {
-		l.pending = append(l.pending, moot)
+		l.pending = append(l.pending, notSent)
 		return
 	}
 	a := &attempt{id: s.ID, num: c.attemptCount - 1, server: s.Server, startedAt: now, deadline: c.deadline}
--- a/internal/node/message_test.go
+++ b/internal/node/message_test.go
@@ -10,9 +10,8 @@
 	"testing/iotest"
 )
 
-// What is taken for a request must mean the same to other readers: the standard
-// library's reads it too, with the same body and the same rest behind it; and
-// how the bytes come in parts changes nothing.
+// The parser must agree with the standard library's about each request that it accepts: the same body and
+// the same remaining bytes. The result must not depend on how the bytes are split across reads.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET /lookup?q=1 HTTP/1.1\r\nHost: a\r\nX-Call-Terms: units=1, spread=2\r\n\r\nrest",
@@ -26,8 +25,10 @@
 		c := clientConn{input: stream{src: bytes.NewReader(data)}}
 		err := c.readRequest()
 		slow := clientConn{input: stream{src: iotest.OneByteReader(bytes.NewReader(data))}}
-		if slowErr := slow.readRequest(); (err == nil) != (slowErr == nil) || !bytes.Equal(c.request.body, slow.request.body) {
-			t.Fatalf("whole: %v %q; byte by byte: %v %q", err, c.request.body, slowErr, slow.request.body)
+		if slowErr := slow.readRequest(); (err == nil) != (slowErr == nil) ||
+			!bytes.Equal(c.request.body, slow.request.body) {
+			t.Fatalf("in one read: %v %q; byte by byte: %v %q", err, c.request.body, slowErr,
+				slow.request.body)
 		}
 		if err != nil {
 			return
@@ -38,24 +39,25 @@
 		br := bufio.NewReader(bytes.NewReader(data))
 		r, err := http.ReadRequest(br)
 		if err != nil {
-			if !strings.Contains(err.Error(), "parse") && !strings.Contains(err.Error(), "method") && !strings.Contains(err.Error(), "Host") {
-				t.Fatalf("taken here, elsewhere: %v", err)
+			if !strings.Contains(err.Error(), "parse") && !strings.Contains(err.Error(), "method") &&
+				!strings.Contains(err.Error(), "Host") {
+				t.Fatalf("accepted here, net/http: %v", err)
 			}
-			return // a target that is no URL: it goes on as it is
+			return // net/http rejects the target, which is forwarded unchanged
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Equal(body, c.request.body) {
-			t.Fatalf("body %q, elsewhere %q, %v", c.request.body, body, err)
+			t.Fatalf("body %q, net/http: %q, %v", c.request.body, body, err)
 		}
-		there, _ := io.ReadAll(br)
-		here, _ := io.ReadAll(io.MultiReader(bytes.NewReader(c.input.buf[c.input.off:]), c.input.src))
-		if !bytes.Equal(here, there) {
-			t.Fatalf("rest %q, elsewhere %q", here, there)
+		want, _ := io.ReadAll(br)
+		rest, _ := io.ReadAll(io.MultiReader(bytes.NewReader(c.input.buf[c.input.off:]), c.input.src))
+		if !bytes.Equal(rest, want) {
+			t.Fatalf("rest %q, net/http: %q", rest, want)
 		}
 	})
 }
 
-// The same for answers.
+// The same for responses.
 func FuzzAnswer(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits",
@@ -65,7 +67,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		// Not through upstreamConn.Read, which sets deadlines on a socket.
+		// This bypasses upstreamConn.Read, which sets deadlines on a socket.
 		c := upstreamConn{input: stream{src: bytes.NewReader(data)}}
 		status, body, framed, err := c.readResponse()
 		if err != nil || !framed {
@@ -75,28 +77,28 @@
 		for range maxInterimResponses + 1 {
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil {
-				t.Fatalf("taken here, elsewhere: %v", err)
+				t.Fatalf("accepted here, net/http: %v", err)
 			}
-			there, err := io.ReadAll(resp.Body)
+			want, err := io.ReadAll(resp.Body)
 			if resp.StatusCode < 200 {
 				continue
 			}
-			if resp.StatusCode != status || err != nil || !bytes.Equal(there, body) {
-				t.Fatalf("%d %q, elsewhere %d %q, %v", status, body, resp.StatusCode, there, err)
+			if resp.StatusCode != status || err != nil || !bytes.Equal(want, body) {
+				t.Fatalf("%d %q, net/http: %d %q, %v", status, body, resp.StatusCode, want, err)
 			}
 			return
 		}
 	})
 }
 
-// The buffer grows with a large message and is let go after it.
-func TestStreamLetsGo(t *testing.T) {
+// The buffer grows for a large message and shrinks after it.
+func TestStreamShrinksBuffer(t *testing.T) {
 	s := stream{src: strings.NewReader(strings.Repeat("a", maxBodyBytes) + "b")}
 	if b, err := s.readN(maxBodyBytes); err != nil || len(b) != maxBodyBytes {
 		t.Fatal(len(b), err)
 	}
 	s.discardRead()
 	if b, err := s.readN(1); err != nil || string(b) != "b" || cap(s.buf) > 2*minBufferBytes {
-		t.Errorf("%q, %v, %d bytes kept", b, err, cap(s.buf))
+		t.Errorf("%q, %v, capacity %d", b, err, cap(s.buf))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,9 +50,9 @@
 	cancelShutdown chan chan error // requests to cancel a shutdown, each with the channel for its result
 }
 
-// New opens the sockets of an edge node. Run restores the state that kept holds and then writes snapshots
-// there; with a nil kept no snapshots are read or written.
-func New(h *config.History, kept *Snapshots) (*Node, error) {
+// New opens the sockets of an edge node. Run restores the state from snapshots and then writes new ones to
+// their store. If snapshots is nil, none are read or written.
+func New(h *config.History, snapshots *Snapshots) (*Node, error) {
 	cfg := h.Current().File
 	g, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -62,14 +62,14 @@
 	up := newUpstream(clk, roster.NewDirectory(), cfg.Settings.ReportNames)
 	clients, servers := connLimits(cfg)
 	up.applyConfig(cfg, servers)
-	n := &Node{cfg: cfg, history: h, restoreFrom: kept, cancelShutdown: make(chan chan error), upstream: up,
-		loop: newLoop(clk, g, up)}
+	n := &Node{cfg: cfg, history: h, restoreFrom: snapshots, cancelShutdown: make(chan chan error),
+		upstream: up, loop: newLoop(clk, g, up)}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.server = newHTTPServer(clk, h.Current(), up, n.loop.events, clients)
 	n.publish()
 	n.loop.generation, n.loop.onApply, n.loop.reparse = h.Current(), n.onApply, n.server.parseHeaders
 	n.loop.pollsDiscovery = cfg.Settings.MustWatch
-	hasRememberedList := false // whether there is a remembered list
+	hasRememberedList := false // a list of the configuration or of a snapshot is in force
 	n.loop.onServerList = func(kind policy.UpdateKind) {
 		switch kind {
 		case policy.FullList:
@@ -112,8 +112,8 @@
 		return nil, err
 	}
 	n.discovery = newDiscovery(cfg, n.loop.postList)
-	if kept != nil {
-		n.snapshots = newSnapshotWriter(kept.Store, up.directory, n.status.Load)
+	if snapshots != nil {
+		n.snapshots = newSnapshotWriter(snapshots.Store, up.directory, n.status.Load)
 		n.loop.snapshots = n.snapshots
 	}
 	return n, nil
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,95 +18,97 @@
 	"valvering.example/valvering/policy"
 )
 
-// What goes on to an app server, and what comes back, is unchanged; each
-// request is written once.
+// Requests and responses are forwarded unchanged, and each request is written to a server once.
 func TestServes(t *testing.T) {
 	var got atomic.Value
-	a := newApp(t, func(c net.Conn, r *http.Request, body string) bool {
-		got.Store(fmt.Sprint(r.Method, r.RequestURI, body, r.Header.Get("X-Request-Id"), r.Header.Get("Idempotency-Key")))
-		return answer("200 OK", "", "placed\x00")(c, r, body)
+	a := newTestServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		got.Store(fmt.Sprint(r.Method, r.RequestURI, body, r.Header.Get("X-Request-Id"),
+			r.Header.Get("Idempotency-Key")))
+		return respondWith("200 OK", "", "placed\x00")(c, r, body)
 	})
-	n := nodeWith(t, a.addr())
+	n := startNodeWithServers(t, a.addr())
 	for class, want := range map[string]string{
 		"lookup": "GET/lookup?q=19b1f03aa5c7e2d41",
 		"loan":   "POST/loan?q=1order=179b1f03aa5c7e2d415c0f6e1a2b3d4c59a8b7c6d5e4f30211",
 	} {
-		resp, body := ask(t, request(n.url, class, patience))
+		resp, body := doRequest(t, newRequest(n.url, class, clientTimeout))
 		if resp.StatusCode != 200 || body != "placed\x00" || got.Load() != want {
-			t.Errorf("%s: %d %q, sent on %q, want %q", class, resp.StatusCode, body, got.Load(), want)
+			t.Errorf("%s: %d %q, forwarded %q, want %q", class, resp.StatusCode, body, got.Load(), want)
 		}
 	}
-	if s := a.seen.Load(); s != 2 {
+	if s := a.requests.Load(); s != 2 {
 		t.Errorf("2 requests were written %d times", s)
 	}
 }
 
-// An attempt that never ran goes elsewhere; the client sees one answer.
-func TestGoesElsewhere(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "hits"))
-	n := nodeWith(t, refusing(t), a.addr())
+// An attempt that never ran is repeated on another server. The client gets one response.
+func TestRetriesOnAnotherServer(t *testing.T) {
+	a := newTestServer(t, respondWith("200 OK", "", "hits"))
+	n := startNodeWithServers(t, unusedAddr(t), a.addr())
 	for range 20 {
-		if resp, body := ask(t, request(n.url, "loan", patience)); resp.StatusCode != 200 || body != "hits" {
+		if resp, body := doRequest(t, newRequest(n.url, "loan", clientTimeout)); resp.StatusCode != 200 ||
+			body != "hits" {
 			t.Fatalf("%d %q", resp.StatusCode, body)
 		}
 	}
 }
 
-// A keyed request that may have run goes to its own group of servers only, and
-// a refusal is ruled out: it would say that a retry is harmless.
-func TestKeyedMayHaveRun(t *testing.T) {
+// A keyed request that may have run may be retried only within the same cell. It must not be refused
+// either, since a refusal tells the client that a retry is harmless.
+func TestKeyedRequestThatMayHaveRunFails(t *testing.T) {
 	breaks := func(net.Conn, *http.Request, string) bool { return false }
-	a, b := newApp(t, breaks), newApp(t, breaks)
-	other := serving("s-00000002", b.addr())
+	a, b := newTestServer(t, breaks), newTestServer(t, breaks)
+	other := servingTarget("s-00000002", b.addr())
 	other.Cell = 1
-	n := start(t, testConfig(t, newRegistry(t, serving("s-00000001", a.addr()), other).addr))
-	resp, _ := ask(t, request(n.url, "loan", patience))
-	if resp.StatusCode != http.StatusBadGateway || a.seen.Load()+b.seen.Load() != 1 {
-		t.Errorf("%d after %d and %d attempts", resp.StatusCode, a.seen.Load(), b.seen.Load())
+	n := startNode(t, testConfig(t, newDiscoveryServer(t, servingTarget("s-00000001", a.addr()), other).addr))
+	resp, _ := doRequest(t, newRequest(n.url, "loan", clientTimeout))
+	if resp.StatusCode != http.StatusBadGateway || a.requests.Load()+b.requests.Load() != 1 {
+		t.Errorf("%d after %d and %d attempts", resp.StatusCode, a.requests.Load(), b.requests.Load())
 	}
 }
 
-// A server that never answers: the client gets a failure before its deadline,
-// and the attempt does not stay out.
+// If a server never responds, the client gets a failure before its deadline, and the connection of the
+// attempt is closed.
 func TestAnswersBeforeTheDeadline(t *testing.T) {
-	a := newApp(t, deaf)
-	n := nodeWith(t, a.addr())
-	resp, _ := ask(t, request(n.url, "loan", 300*time.Millisecond))
+	a := newTestServer(t, neverRespond)
+	n := startNodeWithServers(t, a.addr())
+	resp, _ := doRequest(t, newRequest(n.url, "loan", 300*time.Millisecond))
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%d", resp.StatusCode)
 	}
-	testkit.Eventually(t, "the end of the attempt", func() bool { return a.ended.Load() == 1 })
+	testkit.Eventually(t, "the connection of the attempt closed",
+		func() bool { return a.closedByNode.Load() == 1 })
 }
 
-// What the module has given up on is answered at once, with its advice.
-func TestRefusesAtOnce(t *testing.T) {
-	n := nodeWith(t, refusing(t))
-	r := request(n.url, "loan", patience)
-	r.Header.Set("X-Tier", "tiny") // its store holds less than the request takes
+// A request that policy refuses is answered at once, with a Retry-After header.
+func TestRefusesImmediately(t *testing.T) {
+	n := startNodeWithServers(t, unusedAddr(t))
+	r := newRequest(n.url, "loan", clientTimeout)
+	r.Header.Set("X-Tier", "tiny") // its token bucket holds less than the request needs
 	began := time.Now()
-	resp, _ := ask(t, r)
-	if time.Since(began) > patience/2 {
-		t.Error("held back")
+	resp, _ := doRequest(t, r)
+	if time.Since(began) > clientTimeout/2 {
+		t.Error("the refusal was delayed")
 	}
 	if resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") != "1.5" {
 		t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 }
 
-// The backstop: what the module leaves open is failed, not refused, while an
-// attempt is out, and its connection is closed first.
+// A request that policy leaves open past its deadline is failed. With an attempt in flight it is not
+// refused, and the connection of the attempt is closed first.
 func TestBackstop(t *testing.T) {
 	c := clock{time.Now()}
 	l := newLoop(c, nil, nil)
-	out := &attempt{id: 1, cancelled: false}
-	k := &call{commands: make(chan command, 1), inFlight: out}
+	inFlight := &attempt{id: 1, cancelled: false}
+	k := &call{commands: make(chan command, 1), inFlight: inFlight}
 	k.ID = 1
 	l.calls[1] = k
 	l.finish(k, command{refuse: true})
-	if !out.cancelled || len(k.commands) != 0 {
-		t.Fatalf("called back %v, answers %d", out.cancelled, len(k.commands))
+	if !inFlight.cancelled || len(k.commands) != 0 {
+		t.Fatalf("cancelled %v, %d responses", inFlight.cancelled, len(k.commands))
 	}
-	l.finish(k, command{}) // a second end changes nothing
+	l.finish(k, command{}) // a second call changes nothing
 	k.inFlight = nil
 	l.respond(k, *k.finalCommand)
 	if cmd := <-k.commands; cmd.refuse || cmd.attempt != nil || len(l.calls) != 0 {
@@ -114,9 +116,9 @@
 	}
 }
 
-// A client that closes its connection has gone away: nothing more may be sent
-// for it, and what is held for it is let go.
-func TestClientGone(t *testing.T) {
+// After a client has disconnected, no attempt is started for its requests, and a waiting request is
+// removed.
+func TestClientDisconnects(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1").Current().File
 	g, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -136,107 +138,123 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	l := newLoop(clock{time.Now()}, g, pool(refusing(t)))
+	l := newLoop(clock{time.Now()}, g, newTestUpstream(unusedAddr(t)))
 	cc := &clientConn{Conn: conn}
 	cc.readAhead.beginWait()
-	held, out := &call{client: cc, commands: make(chan command, 1)}, &call{client: cc, commands: make(chan command, 1)}
-	held.ID, out.ID, out.inFlight = 1, 2, &attempt{id: 2, writeBegun: true}
-	held.deadline, out.deadline = l.clock.now()+time.Hour, l.clock.now()+time.Hour
-	l.calls[1], l.calls[2] = held, out
+	waiting, sent := &call{client: cc, commands: make(chan command, 1)},
+		&call{client: cc, commands: make(chan command, 1)}
+	waiting.ID, sent.ID, sent.inFlight = 1, 2, &attempt{id: 2, writeBegun: true}
+	waiting.deadline, sent.deadline = l.clock.now()+time.Hour, l.clock.now()+time.Hour
+	l.calls[1], l.calls[2] = waiting, sent
 	l.checkDisconnects()
 	if len(l.calls) != 2 {
-		t.Fatalf("%d open while the client is there", len(l.calls))
+		t.Fatalf("%d requests open while the client is connected", len(l.calls))
 	}
 	client.Close()
-	testkit.Eventually(t, "notice of the close", func() bool { l.checkDisconnects(); return len(l.calls) == 0 })
-	if len(held.commands) != 1 || len(out.commands) != 0 || out.inFlight.cancelled {
-		t.Errorf("held let go %d, out told %d, called back %v", len(held.commands), len(out.commands), out.inFlight.cancelled)
+	testkit.Eventually(t, "the disconnect detected",
+		func() bool { l.checkDisconnects(); return len(l.calls) == 0 })
+	if len(waiting.commands) != 1 || len(sent.commands) != 0 || sent.inFlight.cancelled {
+		t.Errorf("%d commands for the waiting request, %d for the sent one, cancelled %v",
+			len(waiting.commands), len(sent.commands), sent.inFlight.cancelled)
 	}
 	l.startAttempt(policy.Send{ID: 2, Server: 1})
-	l.endAttempt(outcome{out, out.inFlight, result{code: policy.Error}})
-	if cmd := <-out.commands; cmd.attempt != nil || len(out.commands) != 0 {
+	l.endAttempt(outcome{sent, sent.inFlight, result{code: policy.Error}})
+	if cmd := <-sent.commands; cmd.attempt != nil || len(sent.commands) != 0 {
 		t.Errorf("after the attempt: %+v", cmd)
 	}
 }
 
-// Anything may come from outside: it is answered 400 and harms nobody.
+// Invalid requests are answered with 400 and don't affect later ones.
 func TestMalformedRequests(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.addr())
+	a := newTestServer(t, respondWith("200 OK", "", "hits"))
+	n := startNodeWithServers(t, a.addr())
 	for _, c := range []struct{ class, header, value string }{
 		{"lookup", "X-Class", "shelve"}, {"lookup", "X-Class", ""},
 		{"lookup", "X-Tier", "gold"}, {"lookup", "X-Request-Id", ""},
-		{"lookup", "Cookie", "key=12"}, {"lookup", "Cookie", "key=zzzzzzzzzzzzzzzz"}, {"lookup", "Cookie", ""},
-		{"lookup", "X-Deadline-Ms", "soon"}, {"lookup", "X-Deadline-Ms", "-5"}, {"lookup", "X-Deadline-Ms", "99999999999999999999"},
-		{"lookup", "X-Call-Terms", "units=NaN"}, {"lookup", "X-Call-Terms", "units=-1"}, {"lookup", "X-Call-Terms", "units=1e300"},
-		{"lookup", "X-Call-Terms", "spread=0"}, {"lookup", "X-Call-Terms", "first=9"}, {"lookup", "X-Call-Terms", "=,="},
-		{"lookup", "X-Call-Terms", "units=1.5"}, {"lookup", "X-Call-Terms", "units=1,units=2"}, {"lookup", "X-Call-Terms", "units=+1"},
-		{"lookup", "X-Call-Terms", "units=7"}, {"lookup", "X-Call-Terms", "first=-1"}, {"lookup", "X-Call-Terms", "spread=Inf"},
-		{"lookup", "X-Deadline-Ms", "10002"}, {"lookup", "X-Deadline-Ms", "1e3"}, {"lookup", "X-Deadline-Ms", "480.5"},
-		{"lookup", "Cookie", "key=0000000200000000"}, {"lookup", "Cookie", "key=00000000b4d65521; key=00000000b4d65522"},
-		{"lookup", "X-Request-Id", strings.Repeat("9", 65)}, {"lookup", "X-Class", "loan"}, {"loan", "X-Class", "lookup"},
+		{"lookup", "Cookie", "key=12"}, {"lookup", "Cookie", "key=zzzzzzzzzzzzzzzz"},
+		{"lookup", "Cookie", ""},
+		{"lookup", "X-Deadline-Ms", "soon"}, {"lookup", "X-Deadline-Ms", "-5"},
+		{"lookup", "X-Deadline-Ms", "99999999999999999999"},
+		{"lookup", "X-Call-Terms", "units=NaN"}, {"lookup", "X-Call-Terms", "units=-1"},
+		{"lookup", "X-Call-Terms", "units=1e300"},
+		{"lookup", "X-Call-Terms", "spread=0"}, {"lookup", "X-Call-Terms", "first=9"},
+		{"lookup", "X-Call-Terms", "=,="},
+		{"lookup", "X-Call-Terms", "units=1.5"}, {"lookup", "X-Call-Terms", "units=1,units=2"},
+		{"lookup", "X-Call-Terms", "units=+1"},
+		{"lookup", "X-Call-Terms", "units=7"}, {"lookup", "X-Call-Terms", "first=-1"},
+		{"lookup", "X-Call-Terms", "spread=Inf"},
+		{"lookup", "X-Deadline-Ms", "10002"}, {"lookup", "X-Deadline-Ms", "1e3"},
+		{"lookup", "X-Deadline-Ms", "480.5"},
+		{"lookup", "Cookie", "key=0000000200000000"},
+		{"lookup", "Cookie", "key=00000000b4d65521; key=00000000b4d65522"},
+		{"lookup", "X-Request-Id", strings.Repeat("9", 65)}, {"lookup", "X-Class", "loan"},
+		{"loan", "X-Class", "lookup"},
 		{"loan", "Idempotency-Key", ""}, {"loan", "Idempotency-Key", strings.Repeat("k", 129)},
 	} {
-		r := request(n.url, c.class, patience)
+		r := newRequest(n.url, c.class, clientTimeout)
 		r.Header.Set(c.header, c.value)
-		if resp, _ := ask(t, r); resp.StatusCode != http.StatusBadRequest {
+		if resp, _ := doRequest(t, r); resp.StatusCode != http.StatusBadRequest {
 			t.Errorf("%s %q: %d", c.header, c.value, resp.StatusCode)
 		}
 	}
-	for _, text := range []string{"\r\n\r\n", "GET\r\n\r\n", "POST /loan HTTP/1.1\r\nContent-Length: x\r\n\r\n"} {
+	for _, text := range []string{"\r\n\r\n", "GET\r\n\r\n",
+		"POST /loan HTTP/1.1\r\nContent-Length: x\r\n\r\n"} {
 		c := dial(t, n)
 		_, _ = c.Write([]byte(text))
 		c.Close()
 	}
-	if a.seen.Load() != 0 {
-		t.Errorf("%d of them were sent on", a.seen.Load())
+	if a.requests.Load() != 0 {
+		t.Errorf("%d of them were forwarded", a.requests.Load())
 	}
-	if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode != 200 {
-		t.Errorf("a good one after them: %d", resp.StatusCode)
+	if resp, _ := doRequest(t, newRequest(n.url, "lookup", clientTimeout)); resp.StatusCode != 200 {
+		t.Errorf("a valid request after them: %d", resp.StatusCode)
 	}
 }
 
-// Requests that two readers may understand in two ways could hide another one:
-// they are answered 400 at most once, nothing of them is sent on and nothing more is read
-// from their connection. The good request behind each must not be served.
+// Requests whose framing is ambiguous could hide another request (request smuggling). They are answered
+// with 400 at most once, nothing of them is forwarded, and nothing more is read from their connection. The
+// valid request that follows each of them must not be served.
 func TestUnclearFraming(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.addr())
+	a := newTestServer(t, respondWith("200 OK", "", "hits"))
+	n := startNodeWithServers(t, a.addr())
 	fields := "Host: app.svc\r\nX-Request-Id: 1\r\nX-Class: loan\r\nX-Tier: town\r\nCookie: key=00000000b4d65521\r\n" +
 		"X-Deadline-Ms: 900\r\nIdempotency-Key: k\r\n"
 	get := "GET /lookup HTTP/1.1\r\nX-Request-Id: 2\r\nX-Class: lookup\r\nX-Tier: town\r\n" +
 		"Cookie: key=00000000b4d65521\r\nX-Deadline-Ms: 900\r\n\r\n"
 	post := "POST /loan HTTP/1.1\r\n" + fields
 	for name, text := range map[string]string{
-		"length and coding":      post + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get,
-		"coding and length":      post + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + get,
-		"two lengths":            post + "Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + get,
-		"equal lengths":          post + "Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + get,
-		"listed lengths":         post + "Content-Length: 0, 0\r\n\r\n" + get,
-		"signed length":          post + "Content-Length: +0\r\n\r\n" + get,
-		"negative length":        post + "Content-Length: -1\r\n\r\n" + get,
-		"no length":              post + "Content-Length:\r\n\r\n" + get,
-		"hexadecimal length":     post + "Content-Length: 0x0\r\n\r\n" + get,
-		"unknown coding":         post + "Transfer-Encoding: gzip\r\n\r\n0\r\n\r\n" + get,
-		"two codings":            post + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n" + get,
-		"blank before colon":     post + "Content-Length : 0\r\n\r\n" + get,
-		"folded line":            post + "X-A: b\r\n c: d\r\nContent-Length: 0\r\n\r\n" + get,
-		"bare LF":                post + "X-A: b\nContent-Length: 0\r\n\r\n" + get,
-		"bare CR":                post + "X-A: b\rContent-Length: 9\r\n\r\n" + get,
-		"NUL":                    post + "X-A: b\x00\r\nContent-Length: 0\r\n\r\n" + get,
-		"no colon":               post + "X-A\r\nContent-Length: 0\r\n\r\n" + get,
-		"two hosts":              post + "Host: other\r\nContent-Length: 0\r\n\r\n" + get,
-		"empty lines ahead":      strings.Repeat("\r\n", maxEmptyLines+1) + get,
-		"bare LF ahead":          "\n" + get,
-		"bare CR ahead":          "\r" + get,
-		"blank line ahead":       " \r\n" + get,
-		"another version":        "GET /lookup HTTP/2.0\r\n\r\n" + get,
-		"two blanks":             "GET  /lookup HTTP/1.1\r\n\r\n" + get,
-		"absolute target":        "GET http://a/lookup HTTP/1.1\r\n\r\n" + get,
-		"chunk without size":     post + "Transfer-Encoding: chunked\r\n\r\n\r\n" + get,
-		"chunk of a bad size":    post + "Transfer-Encoding: chunked\r\n\r\n-1\r\n\r\n" + get,
-		"chunk longer than told": post + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n" + get,
-		"chunk ended by LF":      post + "Transfer-Encoding: chunked\r\n\r\n1\r\na\n0\r\n\r\n" + get,
+		"length and coding": post +
+			"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get,
+		"coding and length": post +
+			"Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + get,
+		"two lengths":        post + "Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + get,
+		"equal lengths":      post + "Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + get,
+		"list of lengths":    post + "Content-Length: 0, 0\r\n\r\n" + get,
+		"signed length":      post + "Content-Length: +0\r\n\r\n" + get,
+		"negative length":    post + "Content-Length: -1\r\n\r\n" + get,
+		"no length":          post + "Content-Length:\r\n\r\n" + get,
+		"hexadecimal length": post + "Content-Length: 0x0\r\n\r\n" + get,
+		"unknown coding":     post + "Transfer-Encoding: gzip\r\n\r\n0\r\n\r\n" + get,
+		"two codings": post +
+			"Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n" + get,
+		"space before colon":         post + "Content-Length : 0\r\n\r\n" + get,
+		"folded line":                post + "X-A: b\r\n c: d\r\nContent-Length: 0\r\n\r\n" + get,
+		"bare LF":                    post + "X-A: b\nContent-Length: 0\r\n\r\n" + get,
+		"bare CR":                    post + "X-A: b\rContent-Length: 9\r\n\r\n" + get,
+		"NUL":                        post + "X-A: b\x00\r\nContent-Length: 0\r\n\r\n" + get,
+		"no colon":                   post + "X-A\r\nContent-Length: 0\r\n\r\n" + get,
+		"two hosts":                  post + "Host: other\r\nContent-Length: 0\r\n\r\n" + get,
+		"many empty lines first":     strings.Repeat("\r\n", maxEmptyLines+1) + get,
+		"bare LF first":              "\n" + get,
+		"bare CR first":              "\r" + get,
+		"line with a space first":    " \r\n" + get,
+		"another version":            "GET /lookup HTTP/2.0\r\n\r\n" + get,
+		"two spaces":                 "GET  /lookup HTTP/1.1\r\n\r\n" + get,
+		"absolute target":            "GET http://a/lookup HTTP/1.1\r\n\r\n" + get,
+		"chunk without size":         post + "Transfer-Encoding: chunked\r\n\r\n\r\n" + get,
+		"chunk with invalid size":    post + "Transfer-Encoding: chunked\r\n\r\n-1\r\n\r\n" + get,
+		"chunk longer than its size": post + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n" + get,
+		"chunk ended by LF":          post + "Transfer-Encoding: chunked\r\n\r\n1\r\na\n0\r\n\r\n" + get,
 	} {
 		c := dial(t, n)
 		_, _ = c.Write([]byte(text))
@@ -245,29 +263,34 @@
 			t.Errorf("%s: %q", name, all)
 		}
 	}
-	if a.seen.Load() != 0 {
-		t.Errorf("%d requests were sent on", a.seen.Load())
+	if a.requests.Load() != 0 {
+		t.Errorf("%d requests were forwarded", a.requests.Load())
 	}
-	c := dial(t, n) // the same form, told in one way
-	_, _ = c.Write([]byte(post + "Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
+	c := dial(t, n) // the same form, with unambiguous framing
+	_, _ = c.Write([]byte(post +
+		"Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nab\r\n0\r\n\r\n"))
 	if all, _ := io.ReadAll(c); !strings.HasPrefix(string(all), "HTTP/1.1 200 ") {
-		t.Errorf("a clear one: %q", all)
+		t.Errorf("an unambiguous request: %q", all)
 	}
 }
 
-// Huge bodies and endless heads are refused when their size is told or passed,
-// not when they have come, and the refusal reaches a client that still sends.
+// Oversized bodies and heads are refused as soon as their announced or received size exceeds the limit, and
+// the refusal reaches a client that is still sending.
 func TestOversize(t *testing.T) {
-	n := nodeWith(t, refusing(t))
+	n := startNodeWithServers(t, unusedAddr(t))
 	for name, c := range map[string]struct{ head, more, want string }{
-		"60 MB":        {"POST /loan HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", strings.Repeat("b", 1<<20), "HTTP/1.1 413 "},
-		"huge length":  {"POST /loan HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", "b", "HTTP/1.1 400 "},
-		"endless head": {"GET /lookup HTTP/1.1\r\n", strings.Repeat("X-Pad: p\r\n", 8<<10), "HTTP/1.1 431 "},
-		"huge chunk":   {"POST /loan HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n", "b", "HTTP/1.1 413 "},
+		"60 MB": {"POST /loan HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n",
+			strings.Repeat("b", 1<<20), "HTTP/1.1 413 "},
+		"huge length": {"POST /loan HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", "b",
+			"HTTP/1.1 400 "},
+		"oversized head": {"GET /lookup HTTP/1.1\r\n", strings.Repeat("X-Pad: p\r\n", 8<<10),
+			"HTTP/1.1 431 "},
+		"huge chunk": {"POST /loan HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n", "b",
+			"HTTP/1.1 413 "},
 	} {
 		conn := dial(t, n)
 		_, _ = conn.Write([]byte(c.head))
-		go func() { _, _ = conn.Write([]byte(c.more)) }() // may be cut off
+		go func() { _, _ = conn.Write([]byte(c.more)) }() // may fail when the connection is closed
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, c.want) {
 			t.Errorf("%s: %q, %v", name, line, err)
@@ -275,10 +298,9 @@
 	}
 }
 
-// A connection that brings no request, or half of one, is let go within the 3 s
-// that such a client is owed.
-func TestSilentClientsAreLetGo(t *testing.T) {
-	n := nodeWith(t, refusing(t))
+// A connection without a request, or with a partial one, is closed within 3 s.
+func TestSilentClientsAreDisconnected(t *testing.T) {
+	n := startNodeWithServers(t, unusedAddr(t))
 	silent, half := dial(t, n), dial(t, n)
 	_, _ = half.Write([]byte("GET /lookup HTTP/1.1\r\nHost: a"))
 	began := time.Now()
@@ -288,80 +310,85 @@
 	if all, err := io.ReadAll(half); err != nil || !strings.HasPrefix(string(all), "HTTP/1.1 408 ") {
 		t.Errorf("half a request: %q, %v", all, err)
 	}
-	if firstRequestTimeout > 2500*time.Millisecond || time.Since(began) > patience-time.Second {
-		t.Errorf("let go after %v", time.Since(began))
+	if firstRequestTimeout > 2500*time.Millisecond || time.Since(began) > clientTimeout-time.Second {
+		t.Errorf("closed after %v", time.Since(began))
 	}
 }
 
-// Connections that bring nothing of use make room before those that have
-// carried good requests, however old these are.
-func TestUsefulClientsStay(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.addr())
+// At the connection limit, connections without a valid request are closed before those that have carried
+// valid requests, however old these are.
+func TestClosesConnectionsWithoutRequestsFirst(t *testing.T) {
+	a := newTestServer(t, respondWith("200 OK", "", "hits"))
+	n := startNodeWithServers(t, a.addr())
 	http.DefaultClient.CloseIdleConnections()
-	testkit.Eventually(t, "no connection", func() bool { open, _ := n.server.activity(); return open == 0 })
+	testkit.Eventually(t, "no open connection",
+		func() bool { open, _ := n.server.activity(); return open == 0 })
 	n.server.mu.Lock()
 	n.server.maxConns = 4
 	n.server.mu.Unlock()
 	useful := dial(t, n)
-	send(t, useful, request(n.url, "lookup", patience))()
+	writeRequest(t, useful, newRequest(n.url, "lookup", clientTimeout))()
 	for range 40 {
 		dial(t, n)
 	}
 	silent := dial(t, n)
-	testkit.Eventually(t, "room made", func() bool { open, _ := n.server.activity(); return open <= 4 })
-	if resp := send(t, useful, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
+	testkit.Eventually(t, "the connections within the limit",
+		func() bool { open, _ := n.server.activity(); return open <= 4 })
+	if resp := writeRequest(t, useful, newRequest(n.url, "lookup", clientTimeout))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 	silent.Close()
 }
 
-// A request under the id of one that is open is refused, and the first goes on:
-// two under one id would be two attempts out at once.
-func TestIDOfAnOpenRequest(t *testing.T) {
+// A request with the id of an open request is refused, and the open one continues. Otherwise one request
+// could have two attempts in flight.
+func TestDuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *http.Request, b string) bool {
+	a := newTestServer(t, func(c net.Conn, r *http.Request, b string) bool {
 		<-release
-		return answer("200 OK", "", "hits")(c, r, b)
+		return respondWith("200 OK", "", "hits")(c, r, b)
 	})
-	n := nodeWith(t, a.addr())
-	first := send(t, dial(t, n), request(n.url, "loan", patience))
-	testkit.Eventually(t, "the first at the app server", func() bool { return a.seen.Load() == 1 })
-	if resp := send(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the second: %d", resp.StatusCode)
+	n := startNodeWithServers(t, a.addr())
+	first := writeRequest(t, dial(t, n), newRequest(n.url, "loan", clientTimeout))
+	testkit.Eventually(t, "the first request at the server", func() bool { return a.requests.Load() == 1 })
+	if resp := writeRequest(t, dial(t, n), newRequest(n.url, "loan",
+		clientTimeout))(); resp.StatusCode != http.StatusConflict {
+		t.Errorf("second request: %d", resp.StatusCode)
 	}
 	close(release)
-	if resp := first(); resp.StatusCode != 200 || a.seen.Load() != 1 {
-		t.Errorf("the first: %d, %d attempts", resp.StatusCode, a.seen.Load())
+	if resp := first(); resp.StatusCode != 200 || a.requests.Load() != 1 {
+		t.Errorf("first request: %d, %d attempts", resp.StatusCode, a.requests.Load())
 	}
-	if resp := send(t, dial(t, n), request(n.url, "loan", patience))(); resp.StatusCode != 200 {
-		t.Errorf("once it is free again: %d", resp.StatusCode)
+	if resp := writeRequest(t, dial(t, n), newRequest(n.url, "loan",
+		clientTimeout))(); resp.StatusCode != 200 {
+		t.Errorf("after the id is free again: %d", resp.StatusCode)
 	}
 }
 
-// What an app server calls unfit is the client's fault: it is neither tried
-// elsewhere nor held against the server.
-func TestUnfitRequestIsNotTriedAgain(t *testing.T) {
-	a := newApp(t, answer("400 No", "", ""))
-	n := nodeWith(t, a.addr())
+// A request that the server rejects with a 4xx status is not retried, and the failure doesn't count against
+// the server.
+func TestBadRequestIsNotRetried(t *testing.T) {
+	a := newTestServer(t, respondWith("400 No", "", ""))
+	n := startNodeWithServers(t, a.addr())
 	for i := range 5 {
-		if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode != 400 || int(a.seen.Load()) != i+1 {
-			t.Fatalf("%d after %d attempts", resp.StatusCode, a.seen.Load())
+		if resp, _ := doRequest(t, newRequest(n.url, "lookup", clientTimeout)); resp.StatusCode != 400 ||
+			int(a.requests.Load()) != i+1 {
+			t.Fatalf("%d after %d attempts", resp.StatusCode, a.requests.Load())
 		}
 	}
 }
 
-// Requests sent one behind another each get one answer, in their order; a
-// client that sends only useless ones is let go.
+// Pipelined requests each get one response, in order. The connection of a client that sends only invalid
+// requests is closed.
 func TestBursts(t *testing.T) {
-	a := newApp(t, func(c net.Conn, r *http.Request, b string) bool {
-		return answer("200 OK", "", r.Header.Get("X-Request-Id")+";")(c, r, b)
+	a := newTestServer(t, func(c net.Conn, r *http.Request, b string) bool {
+		return respondWith("200 OK", "", r.Header.Get("X-Request-Id")+";")(c, r, b)
 	})
-	n := nodeWith(t, a.addr())
+	n := startNodeWithServers(t, a.addr())
 	c := dial(t, n)
 	var text, want strings.Builder
 	for i := range 300 {
-		r := request(n.url, "lookup", patience)
+		r := newRequest(n.url, "lookup", clientTimeout)
 		r.Header.Set("X-Request-Id", fmt.Sprint(i))
 		if i == 299 {
 			r.Header.Set("Connection", "close")
@@ -386,23 +413,24 @@
 	bad := strings.Repeat("GET /none HTTP/1.1\r\nX-Request-Id: 1\r\nX-Class: none\r\n\r\n", 50)
 	_, _ = io.WriteString(c, bad)
 	if all, _ := io.ReadAll(c); strings.Count(string(all), "HTTP/1.1 400 ") != maxBadRequests {
-		t.Errorf("%d answers to useless requests, want %d", strings.Count(string(all), "HTTP/1.1 400 "), maxBadRequests)
+		t.Errorf("%d responses to invalid requests, want %d", strings.Count(string(all), "HTTP/1.1 400 "),
+			maxBadRequests)
 	}
 }
 
-func dial(t *testing.T, n *running) net.Conn {
+func dial(t *testing.T, n *testNode) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(clientTimeout))
 	return c
 }
 
-// send writes a request on a connection of the test's own.
-func send(t *testing.T, c net.Conn, r *http.Request) func() *http.Response {
+// writeRequest writes a request on a connection and returns a function that reads the response.
+func writeRequest(t *testing.T, c net.Conn, r *http.Request) func() *http.Response {
 	t.Helper()
 	if err := r.Write(c); err != nil {
 		t.Fatal(err)
@@ -418,32 +446,32 @@
 	}
 }
 
-// A planned stop loses nothing: what is open is answered, and so is what comes
-// on old and new connections for a while after the signal. Each answer, also a
-// refusal, tells the client to go.
-func TestStopAnswersAll(t *testing.T) {
+// During a shutdown open requests are answered, and so are requests that arrive on existing and new
+// connections for some time after the signal. Each response, refusals included, has "Connection: close".
+func TestShutdownAnswersAllRequests(t *testing.T) {
 	release := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *http.Request, b string) bool {
+	a := newTestServer(t, func(c net.Conn, r *http.Request, b string) bool {
 		if r.Method == http.MethodPost {
 			<-release
 		}
-		return answer("200 OK", "", "hits")(c, r, b)
+		return respondWith("200 OK", "", "hits")(c, r, b)
 	})
-	n := nodeWith(t, a.addr())
+	n := startNodeWithServers(t, a.addr())
 	old, open, idle := dial(t, n), dial(t, n), dial(t, n)
-	send(t, old, request(n.url, "lookup", patience))()
-	send(t, idle, request(n.url, "lookup", patience))()
-	held := send(t, open, request(n.url, "loan", patience))
-	testkit.Eventually(t, "the open request at the app server", func() bool { return a.seen.Load() == 3 })
-	n.stop()
-	testkit.Eventually(t, "the stop", n.server.draining.Load)
+	writeRequest(t, old, newRequest(n.url, "lookup", clientTimeout))()
+	writeRequest(t, idle, newRequest(n.url, "lookup", clientTimeout))()
+	held := writeRequest(t, open, newRequest(n.url, "loan", clientTimeout))
+	testkit.Eventually(t, "the open request at the server", func() bool { return a.requests.Load() == 3 })
+	n.requestShutdown()
+	testkit.Eventually(t, "the shutdown", n.server.draining.Load)
 	fresh := dial(t, n)
-	refused := request(n.url, "lookup", patience)
-	again := request(n.url, "lookup", patience)
-	again.Header.Set("X-Request-Id", "again") // the first is open still
+	refused := newRequest(n.url, "lookup", clientTimeout)
+	again := newRequest(n.url, "lookup", clientTimeout)
+	again.Header.Set("X-Request-Id", "again") // the first id is still in use
 	refused.Header.Set("X-Request-Id", "refused")
 	refused.Header.Set("X-Tier", "tiny")
-	refused.Header.Set("Cookie", "key=0000000000000001") // the plan goes with the customer
+	// another customer, since the plan belongs to the customer
+	refused.Header.Set("Cookie", "key=0000000000000001")
 	for what, c := range map[string]struct {
 		conn net.Conn
 		r    *http.Request
@@ -452,7 +480,7 @@
 		"old connection": {old, again, 200},
 		"new connection": {fresh, refused, 429},
 	} {
-		if resp := send(t, c.conn, c.r)(); resp.StatusCode != c.want || !resp.Close {
+		if resp := writeRequest(t, c.conn, c.r)(); resp.StatusCode != c.want || !resp.Close {
 			t.Errorf("%s: %d, close %v", what, resp.StatusCode, resp.Close)
 		}
 	}
@@ -461,7 +489,7 @@
 	}
 	select {
 	case <-n.done:
-		t.Error("stopped with a request open")
+		t.Error("the shutdown completed with a request open")
 	default:
 	}
 	close(release)
@@ -473,33 +501,33 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
-		t.Error("did not stop once all was answered")
+	case <-time.After(clientTimeout):
+		t.Error("the shutdown did not complete after all requests were answered")
 	}
 }
 
-// Idle client connections are shut before the descriptors run out, oldest
-// first, and busy ones are not.
-func TestShutsIdleClients(t *testing.T) {
+// At the connection limit idle client connections are closed, oldest first. Busy ones stay open.
+func TestClosesIdleClientsAtLimit(t *testing.T) {
 	release := make(chan struct{})
-	a := newApp(t, func(c net.Conn, r *http.Request, b string) bool {
+	a := newTestServer(t, func(c net.Conn, r *http.Request, b string) bool {
 		<-release
-		return answer("200 OK", "", "hits")(c, r, b)
+		return respondWith("200 OK", "", "hits")(c, r, b)
 	})
-	n := nodeWith(t, a.addr())
+	n := startNodeWithServers(t, a.addr())
 	http.DefaultClient.CloseIdleConnections()
-	testkit.Eventually(t, "no connection", func() bool { open, _ := n.server.activity(); return open == 0 })
+	testkit.Eventually(t, "no open connection",
+		func() bool { open, _ := n.server.activity(); return open == 0 })
 	n.server.mu.Lock()
 	n.server.maxConns = 2
 	n.server.mu.Unlock()
 	busy := dial(t, n)
-	held := send(t, busy, request(n.url, "loan", patience))
-	testkit.Eventually(t, "the open request at the app server", func() bool { return a.seen.Load() == 1 })
+	held := writeRequest(t, busy, newRequest(n.url, "loan", clientTimeout))
+	testkit.Eventually(t, "the open request at the server", func() bool { return a.requests.Load() == 1 })
 	idle := dial(t, n)
 	testkit.Eventually(t, "two connections", func() bool { open, _ := n.server.activity(); return open == 2 })
 	dial(t, n)
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("idle connection over the bound: %v", err)
+		t.Errorf("idle connection above the limit: %v", err)
 	}
 	close(release)
 	if resp := held(); resp.StatusCode != 200 {
@@ -507,34 +535,34 @@
 	}
 }
 
-// A request that crossed the closing of its idle connection is sent again by
-// the client: worked on here too it would have its effect twice.
-func TestCrossedRequestIsNotWorkedOn(t *testing.T) {
-	n := nodeWith(t, refusing(t))
+// A client repeats a request that crossed the close of its idle connection. Processing it here as well
+// would execute it twice.
+func TestRequestCrossingCloseIsNotProcessed(t *testing.T) {
+	n := startNodeWithServers(t, unusedAddr(t))
 	pipe, other := net.Pipe()
 	defer other.Close()
 	c := n.server.addConn(pipe)
 	n.server.closeIdle(0)
 	if n.server.markBusy(c) {
-		t.Error("a shut connection counts as open")
+		t.Error("a closing connection was marked busy")
 	}
 	c = n.server.addConn(pipe)
 	if !n.server.markBusy(c) {
-		t.Error("an open connection counts as shut")
+		t.Error("an open connection could not be marked busy")
 	}
 	n.server.closeIdle(0)
 	n.server.mu.Lock()
 	defer n.server.mu.Unlock()
 	if c.closing {
-		t.Error("a busy connection was shut")
+		t.Error("a busy connection was closed")
 	}
 }
 
-// Clients that never finish their requests must not use up the descriptors:
-// others still get in, and busy connections stay.
-func TestSlowRequestsMakeRoom(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "hits"))
-	n := nodeWith(t, a.addr())
+// Clients that never complete their requests must not use up the descriptors: other clients can still
+// connect.
+func TestClosesSlowRequestsAtLimit(t *testing.T) {
+	a := newTestServer(t, respondWith("200 OK", "", "hits"))
+	n := startNodeWithServers(t, a.addr())
 	http.DefaultClient.CloseIdleConnections()
 	n.server.mu.Lock()
 	n.server.maxConns = 4
@@ -547,106 +575,108 @@
 		_, _ = dial(t, n).Write([]byte("GET /lookup HTTP/1.1\r\nHost: a")) // may be closed already
 	}
 	c := dial(t, n)
-	if resp := send(t, c, request(n.url, "lookup", patience))(); resp.StatusCode != 200 {
+	if resp := writeRequest(t, c, newRequest(n.url, "lookup", clientTimeout))(); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
-	// At its read time-out it would get an answer that says so.
+	// A read timeout would send a 408 response.
 	if got, _ := first.Read(make([]byte, 1)); got != 0 {
-		t.Error("the slowest was not shut before its time-out")
+		t.Error("the slowest connection was not closed before its read timeout")
 	}
 }
 
-// Large messages pass unchanged, up to what the protocol allows.
+// Large messages are forwarded unchanged, up to the maximum length of a body.
 func TestLargeMessages(t *testing.T) {
-	a := newApp(t, func(c net.Conn, r *http.Request, body string) bool {
-		return answer("200 OK", "", body)(c, r, body)
+	a := newTestServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		return respondWith("200 OK", "", body)(c, r, body)
 	})
-	n := nodeWith(t, a.addr())
+	n := startNodeWithServers(t, a.addr())
 	want := strings.Repeat("0123456789abcdef", maxBodyBytes/16)
-	r := request(n.url, "loan", patience)
+	r := newRequest(n.url, "loan", clientTimeout)
 	r.Body, r.ContentLength = io.NopCloser(strings.NewReader(want)), maxBodyBytes
 	r.Header.Set("X-Padding", strings.Repeat("p", 8<<10))
-	if resp, body := ask(t, r); resp.StatusCode != 200 || body != want {
+	if resp, body := doRequest(t, r); resp.StatusCode != 200 || body != want {
 		t.Errorf("%d, %d bytes", resp.StatusCode, len(body))
 	}
 }
 
-// Changes reach the module; while discovery fails the list held stays in
-// force, and the next call comes soon.
+// Changes of the server list take effect. While discovery fails, the last list stays in force and calls are
+// retried soon.
 func TestDiscovery(t *testing.T) {
-	a, b := newApp(t, answer("200 OK", "", "a")), newApp(t, answer("200 OK", "", "b"))
-	first, second := serving("s-00000001", a.addr()), serving("s-00000002", b.addr())
-	g := newRegistry(t, first)
-	n := start(t, testConfig(t, g.addr))
+	a, b := newTestServer(t, respondWith("200 OK", "", "a")), newTestServer(t, respondWith("200 OK", "", "b"))
+	first, second := servingTarget("s-00000001", a.addr()), servingTarget("s-00000002", b.addr())
+	g := newDiscoveryServer(t, first)
+	n := startNode(t, testConfig(t, g.addr))
 	serves := func(want string) func() bool {
 		return func() bool {
-			resp, body := ask(t, request(n.url, "lookup", patience))
+			resp, body := doRequest(t, newRequest(n.url, "lookup", clientTimeout))
 			return resp.StatusCode == 200 && body == want
 		}
 	}
-	testkit.Eventually(t, "an answer of the first server", serves("a"))
-	gone := first
-	gone.State = "DELETED"
-	g.set(false, gone, second)
-	testkit.Eventually(t, "an answer of the second server", serves("b"))
-	g.set(true, gone, second)
+	testkit.Eventually(t, "a response of the first server", serves("a"))
+	deleted := first
+	deleted.State = "DELETED"
+	g.set(false, deleted, second)
+	testkit.Eventually(t, "a response of the second server", serves("b"))
+	g.set(true, deleted, second)
 	calls := g.calls.Load()
-	testkit.Eventually(t, "further calls while discovery fails", func() bool { return g.calls.Load() > calls+2 })
+	testkit.Eventually(t, "further calls while discovery fails",
+		func() bool { return g.calls.Load() > calls+2 })
 	if !serves("b")() {
-		t.Error("the list held is not in force while discovery fails")
+		t.Error("the last list is not in force while discovery fails")
 	}
 	g.set(false, first, target{UID: "s-00000002", State: "DELETED"})
-	testkit.Eventually(t, "the list after discovery is back", serves("a"))
+	testkit.Eventually(t, "the new list after discovery has recovered", serves("a"))
 }
 
-// At SIGHUP the open watch ends at once and the list is followed at the new
-// address, which the file tells even where GW_DISCOVERY told the old one. A
-// file that can't be used changes nothing and is read again.
+// At SIGHUP the open watch ends at once, and the list is fetched from the new address. The address in the
+// file applies even if GW_DISCOVERY gave the old one. An unreadable file changes nothing and is read again.
 func TestReload(t *testing.T) {
-	a, b := newApp(t, answer("200 OK", "", "a")), newApp(t, answer("200 OK", "", "b"))
-	older := newRegistry(t, serving("s-00000001", a.addr()))
-	newer := newRegistry(t, serving("s-00000002", b.addr()))
+	a, b := newTestServer(t, respondWith("200 OK", "", "a")), newTestServer(t, respondWith("200 OK", "", "b"))
+	older := newDiscoveryServer(t, servingTarget("s-00000001", a.addr()))
+	newer := newDiscoveryServer(t, servingTarget("s-00000002", b.addr()))
 	cfg := fileConfig(t, older.addr, "", testSettings)
 	path := cfg.Path()
 	write := func(discovery string) { writeConfig(t, path, discovery, "", testSettings) }
-	n := start(t, cfg)
+	n := startNode(t, cfg)
 	if err := os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0","disc`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	n.hup <- syscall.SIGHUP
-	if _, body := ask(t, request(n.url, "lookup", patience)); body != "a" {
-		t.Errorf("%q while the new file can't be used", body)
+	if _, body := doRequest(t, newRequest(n.url, "lookup", clientTimeout)); body != "a" {
+		t.Errorf("%q while the new file is unreadable", body)
 	}
 	write(newer.addr)
-	testkit.Eventually(t, "an answer of the server that the new discovery lists", func() bool {
-		resp, body := ask(t, request(n.url, "lookup", patience))
+	testkit.Eventually(t, "a response of the server that the new discovery lists", func() bool {
+		resp, body := doRequest(t, newRequest(n.url, "lookup", clientTimeout))
 		return resp.StatusCode == 200 && body == "b"
 	})
 	calls := older.calls.Load()
-	older.set(false, serving("s-00000001", a.addr())) // an open watch would bring this
+	older.set(false, servingTarget("s-00000001", a.addr())) // an open watch would return this
 	testkit.Eventually(t, "a watch at the new address", func() bool { return newer.calls.Load() > 1 })
-	if _, body := ask(t, request(n.url, "lookup", patience)); body != "b" || older.calls.Load() != calls {
-		t.Errorf("%q; %d calls at the old address after the new one was told", body, older.calls.Load()-calls)
+	if _, body := doRequest(t, newRequest(n.url, "lookup", clientTimeout)); body != "b" ||
+		older.calls.Load() != calls {
+		t.Errorf("%q; %d calls to the old address after the reload", body, older.calls.Load()-calls)
 	}
 }
 
-// While discovery is silent at the start, the known list has to do.
-func TestKnownListHasToDo(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "hits"))
-	cfg := testConfig(t, refusing(t))
-	cfg.Current().File.KnownServers = &serverList{Rev: 4, All: true, Targets: []target{serving("s-00000001", a.addr())}}
-	n := start(t, cfg)
-	if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode != 200 {
+// If discovery doesn't answer at the start, the list of the configuration is used.
+func TestUsesKnownListWithoutDiscovery(t *testing.T) {
+	a := newTestServer(t, respondWith("200 OK", "", "hits"))
+	cfg := testConfig(t, unusedAddr(t))
+	cfg.Current().File.KnownServers = &serverList{Rev: 4, All: true,
+		Targets: []target{servingTarget("s-00000001", a.addr())}}
+	n := startNode(t, cfg)
+	if resp, _ := doRequest(t, newRequest(n.url, "lookup", clientTimeout)); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
 }
 
-// Start times in the list and the module's clock count from the same moment.
+// The clock and the start times in the list count from the same epoch.
 func TestClock(t *testing.T) {
 	c := clock{time.Now()}
 	now := c.now()
 	if d := time.Since(time.Unix(0, int64(now))); d < -time.Minute || d > time.Minute {
-		t.Errorf("off Unix time by %v", d)
+		t.Errorf("%v off Unix time", d)
 	}
 	if back := c.time(now).Sub(c.anchor); back != now-time.Duration(c.anchor.UnixNano()) {
 		t.Errorf("%v", back)
@@ -657,14 +687,14 @@
 	}
 }
 
-// Only known edge nodes are heard, and only whole messages.
+// Only datagrams of known edge nodes are received, and only if they are within the size limit.
 func TestPeers(t *testing.T) {
 	type msg struct {
 		from int
 		text string
 	}
-	heard := make(chan msg, 10)
-	sock := func() *net.UDPConn {
+	received := make(chan msg, 10)
+	listenUDP := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
@@ -672,10 +702,10 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	peer, stranger := sock(), sock()
+	peer, stranger := listenUDP(), listenUDP()
 	to := peer.LocalAddr().(*net.UDPAddr).AddrPort()
 	p, err := listenPeers("127.0.0.1:0", []netip.AddrPort{to}, netip.AddrPort{}, func(from int, data []byte) {
-		heard <- msg{from, string(data)}
+		received <- msg{from, string(data)}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -685,36 +715,38 @@
 	defer p.conn.Close()
 	go p.receiveLoop()
 	go p.sendLoop(done)
-	me := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	nodeAddr := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	for _, d := range []struct {
 		c    *net.UDPConn
 		text string
-	}{{stranger, "hello"}, {peer, strings.Repeat("x", maxDatagramBytes+1)}, {peer, strings.Repeat("y", maxDatagramBytes)}} {
-		if _, err := d.c.WriteToUDPAddrPort([]byte(d.text), me); err != nil {
+	}{{stranger, "hello"}, {peer, strings.Repeat("x", maxDatagramBytes+1)},
+		{peer, strings.Repeat("y", maxDatagramBytes)}} {
+		if _, err := d.c.WriteToUDPAddrPort([]byte(d.text), nodeAddr); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if m := <-heard; m.from != 0 || m.text != strings.Repeat("y", maxDatagramBytes) {
-		t.Errorf("heard %d bytes of %d", len(m.text), m.from)
+	if m := <-received; m.from != 0 || m.text != strings.Repeat("y", maxDatagramBytes) {
+		t.Errorf("received %d bytes from %d", len(m.text), m.from)
 	}
-	p.send(0, make([]byte, maxDatagramBytes+1)) // voids a run: must not go out
+	p.send(0, make([]byte, maxDatagramBytes+1)) // too long, must not be sent
 	p.send(5, []byte("nobody"))
 	p.send(-1, []byte("all"))
-	_ = peer.SetReadDeadline(time.Now().Add(patience))
+	_ = peer.SetReadDeadline(time.Now().Add(clientTimeout))
 	buf := make([]byte, 1000)
 	if n, err := peer.Read(buf); err != nil || string(buf[:n]) != "all" {
 		t.Errorf("%q %v", buf[:n], err)
 	}
 }
 
-// Garbage from a peer reaches the module and is passed over there.
+// Invalid datagrams of peers are passed to policy, which ignores them.
 func TestGarbageFromPeers(t *testing.T) {
-	n := nodeWith(t, refusing(t))
-	for _, data := range []string{"", "\x04", "\x03\x00", strings.Repeat("\xff", 256), "\x04" + strings.Repeat("\xff", 255)} {
+	n := startNodeWithServers(t, unusedAddr(t))
+	for _, data := range []string{"", "\x04", "\x03\x00", strings.Repeat("\xff", 256), "\x04" +
+		strings.Repeat("\xff", 255)} {
 		n.loop.events <- policy.PeerMessage{From: 0, Data: []byte(data)}
 		n.loop.events <- policy.PeerMessage{From: 99, Data: []byte(data)}
 	}
-	if resp, _ := ask(t, request(n.url, "lookup", patience)); resp.StatusCode == 0 {
-		t.Error("no answer")
+	if resp, _ := doRequest(t, newRequest(n.url, "lookup", clientTimeout)); resp.StatusCode == 0 {
+		t.Error("no response")
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxDatagramBytes = 256 // bytes
+	maxDatagramBytes = 256
 	peerQueueLength  = 256 // datagrams waiting to be sent; more are dropped
 	flushTimeout     = 100 * time.Millisecond
 )
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -68,7 +68,7 @@
 	return s
 }
 
-// publish updates the status with the history of generations. The caller holds n.changing.
+// publish updates the status with the history of generations. The caller holds n.changeMu.
 func (n *Node) publish() {
 	n.status.Store(&Status{Name: n.cfg.Name, Current: n.history.Current(),
 		Previous: n.history.Previous(), RolledBackDigest: n.history.RolledBackDigest(),
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -87,7 +87,7 @@
 	body           []byte
 }
 
-// newHTTPServer returns a server for at most so many connections at once, including those that are being
+// newHTTPServer returns a server for at most limit connections at once, including those that are being
 // closed.
 func newHTTPServer(c clock, generation *config.Generation, up *upstream, events chan<- any,
 	limit int) *httpServer {
@@ -317,7 +317,7 @@
 	}
 }
 
-// readRequest reads a whole request into cc.req.
+// readRequest reads a whole request into cc.request.
 func (cc *clientConn) readRequest() error {
 	r := &cc.request
 	if err := cc.input.readHead(&r.head, ""); err != nil {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -57,7 +57,7 @@
 type shutdownState struct {
 	phase     phase
 	startedAt time.Duration
-	hastened  bool
+	shortened bool
 }
 
 // shutdownActions are the actions that a shutdown requires now.
@@ -68,15 +68,15 @@
 	done          bool // stop
 }
 
-// signal handles a signal to stop. The first one starts the shutdown. The second one hastens it:
+// signal handles a signal to stop. The first one starts the shutdown. The second one shortens it:
 // the edge node no longer waits for requests that may still arrive, and gives up those that wait for
 // a server.
 func (d *shutdownState) signal(now time.Duration) (s shutdownActions) {
 	switch {
 	case d.phase == phaseServing:
 		d.phase, d.startedAt = phaseLeaving, now
-	case d.phase < phaseStopped && !d.hastened:
-		d.hastened, s.refuseWaiting = true, true
+	case d.phase < phaseStopped && !d.shortened:
+		d.shortened, s.refuseWaiting = true, true
 	}
 	return s
 }
@@ -96,8 +96,8 @@
 	elapsed := now - d.startedAt
 	switch d.phase {
 	case phaseLeaving:
-		s.closeIdle = d.hastened || elapsed >= shutdownCloseIdleAfter
-		if (d.hastened || elapsed >= shutdownMinAccept) && quiet >= shutdownQuietTime ||
+		s.closeIdle = d.shortened || elapsed >= shutdownCloseIdleAfter
+		if (d.shortened || elapsed >= shutdownMinAccept) && quiet >= shutdownQuietTime ||
 			elapsed >= shutdownMaxAccept {
 			d.phase, s.closeListener = phaseFinishing, true
 		}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -13,113 +13,129 @@
 	"valvering.example/valvering/internal/testkit"
 )
 
-// A planned stop, step by step.
-func TestDeparture(t *testing.T) {
+// The steps of a shutdown.
+func TestShutdownSteps(t *testing.T) {
 	const ms = time.Millisecond
-	type at struct {
-		now   time.Duration
-		sig   bool
-		open  int
-		quiet time.Duration
-		want  phase
-		steps shutdownActions
+	type step struct {
+		now     time.Duration
+		signal  bool
+		open    int
+		quiet   time.Duration
+		want    phase
+		actions shutdownActions
 	}
-	for name, list := range map[string][]at{
+	for name, list := range map[string][]step{
 		"quiet at once": {
-			{now: 0, sig: true, want: phaseLeaving},
+			{now: 0, signal: true, want: phaseLeaving},
 			{now: 10 * ms, open: 1, quiet: time.Second, want: phaseLeaving},
-			{now: 250 * ms, open: 1, quiet: time.Second, want: phaseLeaving, steps: shutdownActions{closeIdle: true}},
-			{now: 549 * ms, quiet: time.Second, want: phaseLeaving, steps: shutdownActions{closeIdle: true}},
-			{now: 550 * ms, quiet: time.Second, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
-			{now: 560 * ms, quiet: time.Second, want: phaseStopped, steps: shutdownActions{closeIdle: true, done: true}},
+			{now: 250 * ms, open: 1, quiet: time.Second, want: phaseLeaving,
+				actions: shutdownActions{closeIdle: true}},
+			{now: 549 * ms, quiet: time.Second, want: phaseLeaving,
+				actions: shutdownActions{closeIdle: true}},
+			{now: 550 * ms, quiet: time.Second, want: phaseFinishing,
+				actions: shutdownActions{closeIdle: true, closeListener: true}},
+			{now: 560 * ms, quiet: time.Second, want: phaseStopped,
+				actions: shutdownActions{closeIdle: true, done: true}},
 		},
-		"a client goes on": {
-			{now: 0, sig: true, want: phaseLeaving},
-			{now: 649 * ms, open: 1, quiet: 99 * ms, want: phaseLeaving, steps: shutdownActions{closeIdle: true}},
-			{now: 650 * ms, open: 1, quiet: 0, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
-			{now: 7 * time.Second, open: 1, quiet: time.Second, want: phaseFinishing, steps: shutdownActions{closeIdle: true}},
-			{now: 8 * time.Second, open: 0, quiet: time.Second, want: phaseStopped, steps: shutdownActions{closeIdle: true, done: true}},
+		"a client continues": {
+			{now: 0, signal: true, want: phaseLeaving},
+			{now: 649 * ms, open: 1, quiet: 99 * ms, want: phaseLeaving,
+				actions: shutdownActions{closeIdle: true}},
+			{now: 650 * ms, open: 1, quiet: 0, want: phaseFinishing,
+				actions: shutdownActions{closeIdle: true, closeListener: true}},
+			{now: 7 * time.Second, open: 1, quiet: time.Second, want: phaseFinishing,
+				actions: shutdownActions{closeIdle: true}},
+			{now: 8 * time.Second, open: 0, quiet: time.Second, want: phaseStopped,
+				actions: shutdownActions{closeIdle: true, done: true}},
 		},
-		"hastened": {
-			{now: 0, sig: true, want: phaseLeaving},
-			{now: 20 * ms, sig: true, want: phaseLeaving, steps: shutdownActions{refuseWaiting: true}},
-			{now: 30 * ms, open: 1, quiet: 50 * ms, want: phaseLeaving, steps: shutdownActions{closeIdle: true}},
-			{now: 40 * ms, sig: true, want: phaseLeaving},
-			{now: 100 * ms, open: 1, quiet: 100 * ms, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
-			{now: 110 * ms, open: 0, quiet: 110 * ms, want: phaseStopped, steps: shutdownActions{closeIdle: true, done: true}},
+		"shortened": {
+			{now: 0, signal: true, want: phaseLeaving},
+			{now: 20 * ms, signal: true, want: phaseLeaving, actions: shutdownActions{refuseWaiting: true}},
+			{now: 30 * ms, open: 1, quiet: 50 * ms, want: phaseLeaving,
+				actions: shutdownActions{closeIdle: true}},
+			{now: 40 * ms, signal: true, want: phaseLeaving},
+			{now: 100 * ms, open: 1, quiet: 100 * ms, want: phaseFinishing,
+				actions: shutdownActions{closeIdle: true, closeListener: true}},
+			{now: 110 * ms, open: 0, quiet: 110 * ms, want: phaseStopped,
+				actions: shutdownActions{closeIdle: true, done: true}},
 		},
-		"quiet soon after": {
-			{now: 0, sig: true, want: phaseLeaving},
-			{now: 600 * ms, open: 1, quiet: 100 * ms, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
+		"quiet after the minimum time": {
+			{now: 0, signal: true, want: phaseLeaving},
+			{now: 600 * ms, open: 1, quiet: 100 * ms, want: phaseFinishing,
+				actions: shutdownActions{closeIdle: true, closeListener: true}},
 		},
 		"never quiet": {
-			{now: 0, sig: true, want: phaseLeaving},
-			{now: shutdownTimeout, open: 2, quiet: 0, want: phaseStopped, steps: shutdownActions{closeIdle: true, closeListener: true, done: true}},
+			{now: 0, signal: true, want: phaseLeaving},
+			{now: shutdownTimeout, open: 2, quiet: 0, want: phaseStopped,
+				actions: shutdownActions{closeIdle: true, closeListener: true, done: true}},
 		},
 		"never answered": {
-			{now: 0, sig: true, want: phaseLeaving},
-			{now: time.Second, open: 2, quiet: time.Second, want: phaseFinishing, steps: shutdownActions{closeIdle: true, closeListener: true}},
-			{now: shutdownTimeout, open: 2, quiet: time.Second, want: phaseStopped, steps: shutdownActions{closeIdle: true, done: true}},
+			{now: 0, signal: true, want: phaseLeaving},
+			{now: time.Second, open: 2, quiet: time.Second, want: phaseFinishing,
+				actions: shutdownActions{closeIdle: true, closeListener: true}},
+			{now: shutdownTimeout, open: 2, quiet: time.Second, want: phaseStopped,
+				actions: shutdownActions{closeIdle: true, done: true}},
 		},
 	} {
 		var d shutdownState
 		for i, a := range list {
 			var got shutdownActions
-			if a.sig {
+			if a.signal {
 				got = d.signal(a.now)
 			} else {
 				got = d.step(a.now, a.open, a.quiet)
 			}
-			if got != a.steps || d.phase != a.want {
-				t.Errorf("%s, step %d: %v %+v, want %v %+v", name, i, d.phase, got, a.want, a.steps)
+			if got != a.actions || d.phase != a.want {
+				t.Errorf("%s, step %d: %v %+v, want %v %+v", name, i, d.phase, got, a.want, a.actions)
 			}
 		}
 	}
 }
 
-func TestCallOff(t *testing.T) {
+func TestCancelShutdownState(t *testing.T) {
 	var d shutdownState
 	if d.cancel() == nil {
-		t.Error("called off what had not begun")
+		t.Error("cancelled a shutdown that had not begun")
 	}
 	d.signal(time.Second)
 	d.signal(time.Second)
 	if err := d.cancel(); err != nil || d != (shutdownState{}) {
 		t.Errorf("%v, %+v", err, d)
 	}
-	d.signal(time.Minute) // begins anew, and hastens nothing
-	if d.phase != phaseLeaving || d.hastened || d.startedAt != time.Minute {
+	d.signal(time.Minute) // starts a new shutdown instead of shortening one
+	if d.phase != phaseLeaving || d.shortened || d.startedAt != time.Minute {
 		t.Errorf("%+v", d)
 	}
 	if d.step(2*time.Minute+shutdownTimeout, 0, time.Hour); d.phase != phaseStopped || d.cancel() == nil {
-		t.Errorf("%+v called off", d)
+		t.Errorf("%+v was cancelled", d)
 	}
 }
 
-// held serves a request that its server answers once the test lets it.
-func held(t *testing.T) (a *app, let func()) {
+// newHeldServer starts a server that responds once the test calls release.
+func newHeldServer(t *testing.T) (a *testServer, release func()) {
 	t.Helper()
 	hold := make(chan struct{})
-	return newApp(t, func(c net.Conn, r *http.Request, _ string) bool {
+	return newTestServer(t, func(c net.Conn, r *http.Request, _ string) bool {
 		<-hold
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		return true
 	}), func() { close(hold) }
 }
 
-// A planned stop that is called off, while the listener is open and once it is shut,
-// leaves an edge node that serves as before, and answers what was open.
-func TestStopCalledOff(t *testing.T) {
-	a, let := held(t)
-	cfg := fileConfig(t, newRegistry(t, serving("s-00000001", a.addr())).addr, "", testSettings)
-	cfg.Current().File.Listen = refusing(t)
-	n := start(t, cfg)
+// After a shutdown is cancelled, with the listener still open or already closed, the edge node serves as
+// before and answers the open requests.
+func TestCancelShutdown(t *testing.T) {
+	a, release := newHeldServer(t)
+	cfg := fileConfig(t, newDiscoveryServer(t, servingTarget("s-00000001", a.addr())).addr, "", testSettings)
+	cfg.Current().File.Listen = unusedAddr(t)
+	n := startNode(t, cfg)
 	if err := n.CancelShutdown(t.Context()); err == nil {
-		t.Error("called off what had not begun")
+		t.Error("cancelled a shutdown that had not begun")
 	}
 	answered := make(chan string, 1)
 	go func() {
-		resp, err := http.DefaultClient.Do(request(n.url, "loan", patience)) // not called back when it takes long
+		// keyed: a slow attempt is not cancelled
+		resp, err := http.DefaultClient.Do(newRequest(n.url, "loan", clientTimeout))
 		if err != nil {
 			answered <- err.Error()
 			return
@@ -128,7 +144,7 @@
 		body, _ := io.ReadAll(resp.Body)
 		answered <- string(body)
 	}()
-	testkit.Eventually(t, "the request out", func() bool { return a.seen.Load() == 1 })
+	testkit.Eventually(t, "the attempt in flight", func() bool { return a.requests.Load() == 1 })
 	phaseIs := func(p phase) func() bool { return func() bool { return n.Status().Phase == p.String() } }
 	ready := func() int {
 		resp, err := http.Get(n.url + "/healthz")
@@ -139,48 +155,50 @@
 		return resp.StatusCode
 	}
 	for _, p := range []phase{phaseLeaving, phaseFinishing} {
-		n.stop()
+		n.requestShutdown()
 		testkit.Eventually(t, p.String(), phaseIs(p))
 		if p == phaseLeaving && ready() != 503 {
-			t.Error("ready though it leaves")
+			t.Error("ready during a shutdown")
 		}
 		if err := n.CancelShutdown(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if got := ready(); got != 200 || !phaseIs(phaseServing)() {
-			t.Errorf("healthz %d, %s after a stop called off while %v", got, n.Status().Phase, p)
+			t.Errorf("healthz %d, %s after a shutdown cancelled while %v", got, n.Status().Phase, p)
 		}
 	}
-	let()
+	release()
 	if got := <-answered; got != "ok" {
 		t.Error(got)
 	}
-	r := request(n.url, "lookup", patience)
+	r := newRequest(n.url, "lookup", clientTimeout)
 	r.Header.Set("X-Request-Id", "later")
-	if resp, body := ask(t, r); resp.StatusCode != 200 || body != "ok" {
+	if resp, body := doRequest(t, r); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
-	n.stop()
+	n.requestShutdown()
 	if err := <-n.done; err != nil {
 		t.Error(err)
 	}
 	if err := n.CancelShutdown(t.Context()); !errors.Is(err, errEnded) {
-		t.Errorf("%v after the end", err)
+		t.Errorf("%v after Run has returned", err)
 	}
 }
 
-// A second signal has what waits answered at once, so that it can be asked for
-// elsewhere, and what is out answered whole.
-func TestStopHastened(t *testing.T) {
-	a, let := held(t)
-	// What is held would be held for longer than the test waits.
-	settings := strings.NewReplacer(`{"name":"town"}`, `{"name":"town","parallel":1}`, `"aim_ms":1000,"hard_limit_ms":10000`,
+// A second signal answers waiting requests at once, so that their clients can retry elsewhere. Requests in
+// flight are completed.
+func TestShutdownShortened(t *testing.T) {
+	a, release := newHeldServer(t)
+	// With these settings the waiting request would wait for longer than the test.
+	settings := strings.NewReplacer(`{"name":"town"}`, `{"name":"town","parallel":1}`,
+		`"aim_ms":1000,"hard_limit_ms":10000`,
 		`"aim_ms":100000,"hard_limit_ms":100000`).Replace(testSettings)
-	n := start(t, fileConfig(t, newRegistry(t, serving("s-00000001", a.addr())).addr, "", settings))
+	n := startNode(t, fileConfig(t, newDiscoveryServer(t, servingTarget("s-00000001", a.addr())).addr, "",
+		settings))
 	got := make(chan string, 2)
 	for i, id := range []string{"out", "held"} {
 		go func() {
-			r := request(n.url, "loan", 6*patience)
+			r := newRequest(n.url, "loan", 6*clientTimeout)
 			r.Header.Set("X-Request-Id", id)
 			resp, err := http.DefaultClient.Do(r)
 			if err != nil {
@@ -192,14 +210,14 @@
 		}()
 		testkit.Eventually(t, id, func() bool {
 			open, _ := n.server.activity()
-			return open >= i+1 && a.seen.Load() == 1
+			return open >= i+1 && a.requests.Load() == 1
 		})
 	}
-	n.stop()
-	testkit.Eventually(t, "the stop", func() bool { return n.Status().Phase == phaseLeaving.String() })
-	n.stop()
+	n.requestShutdown()
+	testkit.Eventually(t, "the shutdown", func() bool { return n.Status().Phase == phaseLeaving.String() })
+	n.requestShutdown()
 	var s string
-	testkit.Eventually(t, "what is held given up", func() bool {
+	testkit.Eventually(t, "the waiting request answered", func() bool {
 		select {
 		case s = <-got:
 			return true
@@ -210,7 +228,7 @@
 	if s != "held 429 true" {
 		t.Error(s)
 	}
-	let()
+	release()
 	if s := <-got; s != "out 200 false" {
 		t.Error(s)
 	}
@@ -219,15 +237,15 @@
 	}
 }
 
-// A stop can't be called off once another has the address: it goes on to its end.
-func TestCallOffTooLate(t *testing.T) {
-	a, let := held(t)
-	cfg := fileConfig(t, newRegistry(t, serving("s-00000001", a.addr())).addr, "", testSettings)
-	cfg.Current().File.Listen = refusing(t)
-	n := start(t, cfg)
+// A shutdown can't be cancelled once another process has the address. It then completes.
+func TestCancelShutdownAfterAddressTaken(t *testing.T) {
+	a, release := newHeldServer(t)
+	cfg := fileConfig(t, newDiscoveryServer(t, servingTarget("s-00000001", a.addr())).addr, "", testSettings)
+	cfg.Current().File.Listen = unusedAddr(t)
+	n := startNode(t, cfg)
 	answered := make(chan int, 1)
 	go func() {
-		resp, err := http.DefaultClient.Do(request(n.url, "loan", patience))
+		resp, err := http.DefaultClient.Do(newRequest(n.url, "loan", clientTimeout))
 		if err != nil {
 			answered <- 0
 			return
@@ -235,33 +253,34 @@
 		resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	testkit.Eventually(t, "the request out", func() bool { return a.seen.Load() == 1 })
-	n.stop()
-	testkit.Eventually(t, "the listener closed", func() bool { return n.Status().Phase == phaseFinishing.String() })
+	testkit.Eventually(t, "the attempt in flight", func() bool { return a.requests.Load() == 1 })
+	n.requestShutdown()
+	testkit.Eventually(t, "the listener closed",
+		func() bool { return n.Status().Phase == phaseFinishing.String() })
 	other, err := net.Listen("tcp", cfg.Current().File.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
 	if err := n.CancelShutdown(t.Context()); err == nil {
-		t.Error("called off though the address is another's")
+		t.Error("cancelled though another process has the address")
 	}
-	let()
+	release()
 	if got := <-answered; got != 200 {
-		t.Errorf("%d for what was open", got)
+		t.Errorf("%d for the open request", got)
 	}
 	if err := <-n.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// The front asks for readiness for as long as an edge node leaves, each time on a
-// new connection: that must not keep the listener open.
-func TestProbesDontHoldUpAStop(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "a"))
-	n := nodeWith(t, a.addr())
+// The load balancer probes a draining edge node continuously, each time on a new connection. The probes
+// must not keep the listener open.
+func TestProbesDontDelayShutdown(t *testing.T) {
+	a := newTestServer(t, respondWith("200 OK", "", "a"))
+	n := startNodeWithServers(t, a.addr())
 	ended := make(chan struct{})
-	n.stop()
+	n.requestShutdown()
 	go func() {
 		for {
 			select {
@@ -280,7 +299,7 @@
 			}
 		}
 	}()
-	testkit.Eventually(t, "the end", func() bool { return n.ctx.Err() != nil })
+	testkit.Eventually(t, "the end of Run", func() bool { return n.ctx.Err() != nil })
 	close(ended)
 	if err := <-n.done; err != nil {
 		t.Error(err)
--- a/internal/node/snapshots.go
+++ b/internal/node/snapshots.go
@@ -90,13 +90,13 @@
 // whether the restored list is as current as discovery's. The token buckets that a shutdown stored
 // are used only after a snapshot without them has been written: a start after a crash must not restore
 // them a second time.
-func (n *Node) restore(kept *Snapshots) (listFresh bool) {
+func (n *Node) restore(snapshots *Snapshots) (listFresh bool) {
 	known := n.cfg.KnownServers
-	if kept == nil {
+	if snapshots == nil {
 		n.postRememberedList(known)
 		return false
 	}
-	stored, found := kept.Found.State, kept.Found
+	stored, found := snapshots.Found.State, snapshots.Found
 	event := policy.Restore{}
 	if stored != nil {
 		now := snapshot.Now()
--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -14,8 +14,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// kept opens a state directory as a start does; let go of it with close.
-func kept(t *testing.T, path string) (k *Snapshots, letGo func()) {
+// openSnapshots opens a state directory as the start of the process does, until closeDir is called.
+func openSnapshots(t *testing.T, path string) (k *Snapshots, closeDir func()) {
 	t.Helper()
 	dir, err := snapshot.OpenDir(path)
 	if err != nil {
@@ -25,17 +25,18 @@
 	return &Snapshots{store, found}, func() { dir.Close() }
 }
 
-// rated is testSettings with a plan that shows what its store holds.
+// ratedPlan is a plan whose token bucket is small enough to show its content.
 const ratedPlan = `{"name":"rated","rate":0.01,"store_size":4}`
 
-// units spends a customer's store until it is refused.
-func units(t *testing.T, n *running) (spent int) {
+// spendUntilRefused sends requests until a customer's token bucket is empty, and returns how many were
+// served.
+func spendUntilRefused(t *testing.T, n *testNode) (spent int) {
 	t.Helper()
 	for range 10 {
-		r := request(n.url, "loan", patience)
+		r := newRequest(n.url, "loan", clientTimeout)
 		r.Header.Set("X-Tier", "rated")
 		r.Header.Set("X-Call-Terms", "units=1,spread=1,first=0")
-		resp, _ := ask(t, r)
+		resp, _ := doRequest(t, r)
 		if resp.StatusCode != 200 {
 			return spent
 		}
@@ -44,60 +45,60 @@
 	return spent
 }
 
-// After a planned stop a customer's store goes on where it was, once; after a
-// crash it grants nothing that may have been let in before.
-func TestStoresOverRestarts(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "a"))
+// After a shutdown the tokens of a customer are restored, but only once. After a crash no tokens are
+// granted that may have been spent before.
+func TestTokensAcrossRestarts(t *testing.T) {
+	a := newTestServer(t, respondWith("200 OK", "", "a"))
 	path := filepath.Join(t.TempDir(), "state")
 	settings := ratedSettings()
-	g := newRegistry(t, serving("s-00000001", a.addr()))
-	open := func() (*running, func()) {
-		k, letGo := kept(t, path)
-		return startFrom(t, fileConfig(t, g.addr, "", settings), k), letGo
+	g := newDiscoveryServer(t, servingTarget("s-00000001", a.addr()))
+	open := func() (*testNode, func()) {
+		k, closeDir := openSnapshots(t, path)
+		return startNodeFromSnapshots(t, fileConfig(t, g.addr, "", settings), k), closeDir
 	}
-	planned := func(n *running, letGo func()) {
+	shutDown := func(n *testNode, closeDir func()) {
 		t.Helper()
-		n.stop()
+		n.requestShutdown()
 		if err := <-n.done; err != nil {
 			t.Fatal(err)
 		}
-		letGo()
+		closeDir()
 	}
-	n, letGo := open()
-	spend := func(n *running, want int) {
+	n, closeDir := open()
+	spend := func(n *testNode, want int) {
 		t.Helper()
 		for range want {
-			r := request(n.url, "loan", patience)
+			r := newRequest(n.url, "loan", clientTimeout)
 			r.Header.Set("X-Tier", "rated")
 			r.Header.Set("X-Call-Terms", "units=1,spread=1,first=0")
-			if resp, _ := ask(t, r); resp.StatusCode != 200 {
+			if resp, _ := doRequest(t, r); resp.StatusCode != 200 {
 				t.Fatalf("%d", resp.StatusCode)
 			}
 		}
 	}
 	spend(n, 1)
-	planned(n, letGo)
+	shutDown(n, closeDir)
 
-	k, close := kept(t, path)
+	k, close := openSnapshots(t, path)
 	if st := k.Found.State; st == nil || !st.Clean || !k.Found.Complete || len(st.Memory.Tokens) != 1 {
-		t.Fatalf("%+v after a planned stop", k.Found)
+		t.Fatalf("%+v after a shutdown", k.Found)
 	}
 	close()
-	n, letGo = open()
-	spend(n, 1) // of the three that were left
-	n.cancel()  // as a crash does: the process is not heard of again
+	n, closeDir = open()
+	spend(n, 1) // one of the three units left
+	n.cancel()  // as in a crash: no final snapshot, no messages
 	<-n.loop.done
-	letGo()
-	n, letGo = open()
-	if got := units(t, n); got != 0 {
-		t.Errorf("%d units at once after a crash", got)
+	closeDir()
+	n, closeDir = open()
+	if got := spendUntilRefused(t, n); got != 0 {
+		t.Errorf("%d units served after a crash", got)
 	}
-	planned(n, letGo)
-	n, letGo = open()
-	if got := units(t, n); got != 0 {
-		t.Errorf("%d units at once after a planned stop after a crash", got)
+	shutDown(n, closeDir)
+	n, closeDir = open()
+	if got := spendUntilRefused(t, n); got != 0 {
+		t.Errorf("%d units served after a crash and a later shutdown", got)
 	}
-	planned(n, letGo)
+	shutDown(n, closeDir)
 }
 
 func ratedSettings() string {
@@ -106,105 +107,108 @@
 	 "plans":[` + ratedPlan + `,{"name":"town"}]}`
 }
 
-// An edge node that was killed knows its servers without discovery, and is ready
-// at once where its list is fresh.
-func TestListOverCrash(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "a"))
+// After a crash the edge node knows its servers without discovery, and is ready at once if its list is
+// recent.
+func TestListAfterCrash(t *testing.T) {
+	a := newTestServer(t, respondWith("200 OK", "", "a"))
 	path := filepath.Join(t.TempDir(), "state")
-	g := newRegistry(t, serving("s-00000001", a.addr()))
-	k, letGo := kept(t, path)
-	n := startFrom(t, fileConfig(t, g.addr, "", testSettings), k)
+	g := newDiscoveryServer(t, servingTarget("s-00000001", a.addr()))
+	k, closeDir := openSnapshots(t, path)
+	n := startNodeFromSnapshots(t, fileConfig(t, g.addr, "", testSettings), k)
 	testkit.Eventually(t, "a snapshot with the list", func() bool {
-		dir := snapshotsAt(path)
+		dir := readOnlyDir(path)
 		_, found := snapshot.Open(dir, "n0")
 		return found.State != nil && found.State.List != nil && len(found.State.List.Targets) == 1
 	})
-	n.cancel() // the loop ends where it stands
-	letGo()
-	k, letGo = kept(t, path)
-	defer letGo()
+	n.cancel() // ends the loop without a shutdown
+	closeDir()
+	k, closeDir = openSnapshots(t, path)
+	defer closeDir()
 	if k.Found.State.Clean {
-		t.Error("a crash passes for a planned stop")
+		t.Error("a crash counts as a shutdown")
 	}
-	n = startFrom(t, fileConfig(t, silent(t), "", testSettings), k)
-	if resp, body := ask(t, request(n.url, "loan", patience)); resp.StatusCode != 200 || body != "a" {
+	n = startNodeFromSnapshots(t, fileConfig(t, newSilentDiscovery(t), "", testSettings), k)
+	if resp, body := doRequest(t, newRequest(n.url, "loan", clientTimeout)); resp.StatusCode != 200 ||
+		body != "a" {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
 }
 
-// snapshotsAt reads a directory that another has locked.
-type snapshotsAt string
+// readOnlyDir reads a directory that another process has locked.
+type readOnlyDir string
 
-func (s snapshotsAt) Read(name string) ([]byte, error) {
+func (s readOnlyDir) Read(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(string(s), name))
 }
-func (snapshotsAt) Create(string) (snapshot.File, error) { return nil, fs.ErrPermission }
-func (snapshotsAt) Rename(string, string) error          { return fs.ErrPermission }
-func (snapshotsAt) Sync() error                          { return fs.ErrPermission }
+func (readOnlyDir) Create(string) (snapshot.File, error) { return nil, fs.ErrPermission }
+func (readOnlyDir) Rename(string, string) error          { return fs.ErrPermission }
+func (readOnlyDir) Sync() error                          { return fs.ErrPermission }
 
-// silent is a discovery that takes calls and answers none.
-func silent(t *testing.T) string {
+// newSilentDiscovery returns the address of a discovery service that never responds.
+func newSilentDiscovery(t *testing.T) string {
 	t.Helper()
-	return newApp(t, deaf).addr()
+	return newTestServer(t, neverRespond).addr()
 }
 
-// A disk that can't be written costs freshness and a count, never a request: the
-// edge node serves, and what it found counts as after a crash.
-func TestDiskOutOfUse(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "a"))
-	g := newRegistry(t, serving("s-00000001", a.addr()))
-	store, _ := snapshot.Open(snapshotsAt(t.TempDir()), "n0")
+// If the disk can't be written, the edge node still serves, failures are counted, and the state that it
+// found is treated as after a crash.
+func TestUnwritableDisk(t *testing.T) {
+	a := newTestServer(t, respondWith("200 OK", "", "a"))
+	g := newDiscoveryServer(t, servingTarget("s-00000001", a.addr()))
+	store, _ := snapshot.Open(readOnlyDir(t.TempDir()), "n0")
 	found := snapshot.Found{Complete: true, State: &snapshot.State{Clean: true, Taken: snapshot.Now(),
 		Memory: policy.SavedState{Tokens: map[uint64]float64{}}}}
-	n := startFrom(t, fileConfig(t, g.addr, "", ratedSettings()), &Snapshots{store, found})
-	other := request(n.url, "loan", patience)
+	n := startNodeFromSnapshots(t, fileConfig(t, g.addr, "", ratedSettings()), &Snapshots{store, found})
+	other := newRequest(n.url, "loan", clientTimeout)
 	other.Header.Set("Cookie", "key=0000000000000007")
-	if resp, _ := ask(t, other); resp.StatusCode != 200 {
+	if resp, _ := doRequest(t, other); resp.StatusCode != 200 {
 		t.Errorf("%d", resp.StatusCode)
 	}
-	if got := units(t, n); got != 0 {
-		t.Errorf("%d units at once from stores that the next start would find again", got)
+	if got := spendUntilRefused(t, n); got != 0 {
+		t.Errorf("%d units served from stored tokens that the next start would restore again", got)
 	}
 	testkit.Eventually(t, "failures counted", func() bool { return n.Status().Snapshots.Failed > 1 })
-	n.stop()
+	n.requestShutdown()
 	if err := <-n.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// A list older than its limit, or older than the configuration's, is passed over,
-// and so are a server's faults.
-func TestOldPiecesArePassedOver(t *testing.T) {
-	long := snapshot.Now()
-	long.Wall = long.Wall.Add(-2 * maxListAge)
-	a, b := newApp(t, answer("200 OK", "", "a")), newApp(t, answer("200 OK", "", "b"))
-	older := &serverList{Rev: 3, Targets: []target{serving("s-00000001", a.addr())}}
-	newer := &serverList{Rev: 4, Targets: []target{serving("s-00000002", b.addr())}}
+// A stored list is ignored if it is too old or older than the list of the configuration. A stored server
+// state that is too old is ignored as well.
+func TestOutdatedStateIsIgnored(t *testing.T) {
+	outdated := snapshot.Now()
+	outdated.Wall = outdated.Wall.Add(-2 * maxListAge)
+	a, b := newTestServer(t, respondWith("200 OK", "", "a")), newTestServer(t, respondWith("200 OK", "", "b"))
+	older := &serverList{Rev: 3, Targets: []target{servingTarget("s-00000001", a.addr())}}
+	newer := &serverList{Rev: 4, Targets: []target{servingTarget("s-00000002", b.addr())}}
 	for _, c := range []struct {
-		name        string
-		kept, known *serverList
-		taken       snapshot.Moment
-		want        string
+		name          string
+		stored, known *serverList
+		taken         snapshot.Moment
+		want          string
 	}{
-		{"kept", newer, older, snapshot.Now(), "b"},
+		{"stored", newer, older, snapshot.Now(), "b"},
 		{"configuration's is newer", older, newer, snapshot.Now(), "b"},
-		{"too old", newer, older, long, "a"},
+		{"too old", newer, older, outdated, "a"},
 	} {
-		store, _ := snapshot.Open(snapshotsAt(t.TempDir()), "n0")
-		cfg := fileConfig(t, refusing(t), "", testSettings)
+		store, _ := snapshot.Open(readOnlyDir(t.TempDir()), "n0")
+		cfg := fileConfig(t, unusedAddr(t), "", testSettings)
 		cfg.Current().File.KnownServers = c.known
-		n := startFrom(t, cfg, &Snapshots{store, snapshot.Found{State: &snapshot.State{Taken: c.taken, List: c.kept}}})
-		if _, body := ask(t, request(n.url, "loan", patience)); body != c.want {
+		n := startNodeFromSnapshots(t, cfg, &Snapshots{store,
+			snapshot.Found{State: &snapshot.State{Taken: c.taken, List: c.stored}}})
+		if _, body := doRequest(t, newRequest(n.url, "loan", clientTimeout)); body != c.want {
 			t.Errorf("%s: served by %q, want %q", c.name, body, c.want)
 		}
 	}
 }
 
-// Where discovery refuses at once the list held has to do, without a wait.
+// If discovery refuses a call, the remembered list is used without a further wait.
 func TestReadyWhereDiscoveryRefuses(t *testing.T) {
-	a := newApp(t, answer("200 OK", "", "a"))
-	cfg := testConfig(t, refusing(t))
-	cfg.Current().File.KnownServers = &serverList{Rev: 4, Targets: []target{serving("s-00000001", a.addr())}}
+	a := newTestServer(t, respondWith("200 OK", "", "a"))
+	cfg := testConfig(t, unusedAddr(t))
+	cfg.Current().File.KnownServers = &serverList{Rev: 4,
+		Targets: []target{servingTarget("s-00000001", a.addr())}}
 	n, err := New(cfg, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -217,7 +221,7 @@
 		t.Error("ready without any list")
 	}
 	if ready(policy.StoredList) {
-		t.Error("ready before discovery was asked")
+		t.Error("ready before the call to discovery")
 	}
 	if !ready(policy.WatchFailed) {
 		t.Error("not ready though discovery refuses")
@@ -226,40 +230,42 @@
 	n.cancel()
 }
 
-// Where the configuration names no duty no message of one is sent or heard; where it
-// does, garbage is passed over and the module hears nothing of them.
+// Without duties in the configuration, messages of the lease protocol are neither sent nor received. With
+// duties, invalid messages of the protocol are consumed and not passed to policy.
 func TestDutiesOnlyWhereNamed(t *testing.T) {
-	var told int
-	d := newDuties([]string{"a", "b"}, 0, 1, 1, clock{time.Now()}, func(int, []byte) { told++ })
-	if !d.receive(0, []byte{lease.Version, 1, 2}) || d.receive(0, []byte{3, 0}) || d.receive(0, nil) || len(d.incoming) != 0 {
-		t.Error("garbage was taken for a message, or a message for garbage")
+	var sent int
+	d := newDuties([]string{"a", "b"}, 0, 1, 1, clock{time.Now()}, func(int, []byte) { sent++ })
+	if !d.receive(0, []byte{lease.Version, 1, 2}) || d.receive(0, []byte{3, 0}) || d.receive(0, nil) ||
+		len(d.incoming) != 0 {
+		t.Error("an invalid datagram was queued, or a datagram was attributed to the wrong protocol")
 	}
 	for range 2 * dutyQueueLength {
 		d.receive(0, lease.Message{Kind: lease.Prepare, Duty: lease.Digest("a"), Ballot: 1 << 40}.Append(nil))
 	}
 	if len(d.incoming) != dutyQueueLength {
-		t.Errorf("%d messages wait", len(d.incoming))
+		t.Errorf("%d messages queued", len(d.incoming))
 	}
-	if s := d.status(); len(s) != 2 || !s[0].Voter || s[0].Token != 0 || told != 0 {
-		t.Errorf("%+v, told %d times", s, told)
+	if s := d.status(); len(s) != 2 || !s[0].Voter || s[0].Token != 0 || sent != 0 {
+		t.Errorf("%+v, %d messages sent", s, sent)
 	}
-	if n := nodeWith(t, refusing(t)); n.duties != nil || n.Status().Duties != nil {
-		t.Error("duties though none is named")
+	if n := startNodeWithServers(t, unusedAddr(t)); n.duties != nil || n.Status().Duties != nil {
+		t.Error("duties without any in the configuration")
 	}
 }
 
-// Of servers only what is known is kept, and the list whether or not anything is.
-func TestKeepsWhatIsKnownOfServers(t *testing.T) {
-	k, letGo := kept(t, filepath.Join(t.TempDir(), "state"))
-	defer letGo()
-	n, err := New(testConfig(t, refusing(t)), k)
+// A snapshot holds only servers whose state differs from the default. It always holds the list.
+func TestSnapshotOmitsDefaultServerState(t *testing.T) {
+	k, closeDir := openSnapshots(t, filepath.Join(t.TempDir(), "state"))
+	defer closeDir()
+	n, err := New(testConfig(t, unusedAddr(t)), k)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.cancel()
 	defer n.listener.Close()
 	n.loop.handle(listUpdate{list: largeFleet(3, 1), kind: policy.FullList, listKind: policy.FullList})
-	n.loop.handle(policy.Restore{SavedState: policy.SavedState{Servers: []policy.SavedServer{{ID: 2, RelativeLatency: 2, MonitoredLatency: 2}}}})
+	n.loop.handle(policy.Restore{SavedState: policy.SavedState{Servers: []policy.SavedServer{{ID: 2,
+		RelativeLatency: 2, MonitoredLatency: 2}}}})
 	st := n.snapshots.nextState(n.loop, false)
 	if st == nil || len(st.Memory.Servers) != 1 || st.Memory.Servers[0].ID != 2 {
 		t.Fatalf("%+v", st)
@@ -268,6 +274,6 @@
 		t.Errorf("%+v, %v", l, err)
 	}
 	if n.snapshots.nextState(n.loop, false) != nil {
-		t.Error("kept again at once, though nothing has changed")
+		t.Error("a second snapshot is due though nothing has changed")
 	}
 }
--- a/internal/node/stray_answer_test.go
+++ b/internal/node/stray_response_test.go
@@ -20,23 +20,25 @@
 
 var (
 	strayAnswers = flag.Int("strays", 200, "stray answers to send")
-	straySlow    = flag.Bool("strays-slow", false, "send them on connections whose requests are acknowledged at once")
-	straySeed    = flag.Uint64("strays-seed", 1, "seed of the moments at which they are sent")
+	straySlow    = flag.Bool("strays-slow", false,
+		"send them on connections whose requests are acknowledged at once")
+	straySeed = flag.Uint64("strays-seed", 1, "seed of the moments at which they are sent")
 )
 
-// delayedAcknowledgment is more than the time for which Linux holds an acknowledgment back.
+// delayedAcknowledgment is longer than Linux delays a TCP acknowledgment.
 const delayedAcknowledgment = 50 * time.Millisecond
 
-// strayServer answers requests, and sends answers that nobody asked for.
+// strayServer is a server that responds to requests and sends stray responses without a request.
 type strayServer struct {
 	addr    string
 	conn    chan *net.TCPConn
-	arrived atomic.Bool // a byte of the request that is awaited has come
-	slow    atomic.Bool // answers take so long that requests are acknowledged ahead of them, also the next
+	arrived atomic.Bool // a byte of the next request has been received
+	// delays responses until the kernel has acknowledged the request, also for the next one
+	slow atomic.Bool
 }
 
-// serve answers every request on a connection. It notes that a request has come before it takes
-// the request's first byte from the system.
+// serve responds to each request on a connection. It sets arrived before it reads the first byte of a
+// request from the kernel.
 func (s *strayServer) serve(c *net.TCPConn) {
 	defer c.Close()
 	raw, err := c.SyscallConn()
@@ -60,16 +62,16 @@
 		if s.slow.Load() {
 			time.Sleep(delayedAcknowledgment)
 		}
-		if _, err := io.WriteString(c, answerHits); err != nil {
+		if _, err := io.WriteString(c, responseHits); err != nil {
 			return
 		}
 	}
 }
 
-// sendStray sends an answer that nobody asked for. It tells whether no byte of the awaited request
-// had come to this end's system by then, so that the answer can't be to it.
+// sendStray sends a stray response. It reports whether the kernel had received no byte of the next request
+// by then, so that the response can't belong to that request.
 func (s *strayServer) sendStray(c *net.TCPConn) (before bool) {
-	_, err := io.WriteString(c, answerOther)
+	_, err := io.WriteString(c, responseOther)
 	raw, rawErr := c.SyscallConn()
 	if err != nil || rawErr != nil {
 		return false
@@ -79,13 +81,13 @@
 	return readErr == nil && unread == 0 && !s.arrived.Load()
 }
 
-// strayCounts are the trials of one run by what became of them.
+// strayCounts counts the trials of one run by their result.
 type strayCounts struct{ before, wrong, wrongBefore, served, failed int }
 
-// A server sends an answer that nobody asked for within 300 us of the next request on its idle
-// connection. One that was sent before the request came must not be taken for the request's answer.
-// Where the server's system acknowledges requests ahead of their answers some still are; the test
-// then counts them alone.
+// A server sends a stray response within 300 us of the next request on its idle connection. A stray
+// response that was sent before the request arrived must not be accepted as the response to it. If the
+// server's kernel acknowledges a request before the response, some are still accepted: with -strays-slow
+// the test only counts them.
 func TestStrayAnswersAtAnyMoment(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,15 +104,16 @@
 			go server.serve(c.(*net.TCPConn))
 		}
 	}()
-	u := pool(ln.Addr().String())
+	u := newTestUpstream(ln.Addr().String())
 	rng := rand.New(rand.NewPCG(*straySeed, 1))
-	var n strayCounts
+	var counts strayCounts
 	for range *strayAnswers {
-		n.add(strayTrial(t, u, server, rng))
+		counts.add(strayTrial(t, u, server, rng))
 	}
-	t.Logf("%+v", n)
-	if n.wrongBefore > 0 && !*straySlow {
-		t.Errorf("%d of %d requests were answered with what had been sent before they came", n.wrongBefore, n.before)
+	t.Logf("%+v", counts)
+	if counts.wrongBefore > 0 && !*straySlow {
+		t.Errorf("%d of %d requests got a response that was sent before they arrived", counts.wrongBefore,
+			counts.before)
 	}
 }
 
@@ -132,20 +135,21 @@
 	}
 }
 
-// strayTrial rests a connection, sends a stray answer on it around the next request and tells how
-// the request ended.
-func strayTrial(t *testing.T, u *upstream, server *strayServer, rng *rand.Rand) (before bool, r result, body string) {
-	const spread = 300 * time.Microsecond
-	u.update(&serverList{}, true) // closes what earlier trials left
-	u.reusePauses = reusePauses{} // each trial is to be the server's first
+// strayTrial leaves a connection idle, sends a stray response on it around the time of the next request,
+// and returns the result of that request.
+func strayTrial(t *testing.T, u *upstream, server *strayServer, rng *rand.Rand) (before bool, r result,
+	body string) {
+	const maxOffset = 300 * time.Microsecond
+	u.update(&serverList{}, true) // closes the connections of earlier trials
+	u.reusePauses = reusePauses{} // the reuse pauses of earlier trials must not apply
 	for len(server.conn) > 0 {
 		<-server.conn
 	}
-	u.update(&serverList{Targets: []target{serving("s-00000001", server.addr)}}, true)
+	u.update(&serverList{Targets: []target{servingTarget("s-00000001", server.addr)}}, true)
 	server.slow.Store(*straySlow)
 	var conn *net.TCPConn
 	for i := range 1 + rng.IntN(4) {
-		_, do := u.try(patience)
+		_, do := u.newAttempt(clientTimeout)
 		if r, body := do(); r.code != policy.OK || body != "hits" {
 			t.Fatalf("request %d: code %d, %q", i, r.code, body)
 		}
@@ -156,20 +160,20 @@
 	time.Sleep(time.Duration(rng.Int64N(int64(2 * time.Millisecond))))
 	server.slow.Store(false)
 	server.arrived.Store(false)
-	_, do := u.try(patience)
-	begin := time.Now().Add(2 * spread)
-	at := begin.Add(time.Duration(rng.Int64N(int64(2*spread))) - spread)
+	_, do := u.newAttempt(clientTimeout)
+	requestAt := time.Now().Add(2 * maxOffset)
+	strayAt := requestAt.Add(time.Duration(rng.Int64N(int64(2*maxOffset))) - maxOffset)
 	sent := make(chan bool, 1)
 	go func() {
-		spinUntil(at)
+		spinUntil(strayAt)
 		sent <- server.sendStray(conn)
 	}()
-	spinUntil(begin)
+	spinUntil(requestAt)
 	r, body = do()
 	return <-sent, r, body
 }
 
-// spinUntil waits for a moment more exactly than a timer does.
+// spinUntil waits until a time more precisely than a timer.
 func spinUntil(at time.Time) {
 	for time.Now().Before(at) {
 		runtime.Gosched()
--- a/internal/node/unsolicited.go
+++ b/internal/node/unsolicited.go
@@ -29,10 +29,10 @@
 }
 
 // unsolicitedCounts holds the live counters of Unsolicited.
-type unsolicitedCounts struct{ idle, write, answer, unchecked atomic.Int64 }
+type unsolicitedCounts struct{ idle, write, response, unchecked atomic.Int64 }
 
 func (c *unsolicitedCounts) load() Unsolicited {
-	return Unsolicited{c.idle.Load(), c.write.Load(), c.answer.Load(), c.unchecked.Load()}
+	return Unsolicited{c.idle.Load(), c.write.Load(), c.response.Load(), c.unchecked.Load()}
 }
 
 // socketQueues holds the lengths of a socket's buffers.
@@ -80,7 +80,7 @@
 	case !known:
 		c.counts.unchecked.Add(1)
 	case q.unacknowledged >= requestLength:
-		c.counts.answer.Add(1)
+		c.counts.response.Add(1)
 		c.unsolicited = true
 		return errUnsolicited
 	}
@@ -124,7 +124,7 @@
 	if !bytes.HasPrefix(second, []byte(responsePrefix)) || bytes.Equal(first[:length], second[:length]) {
 		return false
 	}
-	c.counts.answer.Add(1)
+	c.counts.response.Add(1)
 	c.unsolicited = true
 	return true
 }
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -67,7 +67,7 @@
 // attempt sends a request to a server once.
 type attempt struct {
 	id            policy.RequestID
-	num           int
+	num           int // of the request's attempts, from 0
 	server        policy.ServerID
 	startedAt     time.Duration // when the policy module requested the attempt
 	deadline      time.Duration // when the attempt times out
