--- a/cmd/valverlab/commands.go
+++ b/cmd/valverlab/commands.go
@@ -61,7 +61,7 @@
 	m := store.Manifest{Name: f.Name, Command: os.Args, File: string(f.Text()), Engine: engine,
 		Runs: len(runs)}
 	for _, v := range f.Variants {
-		m.Arms = append(m.Arms, v.Name)
+		m.Variants = append(m.Variants, v.Name)
 	}
 	folder, err := store.Create(dir, m, c.Resume)
 	if err != nil {
@@ -150,9 +150,9 @@
 
 // comparison compares one arm between two folders.
 type comparison struct {
-	Arm  string     `json:"arm"`
-	Diff stats.Diff `json:"diff"`
-	Seen bool       `json:"seen"`
+	Arm         string     `json:"arm"`
+	Diff        stats.Diff `json:"diff"`
+	Significant bool       `json:"seen"`
 }
 
 func (c *compareCmd) Run(a *app) error {
@@ -189,7 +189,7 @@
 	list := []comparison{}
 	for _, arm := range arms {
 		d := stats.Paired(valuesA[arm], valuesB[arm])
-		list = append(list, comparison{arm, d, d.Seen()})
+		list = append(list, comparison{arm, d, d.Significant()})
 	}
 	if c.JSON {
 		data, err := json.Marshal(map[string]any{"a": c.A, "b": c.B, "arms": list})
@@ -204,9 +204,9 @@
 		switch {
 		case k.Diff.Pairs < 3:
 			verdict = "too few pairs to tell"
-		case k.Seen && k.Diff.Diff > 0:
+		case k.Significant && k.Diff.Diff > 0:
 			verdict = "better"
-		case k.Seen:
+		case k.Significant:
 			verdict = "worse"
 		}
 		fmt.Fprintf(a.out, "%-34s %3d pairs  %.4f -> %.4f  %+.4f (%+.4f to %+.4f)  %s\n", k.Arm, k.Diff.Pairs,
@@ -255,7 +255,7 @@
 		return err
 	}
 	if c.Worst > 0 {
-		w := explain.Worst{Most: c.Worst}
+		w := explain.Worst{MaxExamples: c.Worst}
 		if err := folder.EachStory(func(run string, s *trace.Story) bool {
 			w.Add(run, s)
 			return true
@@ -271,7 +271,7 @@
 	err = folder.EachStory(func(run string, s *trace.Story) bool {
 		matches := s.ID == c.ID
 		for i := 0; i < len(s.Notes) && !matches; i++ { // the id of a try identifies its request too
-			matches = s.Notes[i].What == trace.Came && strings.Contains(s.Notes[i].Detail, c.ID)
+			matches = s.Notes[i].What == trace.Accepted && strings.Contains(s.Notes[i].Detail, c.ID)
 		}
 		if !matches {
 			return true
--- a/cmd/valverlab/demo.go
+++ b/cmd/valverlab/demo.go
@@ -52,12 +52,12 @@
 			r.Variant.Name)
 		return d
 	}
-	d.Result, d.Log, d.Err = live.Play(a.ctx, live.Config{World: r.World, Seed: r.Seed, Program: program,
+	d.Result, d.Log, d.Err = live.Run(a.ctx, live.Config{World: r.World, Seed: r.Seed, Program: program,
 		Stories: stories, Step: step})
 	if d.Result != nil {
 		d.Result.Variant, d.Result.Fault = r.Variant.Name, r.Fault
 	}
-	d.Took = time.Since(start)
+	d.Duration = time.Since(start)
 	return d
 }
 
--- a/cmd/valverlab/scale.go
+++ b/cmd/valverlab/scale.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := scale.Play(a.ctx, config)
+	result, err := scale.Run(a.ctx, config)
 	if err != nil {
 		return flagError(err)
 	}
@@ -63,7 +63,7 @@
 	if err := c.show(a.out, result); err != nil {
 		return err
 	}
-	if result.Unsound != "" {
+	if result.Invalid != "" {
 		return errLoadNotSustained
 	}
 	return nil
@@ -135,18 +135,18 @@
 			continue
 		}
 		line("%-6s  ready %d of %d, median %.2f s, most %.2f s", g.name, g.Ready.Count, g.Count, g.Ready.P50S,
-			g.Ready.MostS)
+			g.Ready.MaxS)
 		line("        processor: at rest %.2f%%, load %.1f%%, request %.1f us, datagram %.1f us, line %.2f ms, zone left %.1f ms, back %.1f ms",
 			g.CPU.RestPercent,
 			g.CPU.LoadPercent, g.CPU.RequestUS, g.CPU.DatagramUS, g.CPU.LineChangeMS, g.CPU.ZoneLostMS,
 			g.CPU.ZoneBackMS)
 		line("        memory: resident %.1f MB, most %.1f MB, heap %.2f MB", g.Memory.ResidentMB,
-			g.Memory.ResidentMostMB, g.Memory.HeapMB)
+			g.Memory.ResidentMaxMB, g.Memory.HeapMB)
 		line("        requests: %+v", g.Requests)
 		line("        added ms: 50 %.2f  99 %.2f  99.9 %.2f  most %.1f; while a zone changes: 50 %.2f  99 %.2f  99.9 %.2f  most %.1f",
 			g.Added.P50MS, g.Added.P99MS,
-			g.Added.P999MS, g.Added.MostMS, g.ZoneAdded.P50MS, g.ZoneAdded.P99MS, g.ZoneAdded.P999MS,
-			g.ZoneAdded.MostMS)
+			g.Added.P999MS, g.Added.MaxMS, g.ZoneAdded.P50MS, g.ZoneAdded.P99MS, g.ZoneAdded.P999MS,
+			g.ZoneAdded.MaxMS)
 		line("        datagrams a second: in %.1f (%.0f bytes, peak %d), out %.1f (%.0f bytes), in scaled %.1f (%.0f bytes): %.2f and %.2f of the bounds",
 			g.Datagrams.In.Datagrams,
 			g.Datagrams.In.Bytes, g.Datagrams.InPeak, g.Datagrams.Out.Datagrams, g.Datagrams.Out.Bytes,
@@ -163,20 +163,20 @@
 	for _, k := range r.Changes {
 		line("change: %s (%d lines, %d times): real %d of %d, median %.1f ms, most %.1f ms; hollow %d of %d, median %.1f ms, most %.1f ms",
 			k.What, k.Lines, k.Count,
-			k.Real.Taken, k.Real.Of, k.Real.P50MS, k.Real.MostMS, k.Hollow.Taken, k.Hollow.Of, k.Hollow.P50MS,
-			k.Hollow.MostMS)
+			k.Real.Applied, k.Real.Of, k.Real.P50MS, k.Real.MaxMS, k.Hollow.Applied, k.Hollow.Of,
+			k.Hollow.P50MS, k.Hollow.MaxMS)
 	}
 	line("list: %d bytes decoded in %.0f ms; the lab took %.0f%% of a core at rest, %.0f%% under load; reckoned need %.0f of %.0f MB",
 		r.Decode.Bytes, r.Decode.MS,
-		r.LabRest, r.LabLoad, r.NeedMB, r.MachineMB)
+		r.LabRestPercent, r.LabLoadPercent, r.NeedMB, r.MachineMB)
 	for _, s := range r.Scaled {
 		line("scaled: %s", s)
 	}
 	if r.Interrupted {
 		line("INTERRUPTED: played whole: %v", r.Phases)
 	}
-	if r.Unsound != "" {
-		line("UNSOUND: %s", r.Unsound)
+	if r.Invalid != "" {
+		line("UNSOUND: %s", r.Invalid)
 	}
 	return err
 }
--- a/cmd/valverlab/scale_test.go
+++ b/cmd/valverlab/scale_test.go
@@ -31,8 +31,8 @@
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	if (code == exitLoadNotSustained) != (r.Unsound != "") {
-		t.Errorf("exit %d, unsound %q", code, r.Unsound)
+	if (code == exitLoadNotSustained) != (r.Invalid != "") {
+		t.Errorf("exit %d, unsound %q", code, r.Invalid)
 	}
 	if len(r.Phases) != 6 || r.Real.Count != 2 || r.Hollow.Count != 4 || r.Real.Requests.Asked == 0 ||
 		r.Hollow.Requests.Asked == 0 || r.LongDatagrams != 0 {
--- a/cmd/valverlab/sim.go
+++ b/cmd/valverlab/sim.go
@@ -32,11 +32,11 @@
 
 // world returns the world that the flags describe.
 func (f *sizeFlags) world() (*world.World, error) {
-	if f.Nodes < 1 || f.Nodes > world.MostNodes {
-		return nil, fmt.Errorf("--nodes: %d is not from 1 to %d", f.Nodes, world.MostNodes)
+	if f.Nodes < 1 || f.Nodes > world.MaxNodes {
+		return nil, fmt.Errorf("--nodes: %d is not from 1 to %d", f.Nodes, world.MaxNodes)
 	}
-	if f.Servers < 1 || f.Servers > world.MostServers {
-		return nil, fmt.Errorf("--servers: %d is not from 1 to %d", f.Servers, world.MostServers)
+	if f.Servers < 1 || f.Servers > world.MaxServers {
+		return nil, fmt.Errorf("--servers: %d is not from 1 to %d", f.Servers, world.MaxServers)
 	}
 	w := world.Default(f.Nodes, f.Servers)
 	w.For = world.Duration(f.For)
@@ -118,7 +118,7 @@
 		}
 		fmt.Fprintf(a.out, "%s\n", data)
 	} else {
-		print(a.out, d.Result, d.Took)
+		print(a.out, d.Result, d.Duration)
 		if folder != nil {
 			fmt.Fprintf(a.out, "report: %s\n", filepath.Join(folder.Dir, store.ReportFile))
 		}
@@ -128,7 +128,7 @@
 
 // storeRun writes the stories of a run and its line to a folder.
 func storeRun(folder *store.Folder, d run.Done) error {
-	l := store.Line{Key: d.Run.Key(), World: d.Run.World, Took: d.Took.Seconds(), Result: d.Result}
+	l := store.Line{Key: d.Run.Key(), World: d.Run.World, Duration: d.Duration.Seconds(), Result: d.Result}
 	if d.Err != nil {
 		l.Error = d.Err.Error()
 	}
@@ -158,7 +158,7 @@
 	switch {
 	case len(r.Rules) > 0 && v.Baseline == "":
 		return errRuleBroken
-	case r.Unsound != "":
+	case r.Invalid != "":
 		return errLoadNotSustained
 	}
 	return nil
@@ -176,8 +176,8 @@
 		r.Worth, r.Goals["whole"], r.Goals["worst_window"],
 		r.Goals["worst_plan"], r.Goals["worst_class"])
 	fmt.Fprintf(w, "attempts a request %.2f   beyond quota or cap %.2f%%   datagrams a second and edge node %.1f, most %d, lost %.1f%%\n",
-		r.Sends, 100*r.Beyond, r.Mail,
-		r.MailPeak, 100*r.MailLost)
+		r.Sends, 100*r.Beyond, r.DatagramRate,
+		r.DatagramPeak, 100*r.DatagramLoss)
 	for _, p := range r.Classes {
 		fmt.Fprintf(w, "class %-12s served %.3f of its worth   median %7.1f ms   99th %7.1f ms   99.9th %7.1f ms\n",
 			p.Name, p.Share, p.P50, p.P99, p.P999)
@@ -191,8 +191,8 @@
 	for _, b := range r.Breaches {
 		fmt.Fprintln(w, "RULE BROKEN", b)
 	}
-	if r.Unsound != "" {
-		fmt.Fprintln(w, "UNSOUND:", r.Unsound)
+	if r.Invalid != "" {
+		fmt.Fprintln(w, "UNSOUND:", r.Invalid)
 	}
 	fmt.Fprintf(w, "digest %s\n", r.Digest)
 }
--- a/cmd/valverlab/sweep.go
+++ b/cmd/valverlab/sweep.go
@@ -36,7 +36,7 @@
 	}
 	o.Repetitions = c.Repetitions
 	if c.What != "all" {
-		o.What = []sweep.Quantity{sweep.Quantity(c.What)}
+		o.Quantities = []sweep.Quantity{sweep.Quantity(c.What)}
 	}
 	r, err := sweep.Run(a.ctx, o)
 	if err != nil {
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -127,7 +127,7 @@
 	}
 	switch p.kind {
 	case "oracle":
-		return p.truth.Room(r.Customer, r.Units)
+		return p.truth.HasRoom(r.Customer, r.Units)
 	case "even":
 		nodes := float64(max(1, r.Spread))
 		st := p.quotaShares[r.Customer]
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -119,9 +119,9 @@
 		f.Variants = []Variant{{Name: "module"}}
 	}
 	for _, s := range f.Matrix.Sizes {
-		if len(s) != 2 || s[0] < 1 || s[1] < 1 || s[0] > world.MostNodes || s[1] > world.MostServers {
+		if len(s) != 2 || s[0] < 1 || s[1] < 1 || s[0] > world.MaxNodes || s[1] > world.MaxServers {
 			addError("matrix.sizes", "%v is not [edge nodes, lending servers], up to [%d, %d]", s,
-				world.MostNodes, world.MostServers)
+				world.MaxNodes, world.MaxServers)
 		}
 	}
 	for _, name := range f.Matrix.Faults {
--- a/internal/lab/explain/explain.go
+++ b/internal/lab/explain/explain.go
@@ -18,7 +18,7 @@
 func Cause(s *trace.Story) string {
 	last := 0
 	for i, n := range s.Notes {
-		if n.What == trace.Came || n.What == trace.Untaken || n.What == trace.Crashed {
+		if n.What == trace.Accepted || n.What == trace.NotAccepted || n.What == trace.Crashed {
 			last = i
 		}
 	}
@@ -34,12 +34,12 @@
 			return n.What == trace.Outcome && strings.Contains(n.Detail, text)
 		})
 	}
-	askedRoot := has(trace.Askroot)
-	answered := has(trace.Granted) || has(trace.Denied) || has(trace.Waits)
+	askedRoot := has(trace.RootAsked)
+	answered := has(trace.Granted) || has(trace.Denied) || has(trace.Held)
 	switch {
 	case has(trace.Crashed):
 		return "its edge node died"
-	case has(trace.Untaken):
+	case has(trace.NotAccepted):
 		return "sent to an edge node that is down"
 	case s.How == "late":
 		return lateness(s)
@@ -61,7 +61,7 @@
 		return "refused by its root"
 	case has(trace.Granted):
 		return "granted, but no server had room"
-	case has(trace.Waits):
+	case has(trace.Held):
 		return "held by its root until too late"
 	case askedRoot && !answered:
 		return "neither root nor deputy was heard"
@@ -78,11 +78,11 @@
 			spent[where] += n.At - s.Notes[i-1].At
 		}
 		switch n.What {
-		case trace.Came:
+		case trace.Accepted:
 			where = "at its edge node"
-		case trace.Askroot:
+		case trace.RootAsked:
 			where = "for its root's answer"
-		case trace.Waits:
+		case trace.Held:
 			where = "held by its root"
 		case trace.Granted:
 			where = "for a server with room"
@@ -143,10 +143,10 @@
 // Worst groups the lost value by cause and retains the most expensive requests of each
 // group. The losses of the groups sum to the total loss.
 type Worst struct {
-	Most   int // maximum number of examples of a group
-	groups map[string]*Group
-	Lost   float64
-	Asked  float64
+	MaxExamples int // maximum number of examples of a group
+	groups      map[string]*Group
+	Lost        float64
+	Asked       float64
 }
 
 // Add counts a story.
@@ -172,8 +172,8 @@
 		g.First, g.Last = min(g.First, s.Notes[0].At), max(g.Last, s.Notes[0].At)
 	}
 	g.Dearest = append(g.Dearest, Example{run, s.ID, s.Lost})
-	if len(g.Dearest) > 4*w.Most+16 {
-		g.trim(w.Most)
+	if len(g.Dearest) > 4*w.MaxExamples+16 {
+		g.trim(w.MaxExamples)
 	}
 }
 
@@ -190,7 +190,7 @@
 		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Cause, b.Cause))
 	})
 	for _, g := range list {
-		g.trim(w.Most)
+		g.trim(w.MaxExamples)
 		g.Share = g.Lost / w.Lost
 	}
 	return list
--- a/internal/lab/explain/ledger.go
+++ b/internal/lab/explain/ledger.go
@@ -46,7 +46,7 @@
 
 // Add counts a story. A request beyond its quota has nothing to earn and is not counted.
 func (l *Ledger) Add(s *trace.Story) {
-	if !s.Inside {
+	if !s.WithinQuota {
 		return
 	}
 	name := l.columnOf(s)
--- a/internal/lab/lending/lending.go
+++ b/internal/lab/lending/lending.go
@@ -1,6 +1,6 @@
 // Package lending models the processing at one server, for both engines: cores that all requests in
 // process share equally, a limited number of slots, a queue, and a cold start. The caller supplies the
-// clock; the package neither sleeps nor draws random numbers. A Desk is not safe for concurrent use, and
+// clock; the package neither sleeps nor draws random numbers. A Processor is not safe for concurrent use, and
 // its clock's callbacks count as use.
 package lending
 
@@ -18,11 +18,11 @@
 
 // Job is the work of one request.
 type Job struct {
-	Work   float64       // core-seconds
-	Until  time.Duration // its client stops waiting at this time
-	Gone   bool          // nobody waits for the result any longer
-	Done   func(End)     // called once; for jobs that Clear returns, by the caller of Clear
-	doneAt float64       // value of Desk.had at which the job is complete
+	Work      float64       // core-seconds
+	Until     time.Duration // its client stops waiting at this time
+	Abandoned bool          // nobody waits for the result any longer
+	Done      func(End)     // called once; for jobs that Clear returns, by the caller of Clear
+	doneAt    float64       // value of Processor.workPerJob at which the job is complete
 }
 
 // End is the way in which a job ended.
@@ -30,14 +30,14 @@
 
 // Ends of a job.
 const (
-	Worked End = iota
-	Over       // its client stopped waiting before work began
-	Vain       // completed after its client was gone
-	Broken     // dropped because the process ended
+	Worked   End = iota
+	Expired      // its client stopped waiting before work began
+	Unneeded     // completed after its client disconnected
+	Aborted      // dropped because the process ended
 )
 
-// Desk holds the jobs in process and in the queue of a server.
-type Desk struct {
+// Processor holds the jobs in process and in the queue of a server.
+type Processor struct {
 	clock      Clock
 	settings   *world.Server
 	Cores      float64
@@ -45,73 +45,73 @@
 	slowdown   float64
 	active     []*Job
 	queue      []*Job
-	workPerJob float64 // core-seconds that each job in process has received since the desk was created
+	workPerJob float64 // core-seconds that each job in process has received since the Processor was created
 	advancedTo time.Duration
 	generation int // generation of the scheduled end of the next job; older events are ignored
 }
 
-// New returns an idle desk.
-func New(c Clock, settings *world.Server, cores float64) *Desk {
-	return &Desk{clock: c, settings: settings, Cores: cores, slowdown: 1, advancedTo: c.Now()}
+// New returns an idle Processor.
+func New(c Clock, settings *world.Server, cores float64) *Processor {
+	return &Processor{clock: c, settings: settings, Cores: cores, slowdown: 1, advancedTo: c.Now()}
 }
 
 // WarmUpFraction returns the warm-up fraction of the process: the fraction of its capacity that it has now.
-func (d *Desk) WarmUpFraction() float64 {
-	if d.Start == 0 {
+func (p *Processor) WarmUpFraction() float64 {
+	if p.Start == 0 {
 		return 1
 	}
-	age := float64(d.clock.Now()-d.Start) / max(1, float64(d.settings.Warm))
-	return min(1, d.settings.ColdShare+(1-d.settings.ColdShare)*age)
+	age := float64(p.clock.Now()-p.Start) / max(1, float64(p.settings.Warm))
+	return min(1, p.settings.ColdShare+(1-p.settings.ColdShare)*age)
 }
 
 // Load returns the number of requests in process and in the queue.
-func (d *Desk) Load() (working, waiting int) { return len(d.active), len(d.queue) }
+func (p *Processor) Load() (working, waiting int) { return len(p.active), len(p.queue) }
 
 // Capacity returns the effective number of cores now.
-func (d *Desk) Capacity() float64 { return d.Cores * d.WarmUpFraction() / d.slowdown }
+func (p *Processor) Capacity() float64 { return p.Cores * p.WarmUpFraction() / p.slowdown }
 
 // speed returns the processing speed of each job in process, in core-seconds per second.
-func (d *Desk) speed() float64 {
-	n := float64(len(d.active))
+func (p *Processor) speed() float64 {
+	n := float64(len(p.active))
 	if n == 0 {
 		return 0
 	}
-	perJob := min(1, d.Cores/n)
-	if over := n - d.Cores; over > 0 {
-		perJob /= 1 + d.settings.Thrash*over
+	perJob := min(1, p.Cores/n)
+	if over := n - p.Cores; over > 0 {
+		perJob /= 1 + p.settings.Thrash*over
 	}
-	return perJob * d.WarmUpFraction() / d.slowdown
+	return perJob * p.WarmUpFraction() / p.slowdown
 }
 
 // advance accounts for the work done up to now.
-func (d *Desk) advance() {
-	now := d.clock.Now()
-	d.workPerJob += d.speed() * (now - d.advancedTo).Seconds()
-	d.advancedTo = now
+func (p *Processor) advance() {
+	now := p.clock.Now()
+	p.workPerJob += p.speed() * (now - p.advancedTo).Seconds()
+	p.advancedTo = now
 }
 
 // recomputeInterval is the interval at which the end of a job is recomputed during warm-up.
 const recomputeInterval = 100 * time.Millisecond
 
 // scheduleNext schedules the end of the job that completes first.
-func (d *Desk) scheduleNext() {
-	if d.generation++; len(d.active) == 0 {
+func (p *Processor) scheduleNext() {
+	if p.generation++; len(p.active) == 0 {
 		return
 	}
-	first := d.active[0]
-	for _, j := range d.active {
+	first := p.active[0]
+	for _, j := range p.active {
 		if j.doneAt < first.doneAt {
 			first = j
 		}
 	}
-	wait := time.Duration((first.doneAt - d.workPerJob) / d.speed() * float64(time.Second))
-	if d.WarmUpFraction() < 1 {
+	wait := time.Duration((first.doneAt - p.workPerJob) / p.speed() * float64(time.Second))
+	if p.WarmUpFraction() < 1 {
 		wait = min(wait, recomputeInterval)
 	}
-	gen := d.generation
-	d.clock.After(max(wait, time.Microsecond), func() {
-		if d.generation == gen {
-			d.processDue()
+	gen := p.generation
+	p.clock.After(max(wait, time.Microsecond), func() {
+		if p.generation == gen {
+			p.processDue()
 		}
 	})
 }
@@ -119,75 +119,75 @@
 const negligibleWork = 1e-9 // remaining core-seconds that count as complete
 
 // processDue ends the jobs that are complete and starts queued ones.
-func (d *Desk) processDue() {
-	d.advance()
-	remaining := d.active[:0]
+func (p *Processor) processDue() {
+	p.advance()
+	remaining := p.active[:0]
 	var completed []*Job
-	for _, j := range d.active {
-		if j.doneAt <= d.workPerJob+negligibleWork {
+	for _, j := range p.active {
+		if j.doneAt <= p.workPerJob+negligibleWork {
 			completed = append(completed, j)
 		} else {
 			remaining = append(remaining, j)
 		}
 	}
-	d.active = remaining
+	p.active = remaining
 	for _, j := range completed {
-		if j.Gone {
-			j.Done(Vain)
+		if j.Abandoned {
+			j.Done(Unneeded)
 		} else {
 			j.Done(Worked)
 		}
 	}
-	for len(d.active) < d.settings.Slots && len(d.queue) > 0 {
-		j := d.queue[0]
-		d.queue = d.queue[1:]
+	for len(p.active) < p.settings.Slots && len(p.queue) > 0 {
+		j := p.queue[0]
+		p.queue = p.queue[1:]
 		switch {
-		case j.Gone:
-		case d.clock.Now() >= j.Until:
-			j.Done(Over)
+		case j.Abandoned:
+		case p.clock.Now() >= j.Until:
+			j.Done(Expired)
 		default:
-			j.doneAt = d.workPerJob + j.Work
-			d.active = append(d.active, j)
+			j.doneAt = p.workPerJob + j.Work
+			p.active = append(p.active, j)
 		}
 	}
-	d.scheduleNext()
+	p.scheduleNext()
 }
 
 // Offer accepts a job. It returns false if the slots and the queue are full.
-func (d *Desk) Offer(j *Job) bool {
+func (p *Processor) Offer(j *Job) bool {
 	switch {
-	case len(d.active) < d.settings.Slots:
-		d.advance()
-		j.doneAt = d.workPerJob + j.Work
-		d.active = append(d.active, j)
-		d.scheduleNext()
-	case len(d.queue) < d.settings.Queue:
-		d.queue = append(d.queue, j)
+	case len(p.active) < p.settings.Slots:
+		p.advance()
+		j.doneAt = p.workPerJob + j.Work
+		p.active = append(p.active, j)
+		p.scheduleNext()
+	case len(p.queue) < p.settings.Queue:
+		p.queue = append(p.queue, j)
 	default:
 		return false
 	}
 	return true
 }
 
-// Slow sets the factor on the duration of all work from now on.
-func (d *Desk) Slow(factor float64) {
-	d.advance()
-	d.slowdown = factor
-	d.scheduleNext()
+// SetSlowdown sets the factor on the duration of all work from now on.
+func (p *Processor) SetSlowdown(factor float64) {
+	p.advance()
+	p.slowdown = factor
+	p.scheduleNext()
 }
 
 // Clear removes and returns all jobs.
-func (d *Desk) Clear() []*Job {
-	d.advance()
-	all := append(d.active, d.queue...)
-	d.active, d.queue = nil, nil
-	d.generation++
+func (p *Processor) Clear() []*Job {
+	p.advance()
+	all := append(p.active, p.queue...)
+	p.active, p.queue = nil, nil
+	p.generation++
 	return all
 }
 
-// Budget evaluates the rule on cold servers: it compares the work that a server recently received with
+// OverloadCheck evaluates the rule on cold servers: it compares the work that a server recently received with
 // what the server can handle, and tracks how much of it came from edge nodes that knew of its start.
-type Budget struct {
+type OverloadCheck struct {
 	rules    *world.Rules
 	meanWork float64 // work of a request, in seconds
 	sent     []arrival
@@ -203,28 +203,32 @@
 // slackRequests is the allowance for random variation, in mean requests.
 const slackRequests = 8
 
-// NewBudget returns the budget of a process that has just started.
-func NewBudget(w *world.World) *Budget { return &Budget{rules: &w.Rules, meanWork: w.MeanWork()} }
+// NewOverloadCheck returns the check for a process that has just started.
+func NewOverloadCheck(w *world.World) *OverloadCheck {
+	return &OverloadCheck{rules: &w.Rules, meanWork: w.MeanWork()}
+}
 
-// Came records an attempt. overloaded is true if the attempt overloads the server, which then crashes, and
-// sendersKnew if in that case two thirds of the load came from edge nodes that knew of its start.
-func (b *Budget) Came(d *Desk, work float64, knewStart bool) (overloaded, sendersKnew bool) {
-	now := d.clock.Now()
-	if d.Start == 0 || b.rules.FallFor == 0 || d.WarmUpFraction() >= 1 {
+// RecordAttempt records an attempt. overloaded is true if the attempt overloads the server, which then
+// crashes, and sendersKnew if in that case two thirds of the load came from edge nodes that knew of its
+// start.
+func (c *OverloadCheck) RecordAttempt(p *Processor, work float64, knewStart bool) (overloaded,
+	sendersKnew bool) {
+	now := p.clock.Now()
+	if p.Start == 0 || c.rules.FallFor == 0 || p.WarmUpFraction() >= 1 {
 		return false, false
 	}
-	b.sent = append(b.sent, arrival{now, work, knewStart})
-	for len(b.sent) > 0 && now-b.sent[0].at > b.rules.FallFor.D() {
-		b.sent = b.sent[1:]
+	c.sent = append(c.sent, arrival{now, work, knewStart})
+	for len(c.sent) > 0 && now-c.sent[0].at > c.rules.FallFor.D() {
+		c.sent = c.sent[1:]
 	}
 	totalWork, informedWork := 0.0, 0.0
-	for _, x := range b.sent {
+	for _, x := range c.sent {
 		if totalWork += x.work; x.knewStart {
 			informedWork += x.work
 		}
 	}
-	limit := b.rules.Fall*d.Cores*d.WarmUpFraction()*b.rules.FallFor.D().Seconds() + slackRequests*b.meanWork
-	if totalWork <= limit || now-d.Start < b.rules.FallFor.D() {
+	limit := c.rules.Fall*p.Cores*p.WarmUpFraction()*c.rules.FallFor.D().Seconds() + slackRequests*c.meanWork
+	if totalWork <= limit || now-p.Start < c.rules.FallFor.D() {
 		return false, false
 	}
 	return true, informedWork >= totalWork*2/3
--- a/internal/lab/live/fault.go
+++ b/internal/lab/live/fault.go
@@ -53,13 +53,13 @@
 	case "roll":
 		steps := max(1, int(1/fault.Part+0.5))
 		for index, n := range f.nodes {
-			at(fault.Turn(index, len(f.nodes), steps), n.restart)
+			at(fault.StepTime(index, len(f.nodes), steps), n.restart)
 		}
 	case "release":
 		steps := max(1, int(fault.Size))
 		for i, index := range picked {
 			l := servers[index]
-			begin := fault.Turn(i, len(picked), steps)
+			begin := fault.StepTime(i, len(picked), steps)
 			at(begin, func() {
 				f.mu.Lock()
 				defer f.mu.Unlock()
@@ -134,7 +134,7 @@
 		at(fault.End(), forPicked((*server).restart))
 	case "server-replace":
 		for i, index := range picked {
-			at(fault.Turn(i, len(picked), len(picked)), servers[index].restart)
+			at(fault.StepTime(i, len(picked), len(picked)), servers[index].restart)
 		}
 	case "cold-bulk":
 		at(fault.Start.D(), forPicked((*server).restart))
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -3,7 +3,7 @@
 // balancer (the front), lending servers, a discovery agent for each edge node, and a
 // relay for datagrams between edge nodes. It starts no program but the edge node's, stops
 // every process that it started, and sends nothing beyond loopback. Runs in real time are
-// not repeatable; a run whose requests were sent late is marked as unsound.
+// not repeatable; a run whose requests were sent late is marked as invalid.
 package live
 
 import (
@@ -65,7 +65,7 @@
 	nodes        []*node
 	servers      []*server
 	customers    []*customer
-	population   *world.Drawn
+	population   *world.Population
 	tries        map[string]*try
 	sentIDs      map[string]bool // ids of all requests that clients have sent
 	lastID       uint64
@@ -96,8 +96,8 @@
 // elapsed returns the time since the run began.
 func (f *fleet) elapsed() time.Duration { return time.Since(f.startTime) }
 
-// Play runs a world to its end. If ctx ends earlier, the result covers the time until then.
-func Play(ctx context.Context, c Config) (*tally.Result, *trace.Log, error) {
+// Run runs a world to its end. If ctx ends earlier, the result covers the time until then.
+func Run(ctx context.Context, c Config) (*tally.Result, *trace.Log, error) {
 	if c.World.Nodes > MaxNodes {
 		return nil, nil, fmt.Errorf("%d edge nodes: the live engine plays %d at most", c.World.Nodes,
 			MaxNodes)
@@ -112,11 +112,11 @@
 		tries:      map[string]*try{}, sentIDs: map[string]bool{},
 		eagerness: 1, sharedSlowdown: 1, datagramLoss: c.World.Net.Loss,
 		cutBoth: map[int]bool{}, cutOut: map[int]bool{}, receivesNone: map[int]bool{},
-		datagramRand: world.Stream(c.Seed, world.StreamMail),
+		datagramRand: world.Stream(c.Seed, world.StreamDatagrams),
 		faultRand:    world.Stream(c.Seed, world.StreamFaults),
 		population:   c.World.Draw(c.Seed)}
 	if c.Stories {
-		f.log = &trace.Log{Most: 1_000_000}
+		f.log = &trace.Log{MaxNotes: 1_000_000}
 	}
 	defer f.close()
 	if err := f.build(); err != nil {
@@ -141,10 +141,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if played < f.world.For.D() && ctx.Err() != nil {
-		f.book.Shorten(played)
+		f.book.Truncate(played)
 	}
 	if lateShare := float64(f.lateRequests) / math.Max(1, float64(f.requestCount)); lateShare > maxLateShare {
-		f.book.Unsound = fmt.Sprintf("%.1f%% of the requests were made over %v late: the machine is too busy for this load",
+		f.book.Invalid = fmt.Sprintf("%.1f%% of the requests were made over %v late: the machine is too busy for this load",
 			100*lateShare, lateThreshold)
 	}
 	r := f.book.Result(c.Seed)
@@ -152,7 +152,7 @@
 	return r, f.log, nil
 }
 
-// A run in which too many requests are sent late is unsound: it did not apply the
+// A run in which too many requests are sent late is invalid: it did not apply the
 // intended load.
 const (
 	lateThreshold = 50 * time.Millisecond
@@ -171,7 +171,7 @@
 		}
 		f.nodes = append(f.nodes, n)
 	}
-	for i, size := range f.population.Sizes {
+	for i, size := range f.population.ServerSizes {
 		if _, err := f.addServer(i, size); err != nil {
 			return err
 		}
--- a/internal/lab/live/front.go
+++ b/internal/lab/live/front.go
@@ -71,7 +71,7 @@
 
 // createCustomers creates the customers of the world.
 func (f *fleet) createCustomers() {
-	for _, p := range f.population.People {
+	for _, p := range f.population.Customers {
 		f.customers = append(f.customers, &customer{key: p.Key, plan: p.Plan, firstNode: p.First,
 			spread:  p.Spread,
 			account: tally.NewAccount(&f.world.Plans[p.Plan], f.now())})
@@ -119,7 +119,7 @@
 func (f *fleet) drawCustomer() *customer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.customers[f.population.Anyone(f.clientRand)]
+	return f.customers[f.population.DrawCustomer(f.clientRand)]
 }
 
 // startRequest starts a client's request; at is its intended time.
@@ -137,7 +137,7 @@
 	}
 	w.deadline = f.startTime.Add(at + patience)
 	w.end = tally.End{Class: class, Plan: c.plan, Node: -1, Units: float64(w.units), At: at,
-		How: tally.Failed, Inside: c.account.Fits(float64(w.units), f.now())}
+		How: tally.Failed, WithinQuota: c.account.Fits(float64(w.units), f.now())}
 	if f.requestCount++; f.elapsed()-at > lateThreshold {
 		f.lateRequests++
 	}
@@ -163,10 +163,10 @@
 			break
 		}
 		f.mu.Lock()
-		wait, retry := f.world.Again(f.clientRand, world.Retry{Class: class,
-			Harmless: how == tally.Refused || notAccepted,
-			MayRan:   w.mayHaveRun, RanSince: f.now() - w.mayHaveRunAt,
-			Tries: w.tries, Advice: retryAfter, Left: time.Until(w.deadline), Eager: f.eagerness})
+		wait, retry := f.world.DecideRetry(f.clientRand, world.Retry{Class: class,
+			Retryable:  how == tally.Refused || notAccepted,
+			MayHaveRun: w.mayHaveRun, RanSince: f.now() - w.mayHaveRunAt,
+			Tries: w.tries, RetryAfter: retryAfter, Remaining: time.Until(w.deadline), Eagerness: f.eagerness})
 		f.mu.Unlock()
 		if !retry {
 			break
@@ -184,8 +184,8 @@
 	f.recentEnds = append(f.recentEnds, w.end)
 	f.addNote(w, w.end.Node, trace.Ended, "%v after %v and %d tries", how, w.end.Latency, w.tries)
 	if w.story != nil {
-		w.story.How, w.story.Inside = how.String(), w.end.Inside
-		if w.end.Inside && how != tally.Served {
+		w.story.How, w.story.WithinQuota = how.String(), w.end.WithinQuota
+		if w.end.WithinQuota && how != tally.Served {
 			w.story.Lost = w.story.Worth
 			if how == tally.Late {
 				w.story.Lost *= 1 - class.Late
@@ -221,7 +221,7 @@
 		nodeIndex: n.index, deadline: w.deadline, inFlight: map[int]*serverConn{}}
 	f.tries[t.id], f.sentIDs[t.id] = t, true
 	w.end.Node = n.index
-	f.addNote(w, n.index, trace.Came, "as %s, try %d", t.id, w.tries)
+	f.addNote(w, n.index, trace.Accepted, "as %s, try %d", t.id, w.tries)
 	f.mu.Unlock()
 	_, incarnation := n.isRunning()
 	start := time.Now()
@@ -305,7 +305,7 @@
 	account := t.request.customer.account
 	if !t.charged {
 		t.charged = true
-		withinQuota, excess := account.Send(float64(t.request.units), f.now())
+		withinQuota, excess := account.Charge(float64(t.request.units), f.now())
 		f.book.FirstSends++
 		window := f.book.Window(f.elapsed())
 		if window != nil {
@@ -313,7 +313,7 @@
 		}
 		if !withinQuota {
 			f.book.Beyond++
-			t.request.end.Beyond = true
+			t.request.end.BeyondQuota = true
 			if window != nil {
 				window.Beyond++
 			}
@@ -323,7 +323,7 @@
 				"customer %s is %.2f units over its ceiling", t.request.customer.key, excess)
 		}
 	}
-	account.Out(1)
+	account.AddInFlight(1)
 	inFlight := 0
 	for _, l := range f.servers {
 		l.mu.Lock()
@@ -332,7 +332,7 @@
 		inFlight += a + b
 	}
 	if window := f.book.Window(f.elapsed()); window != nil {
-		window.Out = max(window.Out, inFlight)
+		window.InFlight = max(window.InFlight, inFlight)
 	}
 }
 
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -78,7 +78,7 @@
 		"seed":   fmt.Sprintf("%016x", f.Seed<<20+uint64(n.index)<<8+uint64(n.incarnation)),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 256, "sockets": 2048}, "peer_listen": n.addr,
 		"peers":     f.relay.addrs,
-		"peers_all": f.relay.broadcastAddr, "known": list, "settings": f.world.Facts(n.index),
+		"peers_all": f.relay.broadcastAddr, "known": list, "settings": f.world.NestedSettings(n.index),
 	}
 	data, err := json.Marshal(config)
 	if err != nil {
--- a/internal/lab/live/relay.go
+++ b/internal/lab/live/relay.go
@@ -90,7 +90,7 @@
 	for range copies {
 		if f.datagramRand.Float64() < f.datagramLoss || f.receivesNone[to] ||
 			!f.reachable(f.nodes[from].zone, f.nodes[to].zone) {
-			f.book.MailLost++
+			f.book.DatagramsLost++
 			continue
 		}
 		delay := f.world.Net.Peer.D() +
@@ -108,16 +108,16 @@
 		clear(r.received)
 	}
 	if float64(r.received[to]) >= f.world.Net.Mail {
-		f.book.MailLost++
+		f.book.DatagramsLost++
 		f.mu.Unlock()
 		return
 	}
 	r.received[to]++
-	f.book.MailPeak = int(math.Max(float64(f.book.MailPeak), float64(r.received[to])))
-	f.book.Mail++
-	f.book.MailBytes += int64(len(data))
+	f.book.DatagramPeak = int(math.Max(float64(f.book.DatagramPeak), float64(r.received[to])))
+	f.book.DatagramsReceived++
+	f.book.DatagramBytes += int64(len(data))
 	if w := f.book.Window(f.elapsed()); w != nil {
-		w.Mail++
+		w.DatagramsReceived++
 	}
 	f.mu.Unlock()
 	// a failed write counts as a datagram lost in the network
--- a/internal/lab/live/rude.go
+++ b/internal/lab/live/rude.go
@@ -126,8 +126,8 @@
 	if running, current := n.isRunning(); !running || current != incarnation {
 		return
 	}
-	if f.book.Rude++; !answered {
-		f.book.RudeIgnored++
+	if f.book.UnreadableRequests++; !answered {
+		f.book.UnreadableIgnored++
 	}
 	if status == http.StatusOK {
 		f.book.Broken(tally.AnswerLost, "-", n.index, f.elapsed(), "served a client that sent %s", name)
--- a/internal/lab/live/rude_test.go
+++ b/internal/lab/live/rude_test.go
@@ -43,8 +43,9 @@
 			f := &fleet{book: tally.NewBook(world.Default(3, 3)), startTime: time.Now()}
 			f.sendMalformed(&node{fleet: f, addr: ln.Addr().String(), running: true}, c.name, "GET")
 			_, counts := f.book.Breaches()
-			if f.book.Rude != 1 || f.book.RudeIgnored != c.ignored || counts[tally.AnswerLost] != c.broken {
-				t.Errorf("%d, %d ignored, %v", f.book.Rude, f.book.RudeIgnored, counts)
+			if f.book.UnreadableRequests != 1 || f.book.UnreadableIgnored != c.ignored ||
+				counts[tally.AnswerLost] != c.broken {
+				t.Errorf("%d, %d ignored, %v", f.book.UnreadableRequests, f.book.UnreadableIgnored, counts)
 			}
 		})
 	}
--- a/internal/lab/live/server.go
+++ b/internal/lab/live/server.go
@@ -31,8 +31,8 @@
 	rng       *rand.Rand
 
 	mu            sync.Mutex // guards processor and overloadCheck
-	processor     *lending.Desk
-	overloadCheck *lending.Budget
+	processor     *lending.Processor
+	overloadCheck *lending.OverloadCheck
 
 	// The fleet's lock guards the fields below.
 	state        string
@@ -64,7 +64,7 @@
 		state: "SERVING", conns: map[*serverConn]bool{},
 		rng: world.Stream(f.Seed, world.StreamWork+100*(1+len(f.servers)))}
 	l.processor = lending.New(l, &f.world.Server, f.world.Cores()*size)
-	l.overloadCheck = lending.NewBudget(f.world)
+	l.overloadCheck = lending.NewOverloadCheck(f.world)
 	for _, n := range f.nodes {
 		d, err := newEndpoint(l, n)
 		if err != nil {
@@ -317,7 +317,7 @@
 		if closed {
 			l.releaseAttempt(k, t)
 			l.mu.Lock()
-			j.Gone = true
+			j.Abandoned = true
 			l.mu.Unlock()
 			return false
 		}
@@ -414,7 +414,7 @@
 	f.countAttempt(t)
 	l.mu.Lock()
 	working, waiting := l.processor.Load()
-	overloaded, informed := l.overloadCheck.Came(l.processor, work, knewStart)
+	overloaded, informed := l.overloadCheck.RecordAttempt(l.processor, work, knewStart)
 	l.mu.Unlock()
 	f.addNote(t.request, n.index, trace.Arrived, "server %d: %d at work, %d waiting", l.index, working,
 		waiting)
@@ -442,7 +442,7 @@
 	}
 	if outcome != "" {
 		delete(t.inFlight, k.attempt)
-		t.request.customer.account.Out(-1)
+		t.request.customer.account.AddInFlight(-1)
 		f.addNote(t.request, n.index, trace.Outcome, "at server %d: %s", l.index, outcome)
 		return nil, t, outcome
 	}
@@ -458,7 +458,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(t.inFlight, k.attempt)
-	t.request.customer.account.Out(-1)
+	t.request.customer.account.AddInFlight(-1)
 }
 
 // finishAttempt records the end of the work on an attempt and answers it. It returns false
@@ -467,21 +467,21 @@
 	f := l.fleet
 	f.mu.Lock()
 	delete(t.inFlight, k.attempt)
-	t.request.customer.account.Out(-1)
-	if e != lending.Over {
+	t.request.customer.account.AddInFlight(-1)
+	if e != lending.Expired {
 		t.recordMayHaveRun(f.now())
 	}
-	if e == lending.Worked || e == lending.Vain {
+	if e == lending.Worked || e == lending.Unneeded {
 		f.book.Worked += j.Work
 	}
 	corrupt := l.rng.Float64() < l.corruptRate
 	missing := l.rng.Float64() < f.answerLoss
-	if e == lending.Vain || e == lending.Worked && (corrupt || missing) {
+	if e == lending.Unneeded || e == lending.Worked && (corrupt || missing) {
 		f.book.Wasted += j.Work
 	}
 	f.mu.Unlock()
 	switch {
-	case e == lending.Over:
+	case e == lending.Expired:
 		return k.reply(http.StatusGatewayTimeout, map[string]string{"X-Not-Run": "1"}, "")
 	case e != lending.Worked:
 		reset(k.Conn)
@@ -518,8 +518,8 @@
 	}
 	go func() {
 		for _, j := range jobs {
-			if !j.Gone {
-				j.Done(lending.Broken)
+			if !j.Abandoned {
+				j.Done(lending.Aborted)
 			}
 		}
 	}()
@@ -533,7 +533,7 @@
 	l.resetConns()
 	l.crashed, l.unresponsive, l.state, l.bootTime = false, false, "SERVING", time.Now()
 	l.mu.Lock()
-	l.processor.Start, l.overloadCheck = f.now(), lending.NewBudget(f.world)
+	l.processor.Start, l.overloadCheck = f.now(), lending.NewOverloadCheck(f.world)
 	l.mu.Unlock()
 	l.publishChange()
 }
@@ -541,7 +541,7 @@
 func (l *server) setSlowdown(slowdown float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.processor.Slow(slowdown)
+	l.processor.SetSlowdown(slowdown)
 }
 
 func (l *server) close() {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -37,9 +37,9 @@
 	Served, Refused float64 // medians of the shares of requests
 	Beyond          float64
 	Lost, Broken    int
-	Unsound         int
+	Invalid         int
 	Seeds           int
-	Mail            float64
+	DatagramRate    float64
 	Classes         []tally.Merged // merged over all seeds
 }
 
@@ -50,7 +50,7 @@
 		return ""
 	case r.Diff.Pairs < 3:
 		return "too few pairs to tell"
-	case !r.Diff.Seen():
+	case !r.Diff.Significant():
 		return "no difference seen"
 	case r.Diff.Diff > 0:
 		return "better"
@@ -66,7 +66,7 @@
 		variant string
 	}
 	var cells []cell
-	names := slices.Clone(f.Manifest.Arms)
+	names := slices.Clone(f.Manifest.Variants)
 	results := map[arm]map[uint64]*tally.Result{}
 	for _, l := range f.Lines {
 		r := l.Result
@@ -108,13 +108,13 @@
 				n := float64(max(1, r.Requests))
 				values, served, refused = append(values, r.Worth), append(served, float64(r.Served)/n),
 					append(refused, float64(r.Refused)/n)
-				beyond, datagrams = append(beyond, r.Beyond), append(datagrams, r.Mail)
+				beyond, datagrams = append(beyond, r.Beyond), append(datagrams, r.DatagramRate)
 				row.Lost += r.Lost
 				for _, k := range r.Rules {
 					row.Broken += k
 				}
-				if r.Unsound != "" {
-					row.Unsound++
+				if r.Invalid != "" {
+					row.Invalid++
 				}
 				if base := results[arm{c, first}][seed]; first != "" && base != nil {
 					baseValues, armValues = append(baseValues, base.Worth), append(armValues, r.Worth)
@@ -122,7 +122,7 @@
 			}
 			row.Median, row.Served, row.Refused = stats.Median(values), stats.Median(served),
 				stats.Median(refused)
-			row.Beyond, row.Mail = stats.Median(beyond), stats.Median(datagrams)
+			row.Beyond, row.DatagramRate = stats.Median(beyond), stats.Median(datagrams)
 			var err error
 			if row.Classes, err = tally.Merge(runs); err != nil {
 				return nil, fmt.Errorf("%dx%d %s %s: %w", c.nodes, c.servers, c.fault, name, err)
@@ -151,8 +151,8 @@
 		if err == nil {
 			_, err = fmt.Fprintf(w, "%-9s %-14s %-12s %5d %7.4f %8s %-19s %7.4f %7.4f %7.4f %7.1f %6d  %s\n",
 				fmt.Sprintf("%dx%d", r.Nodes, r.Servers),
-				r.Fault, r.Variant, r.Seeds, r.Median, diff, span, r.Served, r.Refused, r.Beyond, r.Mail,
-				r.Broken, r.Verdict())
+				r.Fault, r.Variant, r.Seeds, r.Median, diff, span, r.Served, r.Refused, r.Beyond,
+				r.DatagramRate, r.Broken, r.Verdict())
 		}
 	}
 	return err
@@ -241,8 +241,8 @@
 			failed = append(failed, float64(w.Failed+w.Lost)/n)
 			p50, p99 = append(p50, w.P50), append(p99, w.P99)
 			sent, beyond = append(sent, float64(w.Sent)), append(beyond, float64(w.Beyond))
-			inFlight, datagrams = append(inFlight, float64(w.Out)),
-				append(datagrams, float64(w.Mail)/float64(r.Nodes))
+			inFlight, datagrams = append(inFlight, float64(w.InFlight)),
+				append(datagrams, float64(w.DatagramsReceived)/float64(r.Nodes))
 		}
 		const xLabel = "time since the run began (s)"
 		list = append(list,
@@ -280,7 +280,7 @@
 		}
 		values[a].x, values[a].y = append(values[a].x, float64(r.Nodes)), append(values[a].y, r.Median)
 		datagrams[a].x, datagrams[a].y = append(datagrams[a].x, float64(r.Nodes)),
-			append(datagrams[a].y, r.Mail)
+			append(datagrams[a].y, r.DatagramRate)
 	}
 	if len(sizes) < 2 {
 		return nil
@@ -319,7 +319,7 @@
 <td>{{printf "%.4f" .Median}}</td><td>{{if .Against}}{{printf "%+.4f" .Diff.Diff}}{{end}}</td>
 <td>{{if .Against}}{{printf "%+.4f to %+.4f" .Diff.Low .Diff.High}}{{end}}</td><td>{{printf "%.4f" .Served}}</td><td>{{printf "%.4f" .Refused}}</td>
 <td>{{printf "%.4f" .Beyond}}</td><td>{{.Lost}}</td><td{{if .Broken}} class="bad"{{end}}>{{.Broken}}</td>
-<td class="t">{{.Verdict}}{{if .Unsound}} <span class="bad">{{.Unsound}} unsound</span>{{end}}</td></tr>
+<td class="t">{{.Verdict}}{{if .Invalid}} <span class="bad">{{.Invalid}} unsound</span>{{end}}</td></tr>
 {{end}}</table>
 <h2>Latency of what was served</h2>
 <p>From the time a request was meant to be made to its answer, over all tries; the seeds of an arm together.</p>
--- a/internal/lab/run/run.go
+++ b/internal/lab/run/run.go
@@ -22,11 +22,11 @@
 
 // Done is a completed run.
 type Done struct {
-	Run    experiment.Run
-	Took   time.Duration
-	Result *tally.Result
-	Log    *trace.Log // nil: no traces were recorded
-	Err    error
+	Run      experiment.Run
+	Duration time.Duration
+	Result   *tally.Result
+	Log      *trace.Log // nil: no traces were recorded
+	Err      error
 }
 
 // maxNotes is the maximum number of trace notes per run, at a few hundred bytes each.
@@ -37,7 +37,7 @@
 	start := time.Now()
 	d := Done{Run: r}
 	d.Result, d.Log, d.Err = simulate(ctx, r, stories, step)
-	d.Took = time.Since(start)
+	d.Duration = time.Since(start)
 	return d
 }
 
@@ -67,7 +67,7 @@
 	s := sim.New(r.World, r.Seed, mk)
 	s.Check = check
 	if stories {
-		s.Trace = &trace.Log{Most: maxNotes}
+		s.Trace = &trace.Log{MaxNotes: maxNotes}
 	}
 	if res, err = s.Run(source, step); err != nil {
 		return nil, nil, err
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -49,8 +49,8 @@
 }
 
 // sendRequest makes one request. Its time counts from when it was scheduled.
-func (c *clients) sendRequest(p *process, scheduledAt time.Duration, class *world.Class, tenant *world.Person,
-	units int) {
+func (c *clients) sendRequest(p *process, scheduledAt time.Duration, class *world.Class,
+	tenant *world.Customer, units int) {
 	id := fmt.Sprintf("%016x", c.fleet.Seed<<40^c.nextID.Add(1)*0x9e3779b97f4a7c15)
 	ctx, end := context.WithTimeout(context.Background(), class.Deadline.D()+lossTimeout)
 	defer end()
@@ -75,7 +75,7 @@
 var errForeignResponse = errors.New("served with what no lending server made for it")
 
 // do makes a request. The error says why the request was lost.
-func (c *clients) do(ctx context.Context, addr, id string, class *world.Class, tenant *world.Person,
+func (c *clients) do(ctx context.Context, addr, id string, class *world.Class, tenant *world.Customer,
 	units int) (requestOutcome, error) {
 	req, err := c.newRequest(ctx, addr, id, class, tenant, units)
 	if err != nil {
@@ -101,7 +101,7 @@
 }
 
 // newRequest builds the HTTP request.
-func (c *clients) newRequest(ctx context.Context, addr, id string, class *world.Class, tenant *world.Person,
+func (c *clients) newRequest(ctx context.Context, addr, id string, class *world.Class, tenant *world.Customer,
 	units int) (*http.Request, error) {
 	method, body := http.MethodPost, fmt.Sprintf(`{"book":%d}`, units)
 	if class.Effect == "repeatable" {
--- a/internal/lab/scale/clients_test.go
+++ b/internal/lab/scale/clients_test.go
@@ -44,9 +44,9 @@
 	defer srv.Close()
 	f.clients = newClients(f)
 	base := strings.TrimPrefix(srv.URL, "http://")
-	person := &world.Person{Key: "00000000000000ff", Spread: 1}
+	customer := &world.Customer{Key: "00000000000000ff", Spread: 1}
 	for range 7 {
-		outcome, err := f.clients.do(t.Context(), base, "0123456789abcdef", &f.world.Classes[0], person, 1)
+		outcome, err := f.clients.do(t.Context(), base, "0123456789abcdef", &f.world.Classes[0], customer, 1)
 		f.clients.close("0123456789abcdef", outcome, err, unixNow())
 		asked.Add(1)
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -75,7 +75,7 @@
 type (
 	arrival struct {
 		scheduledAt time.Duration
-		tenant      *world.Person
+		tenant      *world.Customer
 		class       int
 		units       int
 		latency     time.Duration // of each attempt, drawn from the model of the server
--- a/internal/lab/scale/load.go
+++ b/internal/lab/scale/load.go
@@ -11,7 +11,7 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// A run is unsound when more than maxLateShare of its requests are later than lateThreshold.
+// A run is invalid when more than maxLateShare of its requests are later than lateThreshold.
 const (
 	lateThreshold = 50 * time.Millisecond
 	maxLateShare  = 0.01
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -258,7 +258,7 @@
 	flows         [directions][len(kindNames)]flow
 	currentSecond int64 // Unix time of the current second
 	inSecond      int   // datagrams received in the current second
-	peak          int   // most datagrams received in a second
+	peak          int   // maximum datagrams received in a second
 }
 
 func (l *datagramCounter) count(d direction, data []byte) {
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -70,19 +70,19 @@
 .t{text-align:left}.bad{color:#b00020;font-weight:bold}pre{background:#f4f4f4;padding:1em;overflow:auto}
 </style></head><body>
 <h1>Scale run: {{.Nodes}} edge nodes, {{.Servers}} lending servers, {{.Tenants}} tenants told</h1>
-{{if .Unsound}}<p class="bad">Unsound: {{.Unsound}}</p>{{end}}{{if .Interrupted}}<p class="bad">Ended before it was through.</p>{{end}}
+{{if .Invalid}}<p class="bad">Unsound: {{.Invalid}}</p>{{end}}{{if .Interrupted}}<p class="bad">Ended before it was through.</p>{{end}}
 <p>{{printf "%g" .Rate}} requests a second and edge node for {{printf "%g" .ForS}} s; seed {{.Seed}}; {{.CPUs}} cores, load average {{.LoadAverage}};
 phases played whole: {{range .Phases}}{{.}} {{end}}</p>
 <ul>{{range .Scaled}}<li>{{.}}</li>{{end}}</ul>
 <table><tr><th class="t">of one edge node</th>{{range .Groups}}<th>{{.Count}} {{.Name}}</th>{{end}}</tr>
-<tr><td class="t">ready: count, median, most (s)</td>{{range .Groups}}<td>{{.Ready.Count}}, {{printf "%.2f" .Ready.P50S}}, {{printf "%.2f" .Ready.MostS}}</td>{{end}}</tr>
+<tr><td class="t">ready: count, median, most (s)</td>{{range .Groups}}<td>{{.Ready.Count}}, {{printf "%.2f" .Ready.P50S}}, {{printf "%.2f" .Ready.MaxS}}</td>{{end}}</tr>
 <tr><td class="t">processor time at rest (% of a core)</td>{{range .Groups}}<td>{{printf "%.2f" .CPU.RestPercent}}</td>{{end}}</tr>
 <tr><td class="t">under load (% of a core)</td>{{range .Groups}}<td>{{printf "%.1f" .CPU.LoadPercent}}</td>{{end}}</tr>
 <tr><td class="t">of a request (us)</td>{{range .Groups}}<td>{{printf "%.1f" .CPU.RequestUS}}</td>{{end}}</tr>
 <tr><td class="t">of a datagram (us)</td>{{range .Groups}}<td>{{printf "%.1f" .CPU.DatagramUS}}</td>{{end}}</tr>
 <tr><td class="t">of a changed line (ms)</td>{{range .Groups}}<td>{{printf "%.2f" .CPU.LineChangeMS}}</td>{{end}}</tr>
 <tr><td class="t">of a zone that leaves, comes back (ms)</td>{{range .Groups}}<td>{{printf "%.1f" .CPU.ZoneLostMS}}, {{printf "%.1f" .CPU.ZoneBackMS}}</td>{{end}}</tr>
-<tr><td class="t">resident, most; heap (MB)</td>{{range .Groups}}<td>{{printf "%.1f" .Memory.ResidentMB}}, {{printf "%.1f" .Memory.ResidentMostMB}}; {{printf "%.2f" .Memory.HeapMB}}</td>{{end}}</tr>
+<tr><td class="t">resident, most; heap (MB)</td>{{range .Groups}}<td>{{printf "%.1f" .Memory.ResidentMB}}, {{printf "%.1f" .Memory.ResidentMaxMB}}; {{printf "%.2f" .Memory.HeapMB}}</td>{{end}}</tr>
 <tr><td class="t">added: 50, 99, 99.9 in 100 (ms)</td>{{range .Groups}}<td>{{printf "%.2f" .Added.P50MS}}, {{printf "%.2f" .Added.P99MS}}, {{printf "%.2f" .Added.P999MS}}</td>{{end}}</tr>
 <tr><td class="t">the same while a zone changes (ms)</td>{{range .Groups}}<td>{{printf "%.2f" .ZoneAdded.P50MS}}, {{printf "%.2f" .ZoneAdded.P99MS}}, {{printf "%.2f" .ZoneAdded.P999MS}}</td>{{end}}</tr>
 <tr><td class="t">requests: asked, served, refused, failed, lost</td>{{range .Groups}}<td>{{.Requests.Asked}}, {{.Requests.Served}}, {{.Requests.Refused}}, {{.Requests.Failed}}, {{.Requests.Lost}}</td>{{end}}</tr>
@@ -99,8 +99,8 @@
 {{end}}</table>{{end}}
 <h2>Changes of discovery's list</h2>
 <table><tr><th class="t">change</th><th>lines</th><th>changes</th><th>real: taken, median, most (ms)</th><th>hollow</th></tr>
-{{range .Changes}}<tr><td class="t">{{.What}}</td><td>{{.Lines}}</td><td>{{.Count}}</td><td>{{.Real.Taken}} of {{.Real.Of}}, {{printf "%.1f" .Real.P50MS}}, {{printf "%.1f" .Real.MostMS}}</td>
-<td>{{.Hollow.Taken}} of {{.Hollow.Of}}, {{printf "%.1f" .Hollow.P50MS}}, {{printf "%.1f" .Hollow.MostMS}}</td></tr>
+{{range .Changes}}<tr><td class="t">{{.What}}</td><td>{{.Lines}}</td><td>{{.Count}}</td><td>{{.Real.Applied}} of {{.Real.Of}}, {{printf "%.1f" .Real.P50MS}}, {{printf "%.1f" .Real.MaxMS}}</td>
+<td>{{.Hollow.Applied}} of {{.Hollow.Of}}, {{printf "%.1f" .Hollow.P50MS}}, {{printf "%.1f" .Hollow.MaxMS}}</td></tr>
 {{end}}</table>
 {{range .Charts}}{{.}}
 {{end}}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -48,7 +48,7 @@
 
 // start writes the configuration and starts the program.
 func (p *process) start(f *fleet, initialList any) error {
-	settings := f.world.Facts(p.number)
+	settings := f.world.NestedSettings(p.number)
 	config := map[string]any{
 		"name": fmt.Sprintf("n%d", p.number), "listen": p.address.String(), "discovery": p.discovery,
 		"seed": fmt.Sprintf("%016x", f.Seed<<20+uint64(p.number)),
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -25,23 +25,23 @@
 	TookS       float64  `json:"took_s"`
 	Phases      []Phase  `json:"phases"`
 	Interrupted bool     `json:"interrupted"`
-	Unsound     string   `json:"unsound,omitempty"`
+	Invalid     string   `json:"unsound,omitempty"`
 	Scaled      []string `json:"scaled"` // notes on figures that are extrapolated or simplified
 
-	TenantsHere    int        `json:"tenants_here"`     // with sets among the existing edge nodes
-	TenantsPerNode float64    `json:"tenants_per_node"` // mean number of tenants of an edge node
-	Real           Group      `json:"real"`
-	Hollow         Group      `json:"hollow"`
-	Changes        []Change   `json:"changes"`
-	Sink           Flow       `json:"sink"` // datagrams a second to edge nodes that don't exist
-	Decode         DecodeCost `json:"decode"`
-	LabRest        float64    `json:"lab_rest_percent"` // of a core: the lab and all hollow edge nodes
-	LabLoad        float64    `json:"lab_load_percent"`
-	NeedMB         float64    `json:"need_mb"` // estimated before the run
-	MachineMB      float64    `json:"machine_mb"`
-	LongDatagrams  int64      `json:"long_datagrams"` // over the limit of 256 bytes
-	CallErrors     int64      `json:"discovery_errors"`
-	Windows        []Window   `json:"windows"`
+	TenantsHere     int        `json:"tenants_here"`     // with sets among the existing edge nodes
+	TenantsPerNode  float64    `json:"tenants_per_node"` // mean number of tenants of an edge node
+	Real            Group      `json:"real"`
+	Hollow          Group      `json:"hollow"`
+	Changes         []Change   `json:"changes"`
+	Sink            Flow       `json:"sink"` // datagrams a second to edge nodes that don't exist
+	Decode          DecodeCost `json:"decode"`
+	LabRestPercent  float64    `json:"lab_rest_percent"` // of a core: the lab and all hollow edge nodes
+	LabLoadPercent  float64    `json:"lab_load_percent"`
+	NeedMB          float64    `json:"need_mb"` // estimated before the run
+	MachineMB       float64    `json:"machine_mb"`
+	LongDatagrams   int64      `json:"long_datagrams"` // over the limit of 256 bytes
+	DiscoveryErrors int64      `json:"discovery_errors"`
+	Windows         []Window   `json:"windows"`
 }
 
 // Group is one kind of edge node. Figures are means for one edge node unless stated otherwise.
@@ -61,7 +61,7 @@
 	Count int     `json:"count"`
 	P50S  float64 `json:"p50_s"`
 	P90S  float64 `json:"p90_s"`
-	MostS float64 `json:"most_s"`
+	MaxS  float64 `json:"most_s"`
 }
 
 // CPU is the processor time of a real edge node's process, or of the policy module of a hollow one.
@@ -86,9 +86,9 @@
 // Memory is the memory of an edge node in MB: medians and the maximum of real ones, means of hollow
 // ones.
 type Memory struct {
-	ResidentMB     float64 `json:"resident_mb"`
-	ResidentMostMB float64 `json:"resident_most_mb"`
-	HeapMB         float64 `json:"heap_mb"`
+	ResidentMB    float64 `json:"resident_mb"`
+	ResidentMaxMB float64 `json:"resident_most_mb"`
+	HeapMB        float64 `json:"heap_mb"`
 }
 
 // Requests counts the requests of the load, over all edge nodes of a kind.
@@ -110,7 +110,7 @@
 	P50MS  float64 `json:"p50_ms"`
 	P99MS  float64 `json:"p99_ms"`
 	P999MS float64 `json:"p999_ms"`
-	MostMS float64 `json:"most_ms"`
+	MaxMS  float64 `json:"most_ms"`
 }
 
 // Flow is the datagrams and bytes of a second.
@@ -121,15 +121,15 @@
 
 // Limits on the datagrams that an edge node receives in a second.
 const (
-	BoundDatagrams = 100
-	BoundBytes     = 12 << 10 // bytes
+	MaxDatagramsPerSecond = 100
+	MaxBytesPerSecond     = 12 << 10 // bytes
 )
 
 // Datagrams are the datagrams of one edge node in a second of the load.
 type Datagrams struct {
 	In           Flow       `json:"in"`
 	Out          Flow       `json:"out"`
-	InPeak       int        `json:"in_peak"`       // most that one edge node received in a second
+	InPeak       int        `json:"in_peak"`       // maximum that one edge node received in a second
 	InScaled     Flow       `json:"in_scaled"`     // extrapolated to the whole fleet
 	BoundPart    float64    `json:"bound_part"`    // InScaled as a part of 100 datagrams a second
 	BytesPart    float64    `json:"bytes_part"`    // InScaled as a part of 12 KB a second
@@ -151,16 +151,16 @@
 	What   string    `json:"what"`
 	Lines  int       `json:"lines"`
 	Count  int       `json:"count"` // number of such changes
-	Real   TakenTime `json:"real"`
-	Hollow TakenTime `json:"hollow"`
+	Real   ApplyTime `json:"real"`
+	Hollow ApplyTime `json:"hollow"`
 }
 
-// TakenTime is the time from a change until edge nodes applied it.
-type TakenTime struct {
-	Taken  int     `json:"taken"` // edge nodes that applied it, summed over all such changes
-	Of     int     `json:"of"`
-	P50MS  float64 `json:"p50_ms"`
-	MostMS float64 `json:"most_ms"`
+// ApplyTime is the time from a change until edge nodes applied it.
+type ApplyTime struct {
+	Applied int     `json:"taken"` // edge nodes that applied it, summed over all such changes
+	Of      int     `json:"of"`
+	P50MS   float64 `json:"p50_ms"`
+	MaxMS   float64 `json:"most_ms"`
 }
 
 // DecodeCost is the processor time to decode the largest response of discovery.
@@ -191,9 +191,9 @@
 	r := &Result{Nodes: f.Nodes, Servers: f.Servers, Tenants: f.Tenants, Rate: f.Rate, ForS: f.For.Seconds(),
 		Seed: f.Seed, CPUs: runtime.NumCPU(),
 		LoadAverage: loadAverage(), TookS: time.Since(m.startedAt).Seconds(), Phases: m.phases,
-		Interrupted: m.interrupted, TenantsHere: len(f.tenants.people),
+		Interrupted: m.interrupted, TenantsHere: len(f.tenants.customers),
 		Decode: f.decoder.cost(), LongDatagrams: f.network.oversized.Load(),
-		CallErrors: f.discoveryErrors.Load(), Windows: m.windows}
+		DiscoveryErrors: f.discoveryErrors.Load(), Windows: m.windows}
 	r.NeedMB = (f.need.lab + f.need.real*float64(f.Real) + f.need.hollow*float64(f.Hollow)) / megabyte
 	if machine, err := machineMemory(); err == nil {
 		r.MachineMB = machine / megabyte
@@ -202,7 +202,7 @@
 		r.TenantsPerNode += float64(f.tenants.count(no)) / float64(f.existing())
 	}
 	lab := func(s *span) time.Duration { return s.lab }
-	r.LabRest, r.LabLoad = cpuPercent(m.rest, lab, 1), cpuPercent(m.load, lab, 1)
+	r.LabRestPercent, r.LabLoadPercent = cpuPercent(m.rest, lab, 1), cpuPercent(m.load, lab, 1)
 	r.Scaled = f.scaled()
 	f.realGroup(&r.Real)
 	f.hollowGroup(&r.Hollow)
@@ -215,7 +215,7 @@
 			float64(t.sink.bytes) / t.length.Seconds()}
 	}
 	r.Changes = f.changes()
-	r.Unsound = f.unsound(r)
+	r.Invalid = f.invalidReason(r)
 	return r
 }
 
@@ -223,7 +223,8 @@
 func (f *fleet) scaled() []string {
 	return []string{
 		fmt.Sprintf("%d of %d edge nodes exist; datagrams to the others end in sinks", f.existing(), f.Nodes),
-		fmt.Sprintf("%d of %d tenants: those whose sets lie among the edge nodes that exist; quotas are scaled to the demand", len(f.tenants.people), f.Tenants),
+		fmt.Sprintf("%d of %d tenants: those whose sets lie among the edge nodes that exist; quotas are scaled to the demand",
+			len(f.tenants.customers), f.Tenants),
 		"in_scaled: sights and verdicts taken in grow by the part of the edge nodes that exists, other kinds are as measured",
 		"hollow edge nodes share the decoding of a list; its cost is told once",
 		"every server serves every attempt, also one that has left the list",
@@ -343,7 +344,7 @@
 		return r
 	}
 	slices.Sort(list)
-	r.P50S, r.P90S, r.MostS = median(list), stat.Quantile(0.9, stat.Empirical, list, nil), list[len(list)-1]
+	r.P50S, r.P90S, r.MaxS = median(list), stat.Quantile(0.9, stat.Empirical, list, nil), list[len(list)-1]
 	return r
 }
 
@@ -389,7 +390,7 @@
 			d.InScaled.plus(f.scaledIn(name, row), 1)
 	}
 	d.InPeak = t.peak[nodeKind]
-	d.BoundPart, d.BytesPart = d.InScaled.Datagrams/BoundDatagrams, d.InScaled.Bytes/BoundBytes
+	d.BoundPart, d.BytesPart = d.InScaled.Datagrams/MaxDatagramsPerSecond, d.InScaled.Bytes/MaxBytesPerSecond
 	if rate := float64(g.Requests.Asked) / t.length.Seconds() / float64(g.Count); rate > 0 {
 		d.PerRequestIn, d.PerRequest = d.In.Datagrams/rate, d.Out.Datagrams/rate
 	}
@@ -438,22 +439,22 @@
 			times[nodeKind] = append(times[nodeKind], milliseconds(d))
 		}
 	}
-	c.Real, c.Hollow = takenTime(times[realNode], f.Real*len(revs)),
-		takenTime(times[hollowNode], f.Hollow*len(revs))
+	c.Real, c.Hollow = applyTimeStats(times[realNode], f.Real*len(revs)),
+		applyTimeStats(times[hollowNode], f.Hollow*len(revs))
 	return c
 }
 
-func takenTime(times []float64, total int) TakenTime {
-	t := TakenTime{Taken: len(times), Of: total}
+func applyTimeStats(times []float64, total int) ApplyTime {
+	t := ApplyTime{Applied: len(times), Of: total}
 	if len(times) > 0 {
 		slices.Sort(times)
-		t.P50MS, t.MostMS = median(times), times[len(times)-1]
+		t.P50MS, t.MaxMS = median(times), times[len(times)-1]
 	}
 	return t
 }
 
-// unsound returns the reason why a run is invalid, or "" if its load was generated on time.
-func (f *fleet) unsound(r *Result) string {
+// invalidReason returns the reason why a run is invalid, or "" if its load was generated on time.
+func (f *fleet) invalidReason(r *Result) string {
 	if f.measured.load == nil {
 		return "it was ended before its load was played"
 	}
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -112,9 +112,9 @@
 
 func (c *Config) restDuration() time.Duration { return max(minRest, min(maxRest, c.For/2)) }
 
-// Play runs the measurement. If ctx ends early, the result holds what was measured until then. The
+// Run runs the measurement. If ctx ends early, the result holds what was measured until then. The
 // error is a Problem for a configuration that can't be run.
-func Play(ctx context.Context, c Config) (*Result, error) {
+func Run(ctx context.Context, c Config) (*Result, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -17,9 +17,9 @@
 
 // A run goes through all phases. Only counts are checked, so the result does not depend on the
 // machine's speed.
-func TestPlaySmall(t *testing.T) {
+func TestRunSmall(t *testing.T) {
 	c := smallConfig()
-	r, err := Play(t.Context(), c)
+	r, err := Run(t.Context(), c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 		"a zone's lines come back": c.Servers / zones}
 	for _, change := range r.Changes {
 		if change.Lines != wantLines[change.What] || change.Hollow.Of != c.Hollow*change.Count ||
-			change.Hollow.Taken > change.Hollow.Of || change.Hollow.Taken == 0 {
+			change.Hollow.Applied > change.Hollow.Of || change.Hollow.Applied == 0 {
 			t.Errorf("%+v", change)
 		}
 		delete(wantLines, change.What)
@@ -68,11 +68,11 @@
 }
 
 // A run that is interrupted returns what was measured until then.
-func TestPlayInterrupted(t *testing.T) {
+func TestRunInterrupted(t *testing.T) {
 	for _, test := range []struct {
-		at      Phase
-		played  int
-		unsound bool
+		at          Phase
+		played      int
+		wantInvalid bool
 	}{{PhaseStart, 0, true}, {PhaseLoad, 3, false}, {PhaseZone, 4, false}} {
 		ctx, end := context.WithCancel(t.Context())
 		c := smallConfig()
@@ -81,13 +81,13 @@
 				end()
 			}
 		}
-		r, err := Play(ctx, c)
+		r, err := Run(ctx, c)
 		end()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !r.Interrupted || len(r.Phases) != test.played || test.unsound && r.Unsound == "" {
-			t.Errorf("ended at %s: %v, %q", test.at, r.Phases, r.Unsound)
+		if !r.Interrupted || len(r.Phases) != test.played || test.wantInvalid && r.Invalid == "" {
+			t.Errorf("ended at %s: %v, %q", test.at, r.Phases, r.Invalid)
 		}
 		if got := r.Hollow.Requests.Asked > 0; got != (test.played > 3) {
 			t.Errorf("ended at %s: %d requests", test.at, r.Hollow.Requests.Asked)
@@ -150,21 +150,21 @@
 	}
 }
 
-// Requests that were made or handled late and edge nodes that were not ready make a run unsound.
-func TestUnsound(t *testing.T) {
+// Requests that were made or handled late and edge nodes that were not ready make a run invalid.
+func TestInvalidRun(t *testing.T) {
 	f := &fleet{Config: Config{Real: 1, Hollow: 1}}
-	sound := func() *Result {
+	valid := func() *Result {
 		r := &Result{}
 		r.Real.Ready.Count, r.Hollow.Ready.Count = 1, 1
 		r.Real.Requests.Asked, r.Hollow.Requests.Asked = 1000, 1000
 		r.Real.Requests.Late, r.Hollow.Requests.Late, r.Hollow.Requests.Starved = 10, 10, 10
 		return r
 	}
-	if f.unsound(sound()) == "" {
+	if f.invalidReason(valid()) == "" {
 		t.Error("a run without a load is sound")
 	}
 	f.measured.load = &span{}
-	if why := f.unsound(sound()); why != "" {
+	if why := f.invalidReason(valid()); why != "" {
 		t.Error(why)
 	}
 	for i, edit := range []func(*Result){
@@ -173,10 +173,10 @@
 		func(r *Result) { r.Hollow.Requests.Starved++ },
 		func(r *Result) { r.Hollow.Ready.Count = 0 },
 	} {
-		r := sound()
+		r := valid()
 		edit(r)
-		if f.unsound(r) == "" {
-			t.Errorf("edit %d does not make the run unsound", i)
+		if f.invalidReason(r) == "" {
+			t.Errorf("edit %d does not make the run invalid", i)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 		c.Hollow = hollow
 		w := plannedWorld(&c)
 		drawn := drawTenants(&c, w)
-		for _, p := range drawn.people {
+		for _, p := range drawn.customers {
 			if p.First < 0 || p.Spread < 1 || p.First+p.Spread > hollow {
 				t.Fatalf("%d edge nodes exist: a tenant has a set of %d from %d", hollow, p.Spread, p.First)
 			}
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -9,8 +9,8 @@
 
 // tenants holds the tenants whose sets of edge nodes lie among the existing ones.
 type tenants struct {
-	people []world.Person
-	byNode []tenantSampler // by edge node
+	customers []world.Customer
+	byNode    []tenantSampler // by edge node
 }
 
 // tenantSampler draws a tenant with a probability proportional to its demand.
@@ -25,18 +25,18 @@
 	here.Nodes, here.Servers = c.existing(), 1
 	here.Load.Customers = max(1, c.Tenants*c.existing()/c.Nodes)
 	here.Load.Uneven = 0
-	drawn := here.Draw(c.Seed)
-	t := &tenants{people: drawn.People, byNode: make([]tenantSampler, c.existing())}
-	for i := range t.people {
-		p := &t.people[i]
+	population := here.Draw(c.Seed)
+	t := &tenants{customers: population.Customers, byNode: make([]tenantSampler, c.existing())}
+	for i := range t.customers {
+		p := &t.customers[i]
 		p.Spread = min(p.Spread, c.existing())
 		p.First %= c.existing() - p.Spread + 1
-		t.add(i, drawn.Share([]int{i}))
+		t.add(i, population.Share([]int{i}))
 	}
 	for no := range t.byNode {
 		if len(t.byNode[no].indexes) == 0 { // too few tenants for each edge node to have one
-			t.people = append(t.people, world.Person{Key: "00000000000000ff", First: no, Spread: 1})
-			t.add(len(t.people)-1, 1)
+			t.customers = append(t.customers, world.Customer{Key: "00000000000000ff", First: no, Spread: 1})
+			t.add(len(t.customers)-1, 1)
 		}
 	}
 	return t
@@ -44,7 +44,7 @@
 
 // add adds a tenant to the edge nodes of its set.
 func (t *tenants) add(i int, demand float64) {
-	p := &t.people[i]
+	p := &t.customers[i]
 	for no := p.First; no < p.First+p.Spread; no++ {
 		d := &t.byNode[no]
 		sum := demand / float64(p.Spread)
@@ -56,10 +56,10 @@
 }
 
 // pick draws a tenant for a request at an edge node.
-func (t *tenants) pick(no int, rng *rand.Rand) *world.Person {
+func (t *tenants) pick(no int, rng *rand.Rand) *world.Customer {
 	d := &t.byNode[no]
 	i := sort.SearchFloat64s(d.cumulativeDemand, rng.Float64()*d.cumulativeDemand[len(d.cumulativeDemand)-1])
-	return &t.people[d.indexes[min(i, len(d.indexes)-1)]]
+	return &t.customers[d.indexes[min(i, len(d.indexes)-1)]]
 }
 
 // count returns the number of tenants of an edge node.
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -59,7 +59,7 @@
 			time.Duration((0.3+0.6*s.clientRand.Float64())*float64(req.classOf(s).Deadline))
 	}
 	req.end = tally.End{Class: req.class, Plan: c.plan, Node: -1, Units: req.units, At: s.elapsed(),
-		How: tally.Failed, Inside: c.account.Fits(req.units, s.now)}
+		How: tally.Failed, WithinQuota: c.account.Fits(req.units, s.now)}
 	s.openRequests++
 	if s.Trace != nil {
 		s.requestCount++
@@ -96,14 +96,14 @@
 func (s *Sim) arrive(t *try) {
 	n := t.node
 	if !n.up {
-		s.addNote(t.request, n.index, trace.Untaken, "")
+		s.addNote(t.request, n.index, trace.NotAccepted, "")
 		s.retryOrClose(t.request, tally.Failed, 0, true)
 		return
 	}
 	t.incarnation = n.incarnation
 	n.openTries[t.id] = t
 	req := t.request
-	s.addNote(req, n.index, trace.Came, "as %s, try %d", formatID(t.id), req.tries)
+	s.addNote(req, n.index, trace.Accepted, "as %s, try %d", formatID(t.id), req.tries)
 	s.at(t.deadline, func() { s.expire(t) })
 	n.handle(policy.Request{ID: t.id, Customer: req.customer.key,
 		Plan: s.world.Plans[req.customer.plan].Name, Class: req.classOf(s).Name, Units: req.units,
@@ -169,10 +169,10 @@
 		s.close(req, how)
 		return
 	}
-	wait, retry := s.world.Again(s.clientRand,
-		world.Retry{Class: req.classOf(s), Harmless: how == tally.Refused || notAccepted,
-			MayRan: req.ranAt != 0, RanSince: s.now - req.ranAt, Tries: req.tries, Advice: retryAfter,
-			Left: req.waitsUntil - s.now, Eager: s.eagerness})
+	wait, retry := s.world.DecideRetry(s.clientRand,
+		world.Retry{Class: req.classOf(s), Retryable: how == tally.Refused || notAccepted,
+			MayHaveRun: req.ranAt != 0, RanSince: s.now - req.ranAt, Tries: req.tries, RetryAfter: retryAfter,
+			Remaining: req.waitsUntil - s.now, Eagerness: s.eagerness})
 	if !retry || how == tally.Lost {
 		s.close(req, how)
 		return
@@ -189,8 +189,8 @@
 	s.Book.Close(req.end)
 	s.addNote(req, req.end.Node, trace.Ended, "%v after %v and %d tries", how, s.now-req.scheduled, req.tries)
 	if st := req.story; st != nil {
-		st.How, st.Inside = how.String(), req.end.Inside
-		if req.end.Inside && how != tally.Served {
+		st.How, st.WithinQuota = how.String(), req.end.WithinQuota
+		if req.end.WithinQuota && how != tally.Served {
 			st.Lost = st.Worth
 			if how == tally.Late {
 				st.Lost *= 1 - req.classOf(s).Late
--- a/internal/lab/sim/fault.go
+++ b/internal/lab/sim/fault.go
@@ -42,15 +42,15 @@
 	case "roll":
 		steps := max(1, int(1/f.Part+0.5))
 		for index, n := range s.nodes {
-			s.at(epoch+f.Turn(index, len(s.nodes), steps), n.beginShutdown)
+			s.at(epoch+f.StepTime(index, len(s.nodes), steps), n.beginShutdown)
 		}
 	case "release":
 		steps := max(1, int(f.Size))
 		for i, index := range servers {
-			srv, at := s.servers[index], epoch+f.Turn(i, len(servers), steps)
+			srv, at := s.servers[index], epoch+f.StepTime(i, len(servers), steps)
 			s.at(at, func() { // the new server is listed before the old one begins to drain
 				replacement := s.addServer(srv.zone, srv.weight)
-				replacement.desk.Start = s.now
+				replacement.processor.Start = s.now
 				s.publishChange(replacement)
 			})
 			s.at(at+world.DrainAfter, func() {
@@ -97,7 +97,7 @@
 		atStartAndEnd(forEachServer((*server).crash), forEachServer((*server).restart))
 	case "server-replace":
 		for i, index := range servers {
-			s.at(epoch+f.Turn(i, len(servers), len(servers)), s.servers[index].restart)
+			s.at(epoch+f.StepTime(i, len(servers), len(servers)), s.servers[index].restart)
 		}
 	case "cold-bulk":
 		s.at(begin, forEachServer((*server).restart))
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -93,7 +93,7 @@
 	}
 	a.connReleased = true
 	if a.job != nil {
-		a.job.Gone = true
+		a.job.Abandoned = true
 	}
 }
 
@@ -169,33 +169,33 @@
 	t, account := a.try, a.try.request.customer.account
 	if !t.charged {
 		t.charged = true
-		inside, over := account.Send(t.request.units, s.now)
+		withinQuota, excess := account.Charge(t.request.units, s.now)
 		s.Book.FirstSends++
 		if win := s.Book.Window(s.elapsed()); win != nil {
-			if win.Sent++; !inside {
+			if win.Sent++; !withinQuota {
 				win.Beyond++
 			}
 		}
-		if !inside {
+		if !withinQuota {
 			s.Book.Beyond++
-			t.request.end.Beyond = true
+			t.request.end.BeyondQuota = true
 		}
-		if over > s.world.Rules.Tolerance && account.Plan.HardRate > 0 {
+		if excess > s.world.Rules.Tolerance && account.Plan.HardRate > 0 {
 			s.Book.Broken(tally.Ceiling, formatID(t.id), t.node.index, s.elapsed(),
-				"customer %s is %.2f units over its ceiling", t.request.customer.key, over)
+				"customer %s is %.2f units over its ceiling", t.request.customer.key, excess)
 		}
 	}
-	account.Out(1)
+	account.AddInFlight(1)
 	s.inFlight++
 	if win := s.Book.Window(s.elapsed()); win != nil {
-		win.Out = max(win.Out, s.inFlight)
+		win.InFlight = max(win.InFlight, s.inFlight)
 	}
 }
 
 // uncountAttempt removes an attempt from the count under the cap.
 func (s *Sim) uncountAttempt(t *try, a *attempt) {
 	if a.received {
-		t.request.customer.account.Out(-1)
+		t.request.customer.account.AddInFlight(-1)
 		s.inFlight--
 	}
 }
@@ -227,7 +227,7 @@
 	for range copies {
 		if s.datagramRand.Float64() < s.datagramLoss || !s.reachable(from.zone, to.zone) ||
 			s.receivesNone[to.index] {
-			s.Book.MailLost++
+			s.Book.DatagramsLost++
 			continue
 		}
 		s.after(s.world.Net.Peer.D()+exponential(s.datagramRand, s.world.Net.PeerMore.D()),
@@ -242,15 +242,15 @@
 		n.datagramSecond, n.datagramsIn = sec, 0
 	}
 	if !n.up || float64(n.datagramsIn) >= s.world.Net.Mail {
-		s.Book.MailLost++
+		s.Book.DatagramsLost++
 		return
 	}
 	n.datagramsIn++
 	n.datagramPeak = max(n.datagramPeak, n.datagramsIn)
-	s.Book.Mail++
-	s.Book.MailBytes += int64(len(data))
+	s.Book.DatagramsReceived++
+	s.Book.DatagramBytes += int64(len(data))
 	if win := s.Book.Window(s.elapsed()); win != nil {
-		win.Mail++
+		win.DatagramsReceived++
 	}
 	if s.Trace != nil {
 		n.traceAnswer(from, data)
@@ -282,7 +282,7 @@
 	}
 	if req != nil {
 		n.askedFor[m.Tag] = req
-		n.sim.addNote(req, n.index, trace.Askroot, "edge node %d", a.To)
+		n.sim.addNote(req, n.index, trace.RootAsked, "edge node %d", a.To)
 	}
 }
 
@@ -295,7 +295,7 @@
 	what := trace.Granted
 	switch {
 	case m.Held:
-		what = trace.Waits
+		what = trace.Held
 	case !m.Granted:
 		what = trace.Denied
 	}
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -13,22 +13,22 @@
 
 // server is a server of the emulated platform.
 type server struct {
-	sim          *Sim
-	index        int
-	id           policy.ServerID
-	zone         int
-	cell         int
-	weight       float64 // as in the list
-	state        policy.State
-	incarnation  int     // of its process
-	crashed      bool    // no process: connections are refused
-	unresponsive bool    // answers nothing and accepts no connection
-	slowdown     float64 // factor on the duration of all work
-	errorRate    float64 // fraction of requests that it answers with an error at once
-	corruptRate  float64 // fraction of its answers that it corrupts
-	conns        int
-	desk         *lending.Desk
-	budget       *lending.Budget
+	sim           *Sim
+	index         int
+	id            policy.ServerID
+	zone          int
+	cell          int
+	weight        float64 // as in the list
+	state         policy.State
+	incarnation   int     // of its process
+	crashed       bool    // no process: connections are refused
+	unresponsive  bool    // answers nothing and accepts no connection
+	slowdown      float64 // factor on the duration of all work
+	errorRate     float64 // fraction of requests that it answers with an error at once
+	corruptRate   float64 // fraction of its answers that it corrupts
+	conns         int
+	processor     *lending.Processor
+	overloadCheck *lending.OverloadCheck
 }
 
 // Now returns the simulated time. With After it makes a Sim the clock of its servers.
@@ -59,7 +59,8 @@
 	index := len(s.servers)
 	srv := &server{sim: s, index: index, id: policy.ServerID(uint32(index+1) * 2654435761),
 		zone: s.world.ZoneOf(zoneIndex), slowdown: 1, weight: size,
-		desk: lending.New(s, &s.world.Server, s.world.Cores()*size), budget: lending.NewBudget(s.world)}
+		processor:     lending.New(s, &s.world.Server, s.world.Cores()*size),
+		overloadCheck: lending.NewOverloadCheck(s.world)}
 	srv.cell = srv.zone*1000 + index/4
 	srv.setSlowdown(1)
 	s.servers = append(s.servers, srv)
@@ -69,7 +70,8 @@
 
 // listEntry returns the server's entry in the discovery list.
 func (v *server) listEntry() policy.Server {
-	return policy.Server{ID: v.id, Zone: zoneName(v.zone), Cell: v.cell, State: v.state, HasStart: v.desk.Start > 0, Start: v.desk.Start, Weight: v.weight}
+	return policy.Server{ID: v.id, Zone: zoneName(v.zone), Cell: v.cell, State: v.state,
+		HasStart: v.processor.Start > 0, Start: v.processor.Start, Weight: v.weight}
 }
 
 // receive handles an attempt that has arrived whole.
@@ -85,7 +87,7 @@
 	v.checkOverload(a, work)
 	a.received = true
 	s.countAttempt(a)
-	working, waiting := v.desk.Load()
+	working, waiting := v.processor.Load()
 	s.addNote(a.try.request, a.try.node.index, trace.Arrived, "server %d: %d at work, %d waiting", v.index,
 		working, waiting)
 	switch {
@@ -104,7 +106,7 @@
 	}
 	a.job = &lending.Job{Work: work, Until: a.until}
 	a.job.Done = func(end lending.End) { v.finishJob(a, end) }
-	if !v.desk.Offer(a.job) {
+	if !v.processor.Offer(a.job) {
 		s.returnAnswer(a, policy.Full, true)
 	}
 }
@@ -116,10 +118,10 @@
 func (v *server) finishJob(a *attempt, end lending.End) {
 	s := v.sim
 	switch end {
-	case lending.Over:
+	case lending.Expired:
 		s.returnAnswer(a, policy.Full, true)
 		return
-	case lending.Broken:
+	case lending.Aborted:
 		if !a.done {
 			s.returnAnswer(a, policy.Reset, false)
 		}
@@ -127,7 +129,7 @@
 	}
 	s.Book.Worked += a.job.Work
 	switch u := s.workRand.Float64(); {
-	case end == lending.Vain || a.done:
+	case end == lending.Unneeded || a.done:
 		s.Book.Wasted += a.job.Work
 	case u < v.corruptRate:
 		s.Book.Wasted += a.job.Work
@@ -144,11 +146,12 @@
 	if v.crashed {
 		return
 	}
-	overloaded, sendersKnew := v.budget.Came(v.desk, work, a.try.node.knownStarts[v.id] == v.desk.Start)
+	overloaded, sendersKnew := v.overloadCheck.RecordAttempt(v.processor, work,
+		a.try.node.knownStarts[v.id] == v.processor.Start)
 	if sendersKnew {
 		v.sim.Book.Broken(tally.Cold, formatID(a.try.id), a.try.node.index, v.sim.elapsed(),
 			"server %d pushed over %v after its start, at %.0f%% of its capacity", v.index,
-			v.sim.now-v.desk.Start, 100*v.desk.WarmUpFraction())
+			v.sim.now-v.processor.Start, 100*v.processor.WarmUpFraction())
 	}
 	if overloaded {
 		v.crash()
@@ -163,12 +166,12 @@
 
 // resetConns breaks all connections.
 func (v *server) resetConns() {
-	jobs := v.desk.Clear()
+	jobs := v.processor.Clear()
 	v.conns = 0
 	v.incarnation++
 	for _, j := range jobs {
-		if !j.Gone {
-			j.Done(lending.Broken)
+		if !j.Abandoned {
+			j.Done(lending.Aborted)
 		}
 	}
 }
@@ -177,12 +180,12 @@
 func (v *server) restart() {
 	v.resetConns()
 	v.crashed, v.unresponsive, v.state = false, false, policy.Running
-	v.desk.Start, v.budget = v.sim.now, lending.NewBudget(v.sim.world)
+	v.processor.Start, v.overloadCheck = v.sim.now, lending.NewOverloadCheck(v.sim.world)
 	v.sim.publishChange(v)
 }
 
 // setSlowdown sets the slowdown factor of a server.
 func (v *server) setSlowdown(slowdown float64) {
 	v.slowdown = slowdown
-	v.desk.Slow(slowdown * v.sim.sharedSlowdown)
+	v.processor.SetSlowdown(slowdown * v.sim.sharedSlowdown)
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -55,7 +55,7 @@
 	servers      []*server
 	byID         map[policy.ServerID]*server
 	customers    []*customer
-	population   *world.Drawn
+	population   *world.Population
 	inFlight     int // attempts in flight
 	lastTryID    policy.RequestID
 	requestCount int
@@ -90,15 +90,15 @@
 		byID: map[policy.ServerID]*server{}, datagramLoss: w.Net.Loss, sharedSlowdown: 1,
 		eagerness: 1, cutBoth: map[int]bool{}, cutOut: map[int]bool{}, receivesNone: map[int]bool{},
 		workRand: world.Stream(seed, world.StreamWork),
-		netRand:  world.Stream(seed, world.StreamNet), datagramRand: world.Stream(seed, world.StreamMail),
+		netRand:  world.Stream(seed, world.StreamNet), datagramRand: world.Stream(seed, world.StreamDatagrams),
 		clientRand: world.Stream(seed, world.StreamClients),
 		faultRand:  world.Stream(seed, world.StreamFaults)}
 	s.Truth.sim = s
 	s.population = w.Draw(seed)
-	for i, size := range s.population.Sizes {
+	for i, size := range s.population.ServerSizes {
 		s.addServer(i, size)
 	}
-	for i, p := range s.population.People {
+	for i, p := range s.population.Customers {
 		s.customers = append(s.customers, &customer{index: i, key: p.Key, plan: p.Plan, first: p.First,
 			spread: p.Spread, account: tally.NewAccount(&w.Plans[p.Plan], s.now)})
 	}
@@ -185,12 +185,12 @@
 }
 
 // drawCustomer draws a customer, weighted by demand.
-func (s *Sim) drawCustomer() *customer { return s.customers[s.population.Anyone(s.clientRand)] }
+func (s *Sim) drawCustomer() *customer { return s.customers[s.population.DrawCustomer(s.clientRand)] }
 
 // recordDatagramPeak enters the peak datagram rate of the edge nodes into the book.
 func (s *Sim) recordDatagramPeak() {
 	for _, n := range s.nodes {
-		s.Book.MailPeak = max(s.Book.MailPeak, n.datagramPeak)
+		s.Book.DatagramPeak = max(s.Book.DatagramPeak, n.datagramPeak)
 	}
 }
 
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -314,7 +314,7 @@
 			requests := 0
 			const length = 10
 			for i := range b.N {
-				w := smallWorld(b, n, max(5, min(world.MostServers, n*2/3)), length*time.Second, "")
+				w := smallWorld(b, n, max(5, min(world.MaxServers, n*2/3)), length*time.Second, "")
 				requests += runSim(b, w, uint64(i+1), sim.Module).Requests
 			}
 			b.ReportMetric(length*float64(b.N)/b.Elapsed().Seconds(), "played/s")
--- a/internal/lab/sim/truth.go
+++ b/internal/lab/sim/truth.go
@@ -11,15 +11,15 @@
 	if v == nil || v.crashed || v.unresponsive || v.state != policy.Running {
 		return 0, false
 	}
-	working, waiting := v.desk.Load()
-	return float64(working+waiting+1) * (1 + 10*(v.errorRate+v.corruptRate)) / v.desk.Capacity(), true
+	working, waiting := v.processor.Load()
+	return float64(working+waiting+1) * (1 + 10*(v.errorRate+v.corruptRate)) / v.processor.Capacity(), true
 }
 
-// Room reports whether a request fits within the customer's quota and cap.
-func (t *Truth) Room(key string, units float64) bool {
+// HasRoom reports whether a request fits within the customer's quota and cap.
+func (t *Truth) HasRoom(key string, units float64) bool {
 	for _, c := range t.sim.customers {
 		if c.key == key {
-			return c.account.Room(units, t.sim.now)
+			return c.account.HasRoom(units, t.sim.now)
 		}
 	}
 	return true
--- a/internal/lab/stats/stats.go
+++ b/internal/lab/stats/stats.go
@@ -24,9 +24,9 @@
 	tailFraction = 0.025
 )
 
-// Seen reports whether the difference is significant: there are at least three pairs and the interval
+// Significant reports whether the difference is significant: there are at least three pairs and the interval
 // excludes zero.
-func (d Diff) Seen() bool { return d.Pairs >= 3 && (d.Low > 0 || d.High < 0) }
+func (d Diff) Significant() bool { return d.Pairs >= 3 && (d.Low > 0 || d.High < 0) }
 
 // Median returns the median of a list; 0 if it is empty.
 func Median(list []float64) float64 {
--- a/internal/lab/stats/stats_test.go
+++ b/internal/lab/stats/stats_test.go
@@ -22,7 +22,7 @@
 		if d := Paired(a, b); d.Low <= 0.5 && 0.5 <= d.High && d.Pairs == pairs {
 			containing++
 		}
-		if Paired(a, c).Seen() {
+		if Paired(a, c).Significant() {
 			significant++
 		}
 	}
@@ -30,10 +30,10 @@
 		t.Errorf("of %d experiments, %d intervals contain the difference, %d report one that does not exist",
 			experiments, containing, significant)
 	}
-	if d := Paired([]float64{1, 2}, []float64{3, 4}); d.Seen() || d.Diff != 2 {
+	if d := Paired([]float64{1, 2}, []float64{3, 4}); d.Significant() || d.Diff != 2 {
 		t.Errorf("two pairs: %+v", d)
 	}
-	if d := Paired(nil, nil); d.Pairs != 0 || d.Seen() {
+	if d := Paired(nil, nil); d.Pairs != 0 || d.Significant() {
 		t.Errorf("none: %+v", d)
 	}
 }
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -28,26 +28,26 @@
 
 // Manifest describes the contents of a folder.
 type Manifest struct {
-	Name    string    `json:"name"`
-	Command []string  `json:"command"`
-	File    string    `json:"file,omitempty"` // text of the experiment's file
-	Digest  string    `json:"digest"`         // of that text, or of the command
-	Engine  string    `json:"engine"`
-	Runs    int       `json:"runs"`
-	Arms    []string  `json:"arms,omitempty"` // the variants, in the order of the file
-	Build   string    `json:"build"`
-	Go      string    `json:"go"`
-	CPUs    int       `json:"cpus"`
-	Begun   time.Time `json:"begun"`
+	Name     string    `json:"name"`
+	Command  []string  `json:"command"`
+	File     string    `json:"file,omitempty"` // text of the experiment's file
+	Digest   string    `json:"digest"`         // of that text, or of the command
+	Engine   string    `json:"engine"`
+	Runs     int       `json:"runs"`
+	Variants []string  `json:"arms,omitempty"` // the variants, in the order of the file
+	Build    string    `json:"build"`
+	Go       string    `json:"go"`
+	CPUs     int       `json:"cpus"`
+	Begun    time.Time `json:"begun"`
 }
 
 // Line is the stored record of one run.
 type Line struct {
-	Key    string        `json:"key"`
-	World  *world.World  `json:"world"`
-	Took   float64       `json:"took_s"`
-	Result *tally.Result `json:"result"`
-	Error  string        `json:"error,omitempty"`
+	Key      string        `json:"key"`
+	World    *world.World  `json:"world"`
+	Duration float64       `json:"took_s"`
+	Result   *tally.Result `json:"result"`
+	Error    string        `json:"error,omitempty"`
 }
 
 // Folder is an open folder of results. Add is safe for concurrent use.
--- a/internal/lab/store/store_test.go
+++ b/internal/lab/store/store_test.go
@@ -44,7 +44,7 @@
 	if err := f.Add(Line{Key: "b", Result: &tally.Result{Seed: 2}}); err != nil {
 		t.Fatal(err)
 	}
-	l := trace.Log{Most: 3}
+	l := trace.Log{MaxNotes: 3}
 	s := l.Begin(trace.Story{ID: "w1"})
 	for range 5 {
 		l.Add(s, 1, 2, trace.Sent, "to %d", 3)
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -47,7 +47,7 @@
 
 // Options configures the sweeps.
 type Options struct {
-	What        []Quantity
+	Quantities  []Quantity
 	Repetitions int   // of each point
 	Servers     []int // points of each quantity
 	Nodes       []int
@@ -59,7 +59,7 @@
 
 // Defaults returns the options of the sweeps in docs/CAPACITY.md.
 func Defaults() Options {
-	return Options{What: Quantities, Repetitions: 3, Seconds: 4,
+	return Options{Quantities: Quantities, Repetitions: 3, Seconds: 4,
 		Servers: []int{TodayServers, 2000, 8000, 20000, PlannedServers},
 		Nodes:   []int{TodayNodes, 1000, 2500, 4000, PlannedNodes},
 		Tenants: []int{300, 3000, 10000, 30000},
@@ -149,7 +149,7 @@
 	defer runtime.GOMAXPROCS(before)
 	r := &Result{Repetitions: o.Repetitions, Processors: 1, Go: runtime.Version()}
 	for _, q := range Quantities {
-		if !slices.Contains(o.What, q) {
+		if !slices.Contains(o.Quantities, q) {
 			continue
 		}
 		points, measure := o.sweepOf(q)
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -16,7 +16,7 @@
 
 // smallOptions returns sweeps with few and small points.
 func smallOptions(what ...Quantity) Options {
-	return Options{What: what, Repetitions: 2, Seconds: 1,
+	return Options{Quantities: what, Repetitions: 2, Seconds: 1,
 		Servers: []int{40, 80, 120}, Nodes: []int{300, 400, 500}, Tenants: []int{80, 120, 160},
 		Rate: []int{4, 8, 12}, Cut: []int{2, 4, 6}}
 }
--- a/internal/lab/tally/book.go
+++ b/internal/lab/tally/book.go
@@ -42,8 +42,8 @@
 	At          time.Duration // scheduled time, since the start of the run
 	Latency     time.Duration // from the scheduled time to the last answer
 	How         How
-	Inside      bool // its units fitted within the quota when it arrived
-	Beyond      bool // it was sent to a server beyond quota or cap
+	WithinQuota bool // its units fitted within the quota when it arrived
+	BeyondQuota bool // it was sent to a server beyond quota or cap
 	Tries       int
 	Sends       int
 	HeldBack    bool // it ended unserved after half of its time without any attempt
@@ -66,16 +66,16 @@
 	latencies  []*hdrhistogram.Histogram // of served requests, by class
 	nodeCounts []NodeCounts
 
-	FirstSends, Beyond int
-	Sends              int     // attempts
-	Wasted, Worked     float64 // work at servers in core-seconds
-	Handshakes         int
-	Rude, RudeIgnored  int    // clients with unreadable requests; those without error or close
-	Mail, MailLost     int    // datagrams received; datagrams lost
-	MailBytes          int64  // received
-	MailPeak           int    // maximum datagrams that one edge node received in a second
-	Unsound            string // why the run is not valid; empty: it is
-	digest             *xxhash.Digest
+	FirstSends, Beyond                    int
+	Sends                                 int     // attempts
+	Wasted, Worked                        float64 // work at servers in core-seconds
+	Handshakes                            int
+	UnreadableRequests, UnreadableIgnored int    // clients with unreadable requests; no error or close
+	DatagramsReceived, DatagramsLost      int    // datagrams received; datagrams lost
+	DatagramBytes                         int64  // received
+	DatagramPeak                          int    // maximum datagrams that one edge node received in a second
+	Invalid                               string // why the run is not valid; empty: it is
+	digest                                *xxhash.Digest
 
 	lateValue, beyondQuotaValue, heldBackValue float64 // value subject to charges
 }
@@ -102,21 +102,21 @@
 
 // Window accumulates one second of a run.
 type Window struct {
-	Second    int     `json:"second"`
-	Requests  int     `json:"requests"`
-	Served    int     `json:"served"`
-	Refused   int     `json:"refused"`
-	Failed    int     `json:"failed"`
-	Lost      int     `json:"lost"`
-	Asked     float64 `json:"asked"`
-	Earned    float64 `json:"earned"`
-	Sent      int     `json:"sent"`   // first attempts of tries
-	Beyond    int     `json:"beyond"` // first attempts beyond quota or cap
-	Mail      int     `json:"mail"`
-	Out       int     `json:"out"` // maximum attempts in flight
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"`
-	latencies []float64
+	Second            int     `json:"second"`
+	Requests          int     `json:"requests"`
+	Served            int     `json:"served"`
+	Refused           int     `json:"refused"`
+	Failed            int     `json:"failed"`
+	Lost              int     `json:"lost"`
+	Asked             float64 `json:"asked"`
+	Earned            float64 `json:"earned"`
+	Sent              int     `json:"sent"`   // first attempts of tries
+	Beyond            int     `json:"beyond"` // first attempts beyond quota or cap
+	DatagramsReceived int     `json:"mail"`
+	InFlight          int     `json:"out"` // maximum attempts in flight
+	P50               float64 `json:"p50_ms"`
+	P99               float64 `json:"p99_ms"`
+	latencies         []float64
 }
 
 // NodeCounts accumulates the requests of one edge node.
@@ -157,26 +157,27 @@
 
 // Close records the end of a request.
 func (b *Book) Close(e End) {
-	fmt.Fprintf(b.digest, "%d %d %d %d %d %d %v %d\n", e.Class, e.Plan, e.Node, e.At, e.Latency, e.How, e.Beyond, e.Sends)
+	fmt.Fprintf(b.digest, "%d %d %d %d %d %d %v %d\n", e.Class, e.Plan, e.Node, e.At, e.Latency, e.How,
+		e.BeyondQuota, e.Sends)
 	if e.At < b.w.Warm.D() {
 		return
 	}
 	value := b.Worth(e.Class, e.Plan, e.Units)
 	plan, class := b.w.Plans[e.Plan], b.w.Classes[e.Class]
 	asked, earned := value, 0.0
-	if !e.Inside {
+	if !e.WithinQuota {
 		asked *= plan.Earns
 	}
 	if e.How == Served || e.How == Late {
 		earned = value
-		if e.Beyond {
+		if e.BeyondQuota {
 			earned *= plan.Earns
 		}
 		if e.How == Late {
 			earned *= class.Late
 		}
 	}
-	if e.Beyond {
+	if e.BeyondQuota {
 		b.beyondQuotaValue += value * plan.Costs
 	}
 	if e.How > Late && e.Latency > class.Aim.D() {
@@ -250,19 +251,25 @@
 	Charges  map[string]float64 `json:"charges"`
 	Rules    map[Rule]int       `json:"rules"` // number of breaches per rule; empty: none
 	Breaches []Breach           `json:"breaches,omitempty"`
-	Unsound  string             `json:"unsound,omitempty"`
-	Beyond   float64            `json:"beyond"`                 // share of first attempts beyond quota or cap
-	Sends    float64            `json:"sends"`                  // attempts per request
-	Mail     float64            `json:"mail"`                   // datagrams received per edge node and second
-	MailPeak int                `json:"mailpeak"`               // maximum per second at one edge node
-	MailLost float64            `json:"maillost"`               // share of datagrams that were lost
-	Rude     int                `json:"rude,omitempty"`         // clients that sent unreadable requests
-	Ignored  int                `json:"rude_ignored,omitempty"` // those that got no error or close in time
-	Digest   string             `json:"digest"`
-	Classes  []Counts           `json:"classes"`
-	Plans    []Counts           `json:"plans"`
-	Windows  []Window           `json:"windows"`
-	PerNode  []NodeCounts       `json:"pernode"`
+	Invalid  string             `json:"unsound,omitempty"`
+	// Beyond is the share of first attempts beyond quota or cap.
+	Beyond float64 `json:"beyond"`
+	Sends  float64 `json:"sends"` // attempts per request
+	// DatagramRate is the number of datagrams received per edge node and second.
+	DatagramRate float64 `json:"mail"`
+	// DatagramPeak is the maximum per second at one edge node.
+	DatagramPeak int `json:"mailpeak"`
+	// DatagramLoss is the share of datagrams that were lost.
+	DatagramLoss float64 `json:"maillost"`
+	// UnreadableRequests counts clients that sent unreadable requests, UnreadableIgnored those of them that
+	// got no error or close in time.
+	UnreadableRequests int          `json:"rude,omitempty"`
+	UnreadableIgnored  int          `json:"rude_ignored,omitempty"`
+	Digest             string       `json:"digest"`
+	Classes            []Counts     `json:"classes"`
+	Plans              []Counts     `json:"plans"`
+	Windows            []Window     `json:"windows"`
+	PerNode            []NodeCounts `json:"pernode"`
 }
 
 // Weights of the goals and length of the worst window in seconds, as on the platform.
@@ -278,7 +285,7 @@
 	if b.FirstSends > 0 && float64(b.Beyond) > b.w.Rules.Beyond*float64(b.FirstSends) && b.FirstSends > 100 {
 		b.Broken(Quota, "-", -1, b.w.For.D(), "%d of %d first sends beyond quota or cap, over %g of them", b.Beyond, b.FirstSends, b.w.Rules.Beyond)
 	}
-	r := &Result{Seed: seed, Nodes: b.w.Nodes, Servers: b.w.Servers, Unsound: b.Unsound, Rules: map[Rule]int{}}
+	r := &Result{Seed: seed, Nodes: b.w.Nodes, Servers: b.w.Servers, Invalid: b.Invalid, Rules: map[Rule]int{}}
 	lowestShare := func(list []Counts) float64 {
 		low := 1.0
 		for i := range list {
@@ -308,11 +315,11 @@
 	r.Charges = map[string]float64{
 		"waste":      c.Waste * b.Wasted / max(b.Worked, 1e-9),
 		"handshake":  c.Handshake * float64(b.Handshakes) / requests,
-		"peer":       c.Peer * float64(b.MailBytes) / 256 / requests,
+		"peer":       c.Peer * float64(b.DatagramBytes) / 256 / requests,
 		"late_fail":  c.LateFail * b.lateValue / max(b.all.Asked, 1e-9),
 		"over_quota": b.beyondQuotaValue / max(b.all.Asked, 1e-9),
 		"held_back":  c.HeldBack * b.heldBackValue / max(b.all.Asked, 1e-9),
-		"rude":       c.Rude * float64(b.RudeIgnored) / float64(max(1, b.Rude)),
+		"rude":       c.Rude * float64(b.UnreadableIgnored) / float64(max(1, b.UnreadableRequests)),
 	}
 	r.Worth = goalWhole*r.Goals["whole"] + goalWindow*r.Goals["worst_window"] +
 		goalPlan*r.Goals["worst_plan"] + goalClass*r.Goals["worst_class"]
@@ -321,9 +328,10 @@
 	}
 	r.Requests, r.Served, r.Refused, r.Failed, r.Lost = b.all.Requests, b.all.Served+b.all.Late, b.all.Refused, b.all.Failed, b.all.Lost
 	r.Beyond, r.Sends = float64(b.Beyond)/float64(max(1, b.FirstSends)), float64(b.Sends)/requests
-	r.Mail = float64(b.Mail) / float64(b.w.Nodes) / max(b.w.For.D().Seconds(), 1e-9)
-	r.Rude, r.Ignored = b.Rude, b.RudeIgnored
-	r.MailPeak, r.MailLost = b.MailPeak, float64(b.MailLost)/float64(max(1, b.Mail+b.MailLost))
+	r.DatagramRate = float64(b.DatagramsReceived) / float64(b.w.Nodes) / max(b.w.For.D().Seconds(), 1e-9)
+	r.UnreadableRequests, r.UnreadableIgnored = b.UnreadableRequests, b.UnreadableIgnored
+	r.DatagramPeak, r.DatagramLoss = b.DatagramPeak,
+		float64(b.DatagramsLost)/float64(max(1, b.DatagramsReceived+b.DatagramsLost))
 	r.Classes, r.Plans, r.Windows, r.PerNode = b.classes, b.plans, b.windows, b.nodeCounts
 	var counts map[Rule]int
 	r.Breaches, counts = b.Breaches()
@@ -422,7 +430,7 @@
 	return float64(h.ValueAtPercentile(q)) / 1000
 }
 
-// Shorten drops the windows after the time at which a run was interrupted.
-func (b *Book) Shorten(played time.Duration) {
+// Truncate drops the windows after the time at which a run was interrupted.
+func (b *Book) Truncate(played time.Duration) {
 	b.windows = b.windows[:min(len(b.windows), int(math.Ceil(played.Seconds())))]
 }
--- a/internal/lab/tally/merge_test.go
+++ b/internal/lab/tally/merge_test.go
@@ -15,7 +15,7 @@
 	w := world.Default(3, 3)
 	whole, parts := NewBook(w), []*Book{NewBook(w), NewBook(w), NewBook(w)}
 	for i := range 3000 {
-		e := End{Class: i % 2, At: w.Warm.D() + time.Second, How: Served, Units: 1, Inside: true,
+		e := End{Class: i % 2, At: w.Warm.D() + time.Second, How: Served, Units: 1, WithinQuota: true,
 			Latency: time.Duration(rng.ExpFloat64() * float64(50*time.Millisecond) * float64(1+i%3*i%3*10))}
 		whole.Close(e)
 		parts[i%3].Close(e)
--- a/internal/lab/tally/quota.go
+++ b/internal/lab/tally/quota.go
@@ -52,26 +52,27 @@
 	}
 }
 
-// Send charges a try's units at its first attempt. It returns whether the try lies within the quota and
+// Charge charges a try's units at its first attempt. It returns whether the try lies within the quota and
 // cap, and by how many units the customer exceeds its ceiling.
-func (a *Account) Send(units float64, now time.Duration) (inside bool, over float64) {
+func (a *Account) Charge(units float64, now time.Duration) (withinQuota bool, excess float64) {
 	a.advance(now)
-	inside = (a.Plan.Rate == 0 || a.tokens >= units) && (a.Plan.Parallel == 0 || a.inFlight < a.Plan.Parallel)
-	if inside && a.Plan.Rate > 0 {
+	withinQuota = (a.Plan.Rate == 0 || a.tokens >= units) &&
+		(a.Plan.Parallel == 0 || a.inFlight < a.Plan.Parallel)
+	if withinQuota && a.Plan.Rate > 0 {
 		a.tokens -= units
 	}
 	if a.Plan.HardRate > 0 {
 		a.ceilingTokens -= units
-		over = max(0, -a.ceilingTokens)
+		excess = max(0, -a.ceilingTokens)
 	}
-	return inside, over
+	return withinQuota, excess
 }
 
-// Out changes the number of attempts in flight by d.
-func (a *Account) Out(d int) { a.inFlight += d }
+// AddInFlight changes the number of attempts in flight by d.
+func (a *Account) AddInFlight(d int) { a.inFlight += d }
 
-// Room reports whether a try of the given units would lie within quota, cap and ceiling now.
-func (a *Account) Room(units float64, now time.Duration) bool {
+// HasRoom reports whether a try of the given units would lie within quota, cap and ceiling now.
+func (a *Account) HasRoom(units float64, now time.Duration) bool {
 	a.advance(now)
 	return (a.Plan.Rate == 0 || a.tokens >= units) &&
 		(a.Plan.Parallel == 0 || a.inFlight < a.Plan.Parallel) &&
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -17,20 +17,20 @@
 
 // Kinds of notes.
 const (
-	Asked    What = "client asks"
-	Came     What = "comes in"
-	Untaken  What = "not taken: edge node is down"
-	Askroot  What = "root is asked"
-	Granted  What = "root grants"
-	Denied   What = "root refuses"
-	Waits    What = "root holds it"
-	Sent     What = "sent to server"
-	Arrived  What = "reaches server"
-	Outcome  What = "attempt ends"
-	Answered What = "answered"
-	Crashed  What = "edge node dies"
-	GaveUp   What = "client gives up"
-	Ended    What = "ends"
+	Asked       What = "client asks"
+	Accepted    What = "comes in"
+	NotAccepted What = "not taken: edge node is down"
+	RootAsked   What = "root is asked"
+	Granted     What = "root grants"
+	Denied      What = "root refuses"
+	Held        What = "root holds it"
+	Sent        What = "sent to server"
+	Arrived     What = "reaches server"
+	Outcome     What = "attempt ends"
+	Answered    What = "answered"
+	Crashed     What = "edge node dies"
+	GaveUp      What = "client gives up"
+	Ended       What = "ends"
 )
 
 // Note is one step in the course of a request.
@@ -49,24 +49,24 @@
 	Key   string  `json:"customer"`
 	Worth float64 `json:"worth"` // value if served within aim and quota
 	Lost  float64 `json:"lost"`  // value lost
-	// Inside is true if the request fitted within the quota when it arrived.
-	Inside bool   `json:"inside"`
-	How    string `json:"how"`
-	Cause  string `json:"cause,omitempty"`
-	Notes  []Note `json:"notes"`
+	// WithinQuota is true if the request fitted within the quota when it arrived.
+	WithinQuota bool   `json:"inside"`
+	How         string `json:"how"`
+	Cause       string `json:"cause,omitempty"`
+	Notes       []Note `json:"notes"`
 }
 
 // Log holds the stories of a run.
 type Log struct {
 	Stories   []*Story
-	Most      int // maximum number of notes
+	MaxNotes  int // maximum number of notes
 	noteCount int
 	Dropped   int // notes and stories dropped because the log was full
 }
 
 // Begin starts the story of a request. It returns nil for a nil log or a full one.
 func (l *Log) Begin(s Story) *Story {
-	if l == nil || l.noteCount >= l.Most {
+	if l == nil || l.noteCount >= l.MaxNotes {
 		if l != nil {
 			l.Dropped++
 		}
@@ -81,7 +81,7 @@
 	if s == nil {
 		return
 	}
-	if l.noteCount >= l.Most {
+	if l.noteCount >= l.MaxNotes {
 		l.Dropped++
 		return
 	}
--- a/internal/lab/world/draw.go
+++ b/internal/lab/world/draw.go
@@ -14,7 +14,7 @@
 	StreamWorld = iota + 1
 	StreamWork
 	StreamNet
-	StreamMail
+	StreamDatagrams
 	StreamClients
 	StreamFaults
 	StreamNodes // first of one stream for each edge node
@@ -25,27 +25,27 @@
 	return rand.New(rand.NewPCG(seed, uint64(purpose)*0x9e3779b97f4a7c15))
 }
 
-// Person is a customer drawn from the seed.
-type Person struct {
+// Customer is a customer drawn from the seed.
+type Customer struct {
 	Key           string
 	Plan          int
 	First, Spread int // its set of edge nodes: the first one and the size
 }
 
-// Drawn holds the servers and customers that a seed gives for a world.
-type Drawn struct {
-	Sizes            []float64 // capacities of servers relative to the mean
-	People           []Person
+// Population holds the servers and customers that a seed gives for a world.
+type Population struct {
+	ServerSizes      []float64 // capacities of servers relative to the mean
+	Customers        []Customer
 	cumulativeDemand []float64 // cumulative demand of customers
 }
 
 // Draw draws servers and customers: plans by their fractions, demand by plan and skew, and sets of edge
 // nodes by each node's share of the traffic.
-func (w *World) Draw(seed uint64) *Drawn {
+func (w *World) Draw(seed uint64) *Population {
 	rng := Stream(seed, StreamWorld)
-	d := &Drawn{}
+	population := &Population{}
 	for range w.Servers {
-		d.Sizes = append(d.Sizes, math.Exp(w.Server.Unequal*rng.NormFloat64()))
+		population.ServerSizes = append(population.ServerSizes, math.Exp(w.Server.Unequal*rng.NormFloat64()))
 	}
 	cumulativeTraffic, sum := make([]float64, w.Nodes), 0.0
 	for i := range cumulativeTraffic {
@@ -63,32 +63,33 @@
 			plan++
 		}
 		spread := min(w.Nodes, max(1, w.Load.Spread/2+rng.IntN(w.Load.Spread+1)))
-		d.People = append(d.People, Person{fmt.Sprintf("%016x", uint64(i+1)*2654435761%(1<<33)), plan,
+		population.Customers = append(population.Customers, Customer{fmt.Sprintf("%016x",
+			uint64(i+1)*2654435761%(1<<33)), plan,
 			sort.SearchFloat64s(cumulativeTraffic, rng.Float64()*sum) % w.Nodes, spread})
 		s := w.Load.Skew
 		total += w.Demand(w.Plans[plan]) * math.Exp(2*s*rng.NormFloat64()-2*s*s)
-		d.cumulativeDemand = append(d.cumulativeDemand, total)
+		population.cumulativeDemand = append(population.cumulativeDemand, total)
 	}
-	return d
+	return population
 }
 
-// Anyone draws a customer, weighted by demand.
-func (d *Drawn) Anyone(rng *rand.Rand) int {
-	return min(sort.SearchFloat64s(d.cumulativeDemand,
-		rng.Float64()*d.cumulativeDemand[len(d.cumulativeDemand)-1]), len(d.cumulativeDemand)-1)
+// DrawCustomer draws a customer, weighted by demand.
+func (p *Population) DrawCustomer(rng *rand.Rand) int {
+	return min(sort.SearchFloat64s(p.cumulativeDemand,
+		rng.Float64()*p.cumulativeDemand[len(p.cumulativeDemand)-1]), len(p.cumulativeDemand)-1)
 }
 
 // Share returns the fraction of all demand that comes from the listed customers.
-func (d *Drawn) Share(list []int) float64 {
+func (p *Population) Share(list []int) float64 {
 	sum := 0.0
 	for _, i := range list {
 		before := 0.0
 		if i > 0 {
-			before = d.cumulativeDemand[i-1]
+			before = p.cumulativeDemand[i-1]
 		}
-		sum += d.cumulativeDemand[i] - before
+		sum += p.cumulativeDemand[i] - before
 	}
-	return sum / d.cumulativeDemand[len(d.cumulativeDemand)-1]
+	return sum / p.cumulativeDemand[len(p.cumulativeDemand)-1]
 }
 
 // ClassOf draws a class, weighted by its fraction of the requests.
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -21,9 +21,9 @@
 // End returns the time at which the fault ends.
 func (f *Fault) End() time.Duration { return f.Start.D() + f.For.D() }
 
-// Turn returns the time at which the fault affects the i-th of n members, if it affects them in steps
+// StepTime returns the time at which the fault affects the i-th of n members, if it affects them in steps
 // that are spread evenly over its duration.
-func (f *Fault) Turn(i, n, steps int) time.Duration {
+func (f *Fault) StepTime(i, n, steps int) time.Duration {
 	return f.Start.D() + f.For.D()*time.Duration(i*steps/n)/time.Duration(steps)
 }
 
--- a/internal/lab/world/settings.go
+++ b/internal/lab/world/settings.go
@@ -11,9 +11,9 @@
 // object is an object of the platform's settings.
 type object = map[string]any
 
-// Facts returns the settings of edge node me, nested as in its configuration file and named as
+// NestedSettings returns the settings of edge node me, nested as in its configuration file and named as
 // on the wire.
-func (w *World) Facts(me int) object {
+func (w *World) NestedSettings(me int) object {
 	ms := func(d Duration) float64 { return d.D().Seconds() * 1000 }
 	var classes, plans []any
 	for _, c := range w.Classes {
@@ -51,7 +51,7 @@
 
 // settingPairs returns the same settings as path=value pairs.
 func (w *World) settingPairs(me int) (wire.SettingPairs, error) {
-	data, err := json.Marshal(w.Facts(me))
+	data, err := json.Marshal(w.NestedSettings(me))
 	if err != nil {
 		return wire.SettingPairs{}, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -252,8 +252,8 @@
 
 // Upper limits of a description. Larger runs would take too long or need too much memory.
 const (
-	MostNodes    = 3000
-	MostServers  = 2000
+	MaxNodes     = 3000
+	MaxServers   = 2000
 	maxZones     = 16
 	maxDuration  = 2 * time.Hour
 	maxRate      = 200_000
@@ -280,9 +280,9 @@
 		require(d.D() >= minimum && d.D() <= maxDuration, field, "%v is not from %v to %v", d.D(), minimum,
 			maxDuration)
 	}
-	require(w.Nodes >= 1 && w.Nodes <= MostNodes, "nodes", "%d is not from 1 to %d", w.Nodes, MostNodes)
-	require(w.Servers >= 1 && w.Servers <= MostServers, "servers", "%d is not from 1 to %d", w.Servers,
-		MostServers)
+	require(w.Nodes >= 1 && w.Nodes <= MaxNodes, "nodes", "%d is not from 1 to %d", w.Nodes, MaxNodes)
+	require(w.Servers >= 1 && w.Servers <= MaxServers, "servers", "%d is not from 1 to %d", w.Servers,
+		MaxServers)
 	require(w.Zones >= 1 && w.Zones <= maxZones, "zones", "%d is not from 1 to %d", w.Zones, maxZones)
 	duration(w.For, "for", 100*time.Millisecond)
 	require(w.Warm >= 0 && w.Warm < w.For, "warm", "%v is not from 0 to below for", w.Warm.D())
