--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -37,9 +37,9 @@
 	Served, Refused float64 // medians of the shares of requests
 	Beyond          float64
 	Lost, Broken    int
-	Invalid         int
+	Unsound         int
 	Seeds           int
-	DatagramRate    float64
+	Mail    float64
 	Classes         []tally.Merged // merged over all seeds
 }
 
@@ -114,7 +114,7 @@
 					row.Broken += k
 				}
 				if r.Invalid != "" {
-					row.Invalid++
+					row.Unsound++
 				}
 				if base := results[arm{c, first}][seed]; first != "" && base != nil {
 					baseValues, armValues = append(baseValues, base.Worth), append(armValues, r.Worth)
@@ -122,7 +122,7 @@
 			}
 			row.Median, row.Served, row.Refused = stats.Median(values), stats.Median(served),
 				stats.Median(refused)
-			row.Beyond, row.DatagramRate = stats.Median(beyond), stats.Median(datagrams)
+			row.Beyond, row.Mail = stats.Median(beyond), stats.Median(datagrams)
 			var err error
 			if row.Classes, err = tally.Merge(runs); err != nil {
 				return nil, fmt.Errorf("%dx%d %s %s: %w", c.nodes, c.servers, c.fault, name, err)
@@ -152,7 +152,7 @@
 			_, err = fmt.Fprintf(w, "%-9s %-14s %-12s %5d %7.4f %8s %-19s %7.4f %7.4f %7.4f %7.1f %6d  %s\n",
 				fmt.Sprintf("%dx%d", r.Nodes, r.Servers),
 				r.Fault, r.Variant, r.Seeds, r.Median, diff, span, r.Served, r.Refused, r.Beyond,
-				r.DatagramRate, r.Broken, r.Verdict())
+				r.Mail, r.Broken, r.Verdict())
 		}
 	}
 	return err
@@ -280,7 +280,7 @@
 		}
 		values[a].x, values[a].y = append(values[a].x, float64(r.Nodes)), append(values[a].y, r.Median)
 		datagrams[a].x, datagrams[a].y = append(datagrams[a].x, float64(r.Nodes)),
-			append(datagrams[a].y, r.DatagramRate)
+			append(datagrams[a].y, r.Mail)
 	}
 	if len(sizes) < 2 {
 		return nil
@@ -319,7 +319,7 @@
 <td>{{printf "%.4f" .Median}}</td><td>{{if .Against}}{{printf "%+.4f" .Diff.Diff}}{{end}}</td>
 <td>{{if .Against}}{{printf "%+.4f to %+.4f" .Diff.Low .Diff.High}}{{end}}</td><td>{{printf "%.4f" .Served}}</td><td>{{printf "%.4f" .Refused}}</td>
 <td>{{printf "%.4f" .Beyond}}</td><td>{{.Lost}}</td><td{{if .Broken}} class="bad"{{end}}>{{.Broken}}</td>
-<td class="t">{{.Verdict}}{{if .Invalid}} <span class="bad">{{.Invalid}} unsound</span>{{end}}</td></tr>
+<td class="t">{{.Verdict}}{{if .Unsound}} <span class="bad">{{.Unsound}} unsound</span>{{end}}</td></tr>
 {{end}}</table>
 <h2>Latency of what was served</h2>
 <p>From the time a request was meant to be made to its answer, over all tries; the seeds of an arm together.</p>
