--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -39,7 +39,7 @@
 	Lost, Broken    int
 	Unsound         int
 	Seeds           int
-	Mail    float64
+	Mail            float64
 	Classes         []tally.Merged // merged over all seeds
 }
 
