--- a/policy/api.go
+++ b/policy/api.go
@@ -114,7 +114,7 @@
 	Units     float64
 	Remaining time.Duration // until the client gives up this try
 	First     int           // the first of the gateways that the customer uses
-	Spread    int           // number of these gateways, at least 1, counted on from First; includes this one
+	Spread    int           // number of these gateways, at least 1: First and the next ones, wrapping round
 	Retry     bool          // the client marked it as a retry
 }
 
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// onAskTimer repeats asks that were not answered in time, or sends them to the deputy.
+// onAskTimer repeats asks that were not answered in time, or sends them to the deputy. It refuses requests
+// that a root has held for too long.
 func (g *Gateway) onAskTimer() {
 	list := g.pendingAsks
 	g.pendingAsks = nil
@@ -77,8 +78,8 @@
 	}
 }
 
-// retryAdvice returns after what time a retry may find room: once the token bucket has refilled to what a
-// retry needs, and not before the next ticks.
+// retryAdvice returns the time after which a retry may find room: once the token bucket has refilled to what
+// a retry needs, and not before two ticks have passed.
 func (g *Gateway) retryAdvice(r *request) time.Duration {
 	c, wait := r.customer, 2*g.tick.Seconds()
 	if c.plan.Rate > 0 {
@@ -136,8 +137,8 @@
 	return [2]int{int(h % n), int((h + distance) % n)}
 }
 
-// activeMonitor returns the monitor whose verdicts on a server are in force: the first or, after that one has
-// announced its shutdown, the second.
+// activeMonitor returns the monitor whose verdicts on a server are in force: the first or, while that one is
+// absent after it announced its shutdown, the second.
 func (g *Gateway) activeMonitor(s *server) int {
 	if g.isAbsent(s.monitors[0]) {
 		return s.monitors[1]
@@ -145,9 +146,9 @@
 	return s.monitors[0]
 }
 
-// adoptMonitorState takes over the other monitor's state of a server: the higher failure average of the two,
-// being out of use for at most as long as a verdict lasts, and the relative latency, since the other monitor
-// has seen more.
+// adoptMonitorState takes over the other monitor's state of a server. The worse of both states counts: the
+// higher failure average, and the longer time out of use, which is at most a verdict's lifetime. The relative
+// latency is the other monitor's, since that one has observed more.
 func (g *Gateway) adoptMonitorState(s *server, m monitorState) {
 	s.relativeLatency = clampLatency(decodeRelativeLatency(m.RelativeLatency))
 	s.monitoredLatency = s.relativeLatency
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -243,7 +243,7 @@
 	if c == nil {
 		c = g.newCustomer(m.Customer, g.plans[t.plans[m.Plan]], int(m.First), int(m.Spread))
 	}
-	// Attempts that were granted to this gateway already count as its own.
+	// Attempts that were granted to this gateway already count as its own. Unknown gateways are ignored.
 	m.Grants = slices.DeleteFunc(m.Grants, func(l transferredGrant) bool {
 		return int(l.From) == g.settings.Self || int(l.From) >= len(g.peers)
 	})
@@ -387,8 +387,8 @@
 // isAbsent reports whether a gateway announced its shutdown a short time ago.
 func (g *Gateway) isAbsent(num int) bool { return g.now < g.absentUntil[num] }
 
-// endAbsences drops what has expired, and transfers counts and states back to the gateways
-// that are asked again from now on.
+// endAbsences ends the absences that have expired, and transfers counts and states back to the
+// gateways that are asked again from now on. It also drops expired records of received transfers.
 func (g *Gateway) endAbsences() {
 	for _, num := range slices.Sorted(maps.Keys(g.absentUntil)) { // sorted: equal seeds give equal actions
 		if g.now >= g.absentUntil[num] {
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -36,8 +36,9 @@
 	Clean   bool          // the process before admitted nothing after SaveState was called
 }
 
-// SaveState returns a copy that shares nothing with the gateway. The token buckets are of use only
-// once nothing more is admitted, since they don't include later requests.
+// SaveState returns a copy of the state that shares no memory with the gateway. The token buckets,
+// which it includes if withTokens is set, are of use only once nothing more is admitted, since they
+// don't include later requests.
 func (g *Gateway) SaveState(now time.Duration, withTokens bool) SavedState {
 	var m SavedState
 	for _, s := range g.tracked {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,6 @@
 // Package policy makes the decisions of a gateway that enforces customers' quotas on a shared API: which
 // requests it admits, when, and to which server it sends each attempt. The interface (settings, events,
-// actions) is in api.go. The decisions are in this file and in gateway.go, and all their constants here.
+// actions) is in api.go. The decisions are in this file and in gateway.go; their constants are in this file.
 //
 // The mechanism is a distributed waiting room. Requests beyond a customer's cap on attempts in flight wait in
 // arrival order. Gateways report to each other once a tick, sum the attempts in flight from these reports,
@@ -23,16 +23,16 @@
 	reportBudgetShare    = 0.75 // of a gateway's datagram budget
 	minTick              = 25 * time.Millisecond
 	maxTick              = 250 * time.Millisecond
-	staleTicks           = 6                     // ticks; an older report is replaced by the demand split
+	staleTicks           = 6                     // ticks; the demand split replaces an older report
 	reportTravelTime     = 25 * time.Millisecond // assumed for a report on the network
 	unreportedTickWeight = 0.01                  // held requests that a tick without a report counts as
 	changeReportTicks    = 3                     // ticks for which a change is reported
 	totalRestartWindow   = 2 * time.Second       // for which a total that began at zero is marked
-	forgetAfter          = 10 * time.Second      // unused state; also the decay time of a silent peer
+	forgetAfter          = 10 * time.Second      // unused state; also decay time of a silent peer's demand
 
 	// Demand, by which gateways divide a customer's quota.
 	demandDecayTime     = 2 * time.Second // of the demand rates
-	minSilentWeight     = 0.33            // share of its demand to which a silent peer's fades
+	minSilentWeight     = 0.33            // share to which the demand of a silent peer decays
 	baselineRateShare   = 0.02            // demand assumed for each gateway: of the plan's rate,
 	baselineDemandFloor = 0.05            // and units a second on top
 
@@ -57,7 +57,7 @@
 	maxRelativeLatency    = 12.0             // at which a sample of a relative latency is cut off
 	serverStateDecayTime  = 10 * time.Second // of a server's relative latency and failure averages
 
-	// Choice of a server in a small fleet.
+	// Choice of a server. Only queueWeight and fullServerBackoff apply in a large fleet too.
 	serverChoices     = 4               // servers compared for an attempt
 	predictionJitter  = 0.2             // spread of a prediction, so that no server is left untried
 	zoneCostWeight    = 25.0            // service times that a cross-zone cost of 1 counts as
@@ -70,14 +70,14 @@
 	warmUpSlots = 2.0 // slots in OverloadTime, in which gateways take turns to send
 
 	// Overdue attempts.
-	minOverdueShare = 0.1 // of the latency target: an attempt is not overdue sooner,
-	overdueFactor   = 4.0 // and is overdue at this multiple of the predicted latency
+	minOverdueShare = 0.1 // of the latency target: a shorter predicted latency counts as this,
+	overdueFactor   = 4.0 // and an attempt is overdue at this multiple of the prediction
 
 	// Health verdicts, and trials of servers that are out of use.
 	failureWeight       = 0.2         // of a failure in the failure average
 	maxFailureAverage   = 0.45        // above it a server is out of use for the class
 	maxOutOfUseShare    = 0.7         // above it servers out of use are used nevertheless
-	trialSuccessFactor  = 0.6         // of the failure average that a successful trial leaves
+	trialSuccessFactor  = 0.6         // share of the failure average that a successful trial leaves
 	minTrialInterval    = time.Second // each trial doubles the interval and adds this
 	maxTrialInterval    = 8 * time.Second
 	monitorSampleWeight = 0.025           // of an outcome in the monitor's relative latency of a server
@@ -120,7 +120,7 @@
 	minSubsetSize       = 20    // servers: enough to average out slow ones,
 	minSubsetsPerServer = 8.0   // but as many as put each server into this many gateways' subsets,
 	maxSubsetSize       = 128.0 // up to this many
-	widerSubsetFactor   = 8     // subsets in the set that is examined where half the subset can't be used
+	widerSubsetFactor   = 8     // size, in subsets, of the set examined where half the subset is out of use
 	otherZoneWeight     = 0.7   // of a server in another zone
 )
 
@@ -238,8 +238,8 @@
 	return nums, deputy
 }
 
-// advance refills a customer's token buckets up to now and decays its demand rates. A peer that has been
-// silent for long may only be cut off, so its demand-split share of the rate is left to it.
+// advance refills a customer's token buckets up to now and decays its demand rates. A silent peer may be
+// merely cut off and still admit requests, so its demand-split share of the rate is left to it.
 func (g *Gateway) advance(c *customer) {
 	dt := (g.now - c.tokensAt).Seconds()
 	if dt <= 0 {
@@ -580,8 +580,8 @@
 }
 
 // warmUpChance returns the probability that a slot belongs to this gateway, given the fraction of a request
-// that it may send within OverloadTime. The number of slots in which it has a request to send is limited by
-// the number of times that it recently chose a server.
+// that it may send within OverloadTime. The fraction is divided by the number of slots in which this gateway
+// has a request to send: one for each recent choice of a server, but no more than warmUpSlots.
 func (g *Gateway) warmUpChance(part float64) float64 {
 	return part / min(warmUpSlots, max(1, g.recentDraws))
 }
@@ -900,7 +900,8 @@
 	if g.settings.CanSendMessages && (!g.largeFleet || g.tickCount%rootReportTicks == 0) {
 		g.sendReports()
 	}
-	// Each end is sent twice: the root would count the attempt until the client's deadline if it missed it.
+	// Each end is sent twice. A root that misses it counts the attempt until the lease expires, at the latest
+	// at the client's deadline.
 	g.resendEnds()
 }
 
@@ -928,8 +929,8 @@
 	return float64(len(c.held)) + units + unreportedTickWeight*float64(g.tickCount-c.lastReportTick)
 }
 
-// applyEntry applies a peer's report entry on a customer. Running totals make up for lost reports. A total
-// that jumps implausibly, since the peer has restarted, is a new baseline.
+// applyEntry applies a peer's report entry on a customer. Running totals make up for lost reports. The
+// total of a peer that has restarted, or has started to count the customer again, is a new baseline.
 func (g *Gateway) applyEntry(c *customer, p *peer, e customerEntry) {
 	i := slices.IndexFunc(c.peerViews, func(v *peerView) bool { return v.peer == p })
 	if i < 0 {
@@ -976,7 +977,7 @@
 		g.admit(r)
 		return
 	}
-	if r.askCount != 1 || r.root != to || r.table != t { // a repeated ask keeps its tag
+	if r.askCount != 1 || r.root != to || r.table != t { // the first repetition keeps its tag
 		r.tag, r.table = g.newTag(t), t
 	}
 	r.root, r.askedAt = to, g.now
@@ -1012,7 +1013,8 @@
 	if created {
 		c = g.newCustomer(m.Customer, plan, int(m.First), int(m.Spread))
 	}
-	// A deputy uses the fill that the root it replaces last reported.
+	// A deputy, or a gateway that has no counts of the customer yet, assumes no higher fill than the asking
+	// gateway estimates from a root's last answer.
 	if m.TokenFill != unknownTokens && (created || len(c.rootAndDeputy) > 0) {
 		c.tokens = min(c.tokens, float64(m.TokenFill)/250*c.plan.Burst)
 	}
--- a/policy/report.go
+++ b/policy/report.go
@@ -95,8 +95,8 @@
 	return b
 }
 
-// newReport makes the report for one peer: the servers where this gateway has attempts in
-// flight, then the customers whose requests enter at both gateways, most urgent first.
+// newReport makes the report for one peer: in a small fleet the servers where this gateway has
+// attempts in flight, then the customers whose counts both gateways sum, most urgent first.
 func (g *Gateway) newReport(p *peer, list []*customer) *report {
 	m := &report{incarnation: g.incarnation, seq: g.seq, complete: true}
 	for _, s := range g.tracked {
--- a/policy/state.go
+++ b/policy/state.go
@@ -36,7 +36,7 @@
 	admittedUnits   uint16        // running total, sent to peers
 	recentUnits     float64       // units requested here, decayed over demandDecayTime
 	reportTicksLeft int           // ticks for which reports still include it
-	lastReportTick  uint32        // or of the root's last answer
+	lastReportTick  uint32        // tick of the last report, or of the root's last answer
 	reportedUnits   uint16        // admittedUnits in the last report
 	reportUrgency   float64       // sort key in reports
 }
@@ -157,7 +157,7 @@
 	removedAt        time.Duration            // when it left the list; 0: it is listed
 	fullUntil        map[*quota]time.Duration // until when it is assumed to refuse a plan
 	recentSends      []time.Duration          // times, while it warms up
-	warmUpRank       float64                  // this gateway's rank, 0 to 1, among its users
+	warmUpRank       float64                  // this gateway's position, 0 to 1, among those that use it
 
 	inSubset         bool
 	drawWeight       float64       // in the current draw
@@ -310,7 +310,8 @@
 		(r.class.Group != GroupCell || s.Cell == r.ranCell)
 }
 
-// updateMeans computes each customer's mean of attempts in flight over a tick.
+// updateMeans computes each customer's mean of attempts in flight over a tick. It also ends what has expired:
+// absences of gateways, and leases.
 func (g *Gateway) updateMeans(dt time.Duration) {
 	g.hintedPeers = g.hintedPeers[:0]
 	g.endAbsences()
@@ -421,7 +422,7 @@
 	return nil
 }
 
-// usableCapacity sums the capacity that the servers this gateway chooses from have at least.
+// usableCapacity returns the minimum total capacity of the servers that this gateway chooses from.
 func (g *Gateway) usableCapacity() float64 {
 	list, sum := g.tracked, 0.0
 	if g.largeFleet {
@@ -575,8 +576,8 @@
 		(c.plan.HardRate == 0 || c.ceilingTokens >= c.plan.HardBurst/c.ceilingDivisor)
 }
 
-// removeHash removes a customer's short hash. If one other customer has the same hash,
-// reports name that one by it from now on.
+// removeHash removes a customer's short hash. If exactly one other customer has the
+// same hash, report entries with that hash count for it from now on.
 func (g *Gateway) removeHash(c *customer) {
 	if g.customersByHash[c.hash] == c {
 		delete(g.customersByHash, c.hash)
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// resolveAsk returns the plan and class that a gateway asks for. Both are nil if they can't be
+// resolveAsk returns the plan and class that a gateway asks for. They are nil if they can't be
 // determined; a gateway whose table is not known is sent the mark of the newest table here.
 func (g *Gateway) resolveAsk(from int, m *askMessage) (*quota, *class) {
 	if g.shuttingDown {
@@ -168,7 +168,7 @@
 }
 
 // onTablesMessage records the table that a gateway uses. If that is new, the gateway is sent
-// the mark of the table here, so that it stops reading its numbers by the wrong table.
+// the mark of the table here, so that neither gateway reads numbers by the wrong table.
 func (g *Gateway) onTablesMessage(from int, m tablesMessage) {
 	if m.Mark == g.tables[0].mark && !g.mixedTables {
 		return
