--- a/cmd/machine/main.go
+++ b/cmd/machine/main.go
@@ -1,6 +1,6 @@
 // Command machine runs the edge nodes of one machine, one for each configuration
 // file in a folder. It restarts edge nodes that crash, forwards SIGHUP, and on
-// SIGTERM drains all of them within a time budget. It never runs inside an edge node.
+// SIGTERM drains all of them within a time budget. It is not part of an edge node.
 package main
 
 import (
--- a/cmd/machine/supervisor.go
+++ b/cmd/machine/supervisor.go
@@ -14,7 +14,7 @@
 const (
 	minRestartDelay = 100 * time.Millisecond
 	maxRestartDelay = 10 * time.Second
-	stableAfter     = 30 * time.Second // after this time a crash resets the restart delay
+	stableAfter     = 30 * time.Second // a later crash counts as unrelated: the restart delay starts over
 	jitterFraction  = 0.5              // of a delay: keeps edge nodes from restarting all at once
 
 	// Drain.
--- a/cmd/valvering/garbage.go
+++ b/cmd/valvering/garbage.go
@@ -13,12 +13,13 @@
 const (
 	maxGCPercent       = 400
 	minGCPercent       = 50
-	maxGarbageBytes    = 16 << 20 // growth limit, unless minGCPercent requires more
+	maxGarbageBytes    = 16 << 20 // growth limit, unless minGCPercent allows more
 	gcCheckInterval    = 100 * time.Millisecond
-	gcMinChangeDivisor = 8 // smaller changes (current percentage / 8) don't justify stopping the world
+	gcMinChangeDivisor = 8 // changes up to the percentage / 8 don't justify stopping the world
 )
 
-// gcPercentFor returns the GOGC percentage for a heap of live bytes.
+// gcPercentFor returns the GOGC percentage for a heap of live bytes. Up to a quarter of maxGarbageBytes it is
+// maxGCPercent.
 func gcPercentFor(live uint64) int {
 	if live <= maxGarbageBytes*100/maxGCPercent {
 		return maxGCPercent
@@ -50,7 +51,8 @@
 	}
 }
 
-// significantChange reports whether the change of the percentage justifies stopping the world.
+// significantChange reports whether the change of the percentage justifies stopping the world. A change to
+// maxGCPercent always does.
 func significantChange(percent, next int) bool {
 	change := max(percent-next, next-percent)
 	return change > percent/gcMinChangeDivisor || change > 0 && next == maxGCPercent
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// Shares of the file descriptors. A request needs one for its client and one for its server.
+	// Shares of the file descriptors. A request needs one for its client and one for its server. The rest is
+	// for listeners, discovery and files.
 	clientShare = 0.5
 	serverShare = 0.35
 
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -47,10 +47,10 @@
 	// Selects the stream of random numbers for the timing of calls.
 	callTimingSeed = 0x64697363
 
-	// Calls in flight at once that have no response yet.
+	// Limit on calls in flight at once.
 	maxDiscoveryCalls = 8
 
-	progressStepBytes = 64 << 10         // bytes by which a response makes progress
+	progressStepBytes = 64 << 10         // a response makes progress with each such number of bytes
 	maxResponseTime   = 10 * time.Second // limit on a response that makes progress
 )
 
@@ -60,9 +60,9 @@
 type callTiming struct {
 	pollTimeout  time.Duration // long-poll time: discovery answers a watch by then, with or without changes
 	pollSlack    time.Duration // a watch fails this much after its long-poll time
-	hedgeDelay   time.Duration // delay before a parallel call is made to an unanswered one; not for watches
+	hedgeDelay   time.Duration // an unanswered call gets a parallel one after this delay; not for watches
 	callTimeout  time.Duration // timeout of a call, except of watches
-	shortTimeout time.Duration // shorter timeout of most calls that follow a failure; 0: not used
+	shortTimeout time.Duration // shorter timeout of most calls, except of watches; 0: not used
 
 	// Upper bound of the random pause after a change, which discovery announces to all edge nodes at once.
 	maxChangePause time.Duration
@@ -224,9 +224,10 @@
 	return l, err
 }
 
-// nextTiming returns the timing with the timeout of the next call. The timeout after a failure is
-// short, since a dropped call is never answered. Every (maxShortCalls+1)th call in a row of failures has
-// the full timeout, for a service that is slow.
+// nextTiming returns the timing with the timeout of the next call, which does not long-poll. The timeout is
+// short where the list is polled: a dropped call is never answered, while the service may well answer the
+// other edge nodes. Every (maxShortCalls+1)th call in a row of failures has the full timeout, for a service
+// that is slow.
 func (f *follower) nextTiming() callTiming {
 	timing := f.timing
 	if timing.shortTimeout > 0 && f.failures%(maxShortCalls+1) < maxShortCalls {
--- a/internal/node/duty.go
+++ b/internal/node/duty.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	dutyTerm         = 3 * time.Second  // of a lease; a duty has no holder for about this long after a crash
+	dutyTerm         = 3 * time.Second  // of a lease; about how long a duty lacks a holder after a crash
 	dutyClockDrift   = 0.01             // far above the clock drift of real machines
 	dutyQueueLength  = 64               // messages waiting to be handled; more are dropped
 	minDutyTickDelay = time.Millisecond // between two ticks
--- a/internal/node/idle.go
+++ b/internal/node/idle.go
@@ -15,7 +15,7 @@
 	// A reset within this time and before any byte of the response means that the idle connection was stale.
 	staleResetLimit = 20 * time.Millisecond
 
-	// A bucket is too old for use when it exceeds both limits.
+	// A bucket is too old for reuse if its stale requests reach the count and exceed the share.
 	maxStaleShare = 0.1 // share of its requests that met a stale connection
 	minStaleCount = 3.0 // number of such requests
 
@@ -23,8 +23,8 @@
 )
 
 // idleAgeStats learns how long an idle connection can be used again. Servers may close idle connections
-// earlier than configured. A request that is written to such a connection ends with a reset, and a keyed
-// request then may only be repeated on a few servers.
+// earlier than configured. A request that is written to such a connection ends with a reset. A keyed request
+// may then be repeated only within its group of servers, and only for a limited time.
 type idleAgeStats struct {
 	requests, stale [ageBuckets]float64
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -26,9 +26,9 @@
 	// responseMargin is the time before a client's deadline at which its response is decided. It covers the
 	// network delay of the request and of the response.
 	responseMargin    = 10 * time.Millisecond
-	backstopDelay     = 3 * time.Millisecond  // after the margin, until an open request is failed
+	backstopDelay     = 3 * time.Millisecond  // from call.deadline until an open request is failed
 	checkInterval     = 50 * time.Millisecond // between two checks for disconnected clients
-	refusalRetryAfter = time.Millisecond      // Retry-After during a shortened shutdown
+	refusalRetryAfter = time.Millisecond      // at a shortened shutdown: another edge node may have room now
 	minTimerDelay     = time.Microsecond      // timers fire strictly after the event that set them
 
 	statusBadRequest = 400
@@ -36,7 +36,7 @@
 )
 
 // call is an open request of a client. The goroutine of the client's connection waits for commands and
-// carries them out one at a time. The loop owns all other fields.
+// carries them out one at a time. The loop does everything else.
 type call struct {
 	policy.Request
 	requestID  string             // X-Request-Id
@@ -100,7 +100,7 @@
 	reparse        func(c *call) error                 // parses a request again with the generation in force
 
 	refusesWaiting bool            // set by the event refuseWaiting
-	ended          bool            // policy has completed its shutdown
+	ended          bool            // the loop must end: policy has shut down, or endLoop came with now set
 	snapshots      *snapshotWriter // nil: no snapshots are written
 	done           chan struct{}   // closed when run returns
 	events         chan any
@@ -130,7 +130,7 @@
 	}
 }
 
-// run handles events until stop is closed or policy has completed its shutdown.
+// run handles events until stop is closed, policy has completed its shutdown, or endLoop comes with now set.
 func (l *loop) run(stop <-chan struct{}) {
 	defer close(l.done)
 	defer l.timer.Stop()
@@ -254,8 +254,8 @@
 	l.dispatch(c.Request)
 }
 
-// endAttempt handles the end of an attempt. The connection's goroutine has already begun to write a
-// successful response to the client.
+// endAttempt handles the end of an attempt. The connection's goroutine writes a successful response to the
+// client without a command from the loop.
 func (l *loop) endAttempt(o outcome) {
 	c, ev := o.call, policy.Outcome{ID: o.attempt.id, Attempt: o.attempt.num, Server: o.attempt.server,
 		Code: o.code, Latency: l.clock.now() - o.attempt.startedAt, Load: o.load}
@@ -418,7 +418,7 @@
 			l.sendToPeer(a.To, a.Data)
 		}
 	case policy.Watch:
-		// Package node watches the list from the start.
+		// Nothing to do: discovery.run watches the list from the start.
 	case policy.ShutdownDone:
 		l.ended = true
 	case policy.Log:
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -12,8 +12,8 @@
 	// Lines of one part, which bounds how long other events wait for the loop.
 	maxPartLines = 256
 
-	// Parts of a list that is queued before the loop starts. Longer lists have larger parts, so that they
-	// don't fill the loop's queue.
+	// Limit on the parts of a list that is queued before the loop starts. A longer list has larger parts, so
+	// that it doesn't fill the loop's queue. Larger parts delay nothing: no other events come between them.
 	maxQueuedParts = eventQueueSize / 4
 )
 
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -84,7 +84,7 @@
 
 // readLines returns the bytes up to and including the first CRLF or, with untilEmptyLine set, the first
 // empty line. It checks each byte as it arrives, so that an invalid line fails early. The first bytes must
-// equal prefix, and the length must be below limit.
+// equal prefix. At most limit bytes are allowed.
 func (s *stream) readLines(prefix string, untilEmptyLine bool, limit int) ([]byte, error) {
 	for i := 0; ; i++ {
 		for s.buffered() <= i {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,7 +24,7 @@
 	sweepInterval       = time.Second
 	rememberedListDelay = time.Second // time for discovery to answer before the remembered list is used
 
-	// Opening the listen addresses at the start. An edge node must be ready 30 s after its start.
+	// Opening the listen addresses at the start. An edge node must be ready within 30 s of its start.
 	listenRetryTimeout = 10 * time.Second
 	listenRetryDelay   = 20 * time.Millisecond // between two tries
 )
@@ -252,7 +252,8 @@
 
 // listen opens the clients' listener.
 func (n *Node) listen() error {
-	// Without keep-alive probes each accept needs four system calls fewer. The server's timeouts are shorter.
+	// Without keep-alive probes each accept needs four system calls fewer. The edge node needs no probes: its
+	// own timeouts for clients are shorter.
 	lc := net.ListenConfig{KeepAlive: -1}
 	ln, err := lc.Listen(n.ctx, "tcp", n.cfg.Listen)
 	if err != nil {
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -19,12 +19,13 @@
 )
 
 // disconnectCounts counts the requests whose client disconnected before the first attempt was written, by
-// where that was detected. None of them is sent to a server, except those that hidden counts.
+// where that was detected. None of them is sent to a server. hidden counts the requests that are sent
+// although a disconnect could not have been detected.
 type disconnectCounts struct {
 	held    atomic.Int64 // while waiting for quota, a root or a server
 	dialing atomic.Int64 // while the connection to a server was being opened
 	writing atomic.Int64 // immediately before the write
-	hidden  atomic.Int64 // written while clientConn.disconnectHidden was true
+	hidden  atomic.Int64 // sent while clientConn.disconnectHidden was true
 }
 
 // readAhead buffers the pipelined bytes that a client sends before the response to its current request. The
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -17,7 +17,7 @@
 	// An unreadable file may be half written: it is read again after this pause.
 	reloadRetryDelay = 50 * time.Millisecond
 
-	// Reads of one file.
+	// Limit on the reads of an unreadable file.
 	maxReloadReads = 40
 )
 
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -236,9 +236,9 @@
 	}
 }
 
-// activity returns the number of connections and the time since the last sign of a client's request: a
-// request that was processed, a partial request, or a new connection. Readiness probes don't count, since
-// the load balancer in front continues to send them during a shutdown.
+// activity returns the number of connections, including those that are being closed, and the time since the
+// last sign of a client's request: a request that was processed, a partial request, or a new connection.
+// Readiness probes don't count, since the load balancer in front continues to send them during a shutdown.
 func (s *httpServer) activity() (open int, quiet time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -24,14 +24,15 @@
 
 // The timing of a shutdown, from the first signal. Clients keep connecting for up to 0.4 s after it.
 const (
-	// Idle connections are closed from now on, while their clients can still connect to the listener.
+	// Idle connections are closed from then on, while their clients can still connect to the listener.
 	shutdownCloseIdleAfter = 250 * time.Millisecond
 
-	// The listener is open at least this long.
+	// The listener is open at least this long, unless a second signal shortens the shutdown.
 	shutdownMinAccept = 550 * time.Millisecond
 
-	// The listener is open at most this long, even if clients keep connecting. A request that arrives
-	// later than 0.7 s after the signal may meet SIGKILL before its deadline.
+	// After this time the listener begins to close, even if clients keep connecting; that takes up to
+	// shutdownFinalAccept. A request that arrives later than 0.7 s after the signal may meet SIGKILL before
+	// its deadline.
 	shutdownMaxAccept = 700*time.Millisecond - shutdownFinalAccept
 )
 
@@ -113,5 +114,5 @@
 	return s
 }
 
-// ErrOpenConnections is the error of a shutdown that reached its time limit.
+// ErrOpenConnections is the error of a shutdown that reached its time limit before all connections closed.
 var ErrOpenConnections = errors.New("connections were still open")
--- a/internal/node/upconn.go
+++ b/internal/node/upconn.go
@@ -8,7 +8,7 @@
 
 const (
 	responsePrefix       = "HTTP/1.1 "
-	responseStallTimeout = 250 * time.Millisecond // between two reads of one response
+	responseStallTimeout = 250 * time.Millisecond // a response that has begun and stalls this long fails
 	maxInterimResponses  = 8                      // 1xx responses before the final one
 )
 
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -71,7 +71,7 @@
 	server        policy.ServerID
 	startedAt     time.Duration // when the policy module requested the attempt
 	deadline      time.Duration // when the attempt times out
-	writeDeadline time.Duration // after this, the server may no longer recognize a keyed retry as a duplicate
+	writeDeadline time.Duration // a keyed retry written later might run twice, if no longer seen as a retry
 	client        clientState   // nil: the state of the client is unknown
 
 	mu                 sync.Mutex
