--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,8 @@
 // Package admin serves an edge node's HTTP API for operators, on the loopback address
 // from the configuration.
 //
-//	GET  /status    status: the generations of the configuration, the last rejected file, ...
+//	GET  /status    the generation in force and the previous one, the last rejected file and
+//	                its faults, and the state of the edge node
 //	GET  /duty/NAME 200 if this edge node holds the duty now, 409 if not
 //	POST /check     returns all faults of the configuration file in the body; changes nothing
 //	POST /apply     puts the current configuration file in force
@@ -39,7 +40,7 @@
 	bodyTimeout   = 10 * time.Second
 	answerTimeout = 30 * time.Second // a command may wait for a half-written file and other commands
 
-	retryEvery = time.Second // between attempts to listen on an address in use
+	retryEvery = time.Second // between attempts to listen on an unavailable address
 )
 
 // EdgeNode is the edge node behind the API.
@@ -63,9 +64,9 @@
 	return &limitedListener{Listener: ln, slots: make(chan struct{}, maxConns)}, nil
 }
 
-// Open serves the API at addr in the background until ctx is done. If the address is
-// unavailable, Open retries until it can listen there, since the edge node must serve
-// its clients regardless.
+// Open serves the API at addr in the background until ctx is done. It listens before it
+// returns, if the address is available. Otherwise it retries in the background, since
+// the edge node must serve its clients regardless.
 func Open(ctx context.Context, addr netip.AddrPort, o EdgeNode) {
 	ln, err := Listen(addr)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -287,7 +287,7 @@
 	}
 }
 
-// offer writes a changed file, offers it and accepts it if it is valid.
+// offer writes a changed file, proposes it and accepts it if it is valid.
 func (b *testHistory) offer(from, to string) error {
 	b.t.Helper()
 	b.write(strings.Replace(testFile, from, to, 1))
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -48,7 +48,7 @@
 	Duties       []string       // leases to request, each held by one edge node at a time
 	Settings     policy.Settings
 
-	DialTimeout time.Duration // limit for connecting to a server
+	DialTimeout time.Duration // a server that hasn't accepted by then counts as unreachable
 	ConnIdle    time.Duration // servers close connections that are idle for longer
 	DrainGrace  time.Duration // how long a draining server may still get requests
 
@@ -341,7 +341,8 @@
 	}
 }
 
-// checkSettings checks the ranges of the settings.
+// checkSettings rejects settings that no edge node could work with: values out of range, and
+// empty or duplicate names.
 func (p *parser) checkSettings(s *policy.Settings) {
 	p.require(s.Resolution > 0, "settings.tick_ms", "not above 0")
 	p.require(s.Gateways >= 1 && s.Gateways <= maxEdgeNodes, "settings.balancers", "%d is not from 1 to %d",
--- a/internal/config/history.go
+++ b/internal/config/history.go
@@ -92,7 +92,8 @@
 // Resume returns a history that continues from the generations in force before a
 // restart. If the loaded file is invalid, the stored generation stays in force: a
 // crash must not turn a rejected change into an outage. It also stays if an operator
-// had rolled back from the loaded file. The notes are for the log.
+// had rolled back from the loaded file. The notes say for
+// the log what Resume decided.
 func Resume(l Loaded, current, previous StoredGeneration, rolledBack string,
 	now time.Time) (h *History, notes []string, err error) {
 	src, f, raw, err := l.src, l.File, l.raw, l.Err
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -46,7 +46,7 @@
 
 	maxVoters = 5 // tolerates the loss of two
 
-	digestBytes = 4 // bytes
+	digestBytes = 4 // of a Digest in a message
 )
 
 // Voters selects the edge nodes that vote on a duty: an odd number of n, by rendezvous
@@ -90,9 +90,9 @@
 // Message is a message between candidates and voters. Its encoding has a fixed length.
 type Message struct {
 	Kind   Kind
-	Duty   uint32 // Digest of the duty's name
+	Duty   uint32 // the Digest of the duty's name
 	Ballot uint64 // of the round
-	Holder uint16 // in a Promise: holder of the current grant; otherwise the sender
+	Holder uint16 // in a Promise: holder of the current grant; in a Reject: unused; otherwise the sender
 	Held   uint64 // in a Promise: ballot of the current grant, or 0; in a Reject: the higher ballot
 }
 
@@ -145,7 +145,7 @@
 	// State as a voter.
 	started     time.Duration // start by the local clock
 	startWallMS uint64        // start by the wall clock, in milliseconds
-	activeAt    time.Duration // end of the first term: grants from before a restart have expired by then
+	activeAt    time.Duration // no votes before: grants from before a restart have expired by then
 	promised    uint64        // highest promised ballot
 	grantBallot uint64        // ballot of the current grant; 0: none
 	grantHolder int           // of the current grant
@@ -226,10 +226,12 @@
 	return d.out, max(next, now+time.Millisecond)
 }
 
-// startRound starts a round, unless the grant of this voter belongs to another edge node.
+// startRound starts a round, unless this edge node holds no lease and has, as a voter,
+// granted the duty to another edge node.
 func (d *Duty) startRound(now time.Duration) {
 	if d.token == 0 && d.Holder(now) >= 0 && d.grantHolder != d.me {
-		d.nextRound = d.grantEnd + d.jitter(minBackoff) // the duty can't be free before that
+		// The duty isn't free before grantEnd, unless the holder releases it.
+		d.nextRound = d.grantEnd + d.jitter(minBackoff)
 		return
 	}
 	d.maxBallot = max(d.maxBallot>>16+1, d.startWallMS+uint64((now-d.started).Milliseconds()))<<16 |
@@ -299,7 +301,7 @@
 	}
 	switch {
 	case m.Kind == Release:
-		d.promised = max(d.promised, m.Ballot+1) // an earlier request of the sender may still arrive
+		d.promised = max(d.promised, m.Ballot+1) // rejects late requests from before the Release
 		// The holder may have started another round since the grant, so its ballot may be higher.
 		if d.grantBallot != 0 && d.grantHolder == from && d.grantBallot <= m.Ballot {
 			d.grantBallot = 0
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -51,8 +51,8 @@
 	})
 }
 
-// Voters returns the same odd number of voters for each call and spreads duties over the
-// fleet.
+// Voters returns the same voters on each call, an odd number of distinct ones, and spreads
+// duties over the fleet.
 func TestVoters(t *testing.T) {
 	for n, want := range map[int]int{1: 1, 2: 1, 3: 3, 4: 3, 5: 5, 300: 5} {
 		if v := Voters("a", n); len(v) != want || !slices.Equal(v, Voters("a", n)) {
--- a/internal/roster/binary.go
+++ b/internal/roster/binary.go
@@ -53,7 +53,7 @@
 }
 
 // appendAddr appends an address after its length. The length takes one byte, except for
-// an IPv6 address with a very long zone.
+// an IPv6 address with a very long interface name.
 func appendAddr(b []byte, addr netip.AddrPort) []byte {
 	const oneByte = 1 << 7
 	length := len(b)
@@ -89,8 +89,9 @@
 	}
 }
 
-// encode returns false if the directory changed while its lock was released. With yielding
-// set, it releases the lock from time to time.
+// encode returns false if it must run again because the directory was updated while its
+// lock was released. With yielding set, it releases the lock from time to time. It leaves
+// e unchanged and returns true if parts of a list are still to come.
 func (d *Directory) encode(e *Encoded, yielding bool) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/roster/decode.go
+++ b/internal/roster/decode.go
@@ -20,8 +20,8 @@
 
 const (
 	// Limits of a list's JSON text.
-	memoryDivisor  = 6         // the memory limit is divided by this
-	minBytes       = 4 << 20   // for any memory limit
+	memoryDivisor  = 6         // a list's text may take a sixth of the memory limit
+	minBytes       = 4 << 20   // the lower bound for any memory limit
 	defaultBytes   = 32 << 20  // without a memory limit
 	unlimitedBytes = 1<<63 - 1 // no limit
 	bytesPerLine   = 160       // typical size of a line, to derive the limit of lines
@@ -115,7 +115,7 @@
 	return &d.list, nil
 }
 
-// noEarlyEOF replaces an early io.EOF, which callers would take for the normal end.
+// noEarlyEOF replaces an early io.EOF, since callers treat io.EOF as the normal end.
 func noEarlyEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return fmt.Errorf("the list is truncated: %v", err)
@@ -191,7 +191,7 @@
 	}
 }
 
-// lines decodes the array of lines. null stands for an empty array.
+// lines decodes the array of lines. A null is an empty array.
 func (d *decoder) lines() error {
 	if d.hasLines {
 		return errors.New("duplicate field")
--- a/internal/roster/directory_test.go
+++ b/internal/roster/directory_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// BenchmarkDirectory measures operations on the directory of a large fleet.
+// BenchmarkDirectory measures how long operations occupy the directory of a large fleet.
 func BenchmarkDirectory(b *testing.B) {
 	const size, part = 56000, 256
 	d, e := NewDirectory(), Encoded{}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -130,8 +130,8 @@
 // PolicyState converts the state for package policy.
 func (t *Target) PolicyState() policy.State { return statesByName[t.State] }
 
-// Server converts a line for package policy. Its clock counts from the Unix epoch, so
-// the start time needs no offset.
+// Server converts a line for package policy. The event loop's clock counts from the Unix
+// epoch, so the start time needs no offset.
 func (t *Target) Server() policy.Server {
 	return policy.Server{ID: ID(t.UID), Zone: wire.EscapeWord(t.Zone), Cell: t.Cell,
 		State: statesByName[t.State], HasStart: t.BootMS > 0,
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -34,7 +34,7 @@
 	Taken            Moment
 	Clean            bool // the edge node admitted no request after the snapshot was taken
 	List             *roster.List
-	EncodedList      func() []byte // used instead of List: returns its binary format, or nothing
+	EncodedList      func() []byte // replaces List: called when the state is written; empty: no list
 	Current          Generation
 	Previous         Generation // zero: none
 	RolledBackDigest string     // digest of the configuration that was rolled back from
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -15,13 +15,13 @@
 	Read(name string) ([]byte, error) // fs.ErrNotExist if there is no such file
 	Create(name string) (File, error) // truncates an existing file
 	Rename(from, to string) error     // replaces an existing file
-	Sync() error                      // makes earlier renames durable
+	Sync() error                      // makes earlier renames durable; before, a crash may undo them
 }
 
 // File is a file that is being written.
 type File interface {
 	io.WriteCloser
-	Sync() error // makes earlier writes durable
+	Sync() error // makes earlier writes durable; before, a crash may cut them off anywhere
 }
 
 // tempFile is the file that a snapshot is written to before it is renamed to its slot.
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -51,7 +51,7 @@
 }
 
 // WaitFirst waits until the first write has ended or ctx is done. It reports whether a
-// snapshot was written.
+// snapshot was written, which a start finds from then on.
 func (w *Writer) WaitFirst(ctx context.Context) bool {
 	select {
 	case <-w.firstDone:
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
 // Package wire implements the simulator's line protocol. It decodes lines into the
-// events of package policy and encodes actions as lines.
+// events of package policy and encodes actions as lines. It makes no decisions.
 package wire
 
 import (
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -63,7 +63,7 @@
 	return append(b, '\n')
 }
 
-// AppendCrash appends a line that reports a panic of an instance.
+// AppendCrash appends a line that reports a panic of an instance and its reason.
 func AppendCrash(b []byte, node, reason string) []byte {
 	return append(b, "CRASH "+node+" "+oneLine(reason)+"\n"...)
 }
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -36,14 +36,14 @@
 	return f, nil
 }
 
-// Settings converts the facts. The error joins all faults, each of which begins with its
-// key.
+// Settings converts the pairs to settings of package policy. The error joins all faults,
+// each of which begins with its key.
 func (f SettingPairs) Settings() (policy.Settings, error) { return parseSettings(f.pairs) }
 
 // Pairs returns the path=value pairs in sorted order.
 func (f SettingPairs) Pairs() []string { return slices.Sorted(slices.Values(f.pairs)) }
 
-// Duration returns a fact in milliseconds as a duration, or 0 if it is absent.
+// Duration returns the setting of a key, which is in milliseconds, or 0 if it is absent.
 func (f SettingPairs) Duration(key string) (time.Duration, error) {
 	for _, p := range f.pairs {
 		if v, ok := strings.CutPrefix(p, key+"="); ok {
