--- a/cmd/valverlab/main_test.go
+++ b/cmd/valverlab/main_test.go
@@ -20,8 +20,9 @@
 	return code, o.String(), w.String()
 }
 
-// The demo runs real edge nodes on loopback under load and yields a complete result as JSON,
-// stories and a report. A machine that is too slow for the load changes only the exit code.
+// TestDemo checks that the demo runs real edge nodes on loopback under load and yields a complete
+// result as JSON, stories and a report. A machine that is too slow for the load changes only the
+// exit code.
 func TestDemo(t *testing.T) {
 	program := filepath.Join(t.TempDir(), programName)
 	if out, err := exec.Command("go", "build", "-o", program,
@@ -52,8 +53,8 @@
 	}
 }
 
-// An edge node process that exits unexpectedly breaks a rule; the breach names the edge node
-// and the signal.
+// TestDemoReportsCrash checks that an edge node process that exits unexpectedly breaks a rule; the
+// breach names the edge node and the signal.
 func TestDemoReportsCrash(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, programName)
@@ -82,7 +83,8 @@
 	}
 }
 
-// A simulated run is repeatable, and explain and ledger account for all of its loss.
+// TestSimAndExplain checks that a simulated run is repeatable, and that explain and ledger
+// account for all of its loss.
 func TestSimAndExplain(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
 	args := []string{"sim", "--nodes", "45", "--servers", "20", "--for", "4s", "--seed", "3", "--fault",
@@ -157,8 +159,9 @@
 	}
 }
 
-// An experiment with a baseline and an adapter can be run, resumed after a truncated results
-// file, and compared with another. An adapter that crashes is reported with its stderr.
+// TestExperiment checks that an experiment with a baseline and an adapter can be run, resumed
+// after a truncated results file, and compared with another. An adapter that crashes is reported
+// with its stderr.
 func TestExperiment(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "adapter"),
@@ -235,8 +238,8 @@
 	}
 }
 
-// When the results file can't grow, the command fails with the system's error. Resuming the
-// run keeps the lines that were written in full.
+// TestNoRoomForResults checks that the command fails with the system's error when the results
+// file can't grow, and that resuming the run keeps the lines that were written in full.
 func TestNoRoomForResults(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "valverlab")
@@ -269,7 +272,8 @@
 	}
 }
 
-// Invalid input is rejected with an error that names the flag or the file at fault.
+// TestInvalidInput checks that invalid input is rejected with an error that names the flag or the
+// file at fault.
 func TestInvalidInput(t *testing.T) {
 	for _, c := range []struct {
 		args []string
--- a/cmd/valverlab/scale_test.go
+++ b/cmd/valverlab/scale_test.go
@@ -12,8 +12,8 @@
 	"valvering.example/valvering/internal/lab/scale"
 )
 
-// A run with real and hollow edge nodes prints a complete result as JSON and writes a page.
-// A machine that is too slow to sustain the load changes only the exit code.
+// TestScale checks that a run with real and hollow edge nodes prints a complete result as JSON and
+// writes a page. A machine that is too slow to sustain the load changes only the exit code.
 func TestScale(t *testing.T) {
 	program := filepath.Join(t.TempDir(), programName)
 	if out, err := exec.Command("go", "build", "-o", program,
@@ -55,7 +55,7 @@
 	}
 }
 
-// An invalid flag value is rejected with one line that names the flag.
+// TestScaleFlags checks that an invalid flag value is rejected with one line that names the flag.
 func TestScaleFlags(t *testing.T) {
 	for _, args := range [][]string{
 		{"--nodes", "0"}, {"--servers", "-3"}, {"--tenants", "0"}, {"--rate", "0"}, {"--rate", "NaN"},
--- a/cmd/valverlab/sweep_test.go
+++ b/cmd/valverlab/sweep_test.go
@@ -8,8 +8,8 @@
 	"valvering.example/valvering/internal/lab/sweep"
 )
 
-// A sweep prints the series of the requested quantity as one JSON object or as a table. An
-// invalid flag is rejected with an error that names it.
+// TestSweep checks that a sweep prints the series of the requested quantity as one JSON object or
+// as a table. An invalid flag is rejected with an error that names it.
 func TestSweep(t *testing.T) {
 	code, out, warn := runCLI("sweep", "--small", "--repetitions", "1", "--what", "rate", "--json")
 	var r sweep.Result
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// Each error in a file names the line and the field at fault.
+// TestFaultsNameLineAndField checks that each error in a file names the line and the field at
+// fault.
 func TestFaultsNameLineAndField(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`loss = 0.02`, `loss = 1.02`, "line 9: world.net.loss: 1.02 is not from 0 to 1"},
--- a/internal/lab/explain/explain.go
+++ b/internal/lab/explain/explain.go
@@ -140,8 +140,8 @@
 	Lost float64 `json:"lost"`
 }
 
-// Worst groups the lost value by cause and retains the most expensive requests of each
-// group. The losses of the groups sum to the total loss.
+// Worst groups the lost value by cause and retains the requests with the greatest loss of
+// each group. The losses of the groups sum to the total loss.
 type Worst struct {
 	MaxExamples int // maximum number of examples of a group
 	groups      map[string]*Group
--- a/internal/lab/lending/lending.go
+++ b/internal/lab/lending/lending.go
@@ -21,8 +21,10 @@
 	Work      float64       // core-seconds
 	Until     time.Duration // its client stops waiting at this time
 	Abandoned bool          // nobody waits for the result any longer
-	Done      func(End)     // called once; for jobs that Clear returns, by the caller of Clear
-	doneAt    float64       // value of Processor.workPerJob at which the job is complete
+	// Done is called once, by the caller of Clear for the jobs that Clear returns. A job that was abandoned
+	// in the queue, or before Clear, ends without the call.
+	Done   func(End)
+	doneAt float64 // value of Processor.workPerJob at which the job is complete
 }
 
 // End is the way in which a job ended.
@@ -209,8 +211,8 @@
 }
 
 // RecordAttempt records an attempt. overloaded is true if the attempt overloads the server, which then
-// crashes, and sendersKnew if in that case two thirds of the load came from edge nodes that knew of its
-// start.
+// crashes. sendersKnew is true if in addition at least two thirds of the recent load came from edge nodes
+// that knew of its start.
 func (c *OverloadCheck) RecordAttempt(p *Processor, work float64, knewStart bool) (overloaded,
 	sendersKnew bool) {
 	now := p.clock.Now()
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -12,8 +12,8 @@
 	"valvering.example/valvering/internal/roster"
 )
 
-// agent stands in for the discovery agent on an edge node's machine. It serves the
-// server list that it has received and supports long polling.
+// agent emulates the discovery agent on an edge node's machine. It serves the server list
+// that it has received and supports long polling.
 type agent struct {
 	fleet            *fleet
 	node             *node
@@ -54,8 +54,8 @@
 
 func (a *agent) close() { a.srv.Close() }
 
-// sendUpdate delivers the current state of a server to the agent, in order and after the
-// delay of discovery; the first state arrives at once. The fleet's lock is held.
+// sendUpdate delivers the current state of a server to the agent: at once if immediate is
+// true, otherwise in order and after the delay of discovery. The fleet's lock is held.
 func (a *agent) sendUpdate(l *server, immediate bool) {
 	a.lastSequence++
 	e := entry{Target: l.target(a.node.index), server: l, start: l.processor.Start, sequence: a.lastSequence}
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -164,7 +164,7 @@
 	n.mu.Lock()
 	running, incarnation := n.running, n.incarnation
 	if running {
-		n.running = false // connections that break from now on are blamed on the crash
+		n.running = false // connections that break from now on count as broken by the crash
 		_ = n.cmd.Process.Kill()
 	}
 	n.mu.Unlock()
--- a/internal/lab/live/rude_test.go
+++ b/internal/lab/live/rude_test.go
@@ -10,8 +10,9 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// A misbehaving client must get an error response or a close. The check counts an edge node
-// that does neither as ignoring the client, and one that serves it as breaking a rule.
+// TestMalformedInputMustGetErrorOrClose checks that an edge node that answers malformed input
+// with neither an error nor a close counts as ignoring the client, that one that serves it also
+// breaks a rule, and that one that refuses or closes passes.
 func TestMalformedInputMustGetErrorOrClose(t *testing.T) {
 	for _, c := range []struct {
 		name            string
--- a/internal/lab/live/server.go
+++ b/internal/lab/live/server.go
@@ -497,8 +497,8 @@
 	return k.reply(http.StatusOK, nil, responseBody(t.id))
 }
 
-// crash emulates the death of the server's process: all work is aborted and all
-// connections are reset.
+// crash emulates the end of the server's process: all work is aborted and all connections
+// are reset.
 func (l *server) crash() {
 	f := l.fleet
 	f.mu.Lock()
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -59,7 +59,7 @@
 }
 
 // Rows returns the arms of all cells. Arms are in the order of the experiment's file,
-// independent of the order in which the runs were played.
+// independent of the order in which the runs were completed.
 func Rows(f *store.Folder) ([]Row, error) {
 	type arm struct {
 		cell
@@ -214,7 +214,7 @@
 // maxTimelines is the maximum number of runs drawn second by second.
 const maxTimelines = 6
 
-// timelineCharts returns charts of the seconds of a run: the last run of each arm.
+// timelineCharts returns charts over the seconds of the last run of each arm.
 func timelineCharts(lines []store.Line) (list []chart) {
 	shown := 0
 	seen := map[string]bool{}
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -24,7 +24,7 @@
 }
 
 const (
-	idleConnections  = 512              // idle connections kept to one edge node
+	idleConnections  = 512              // per edge node
 	lossTimeout      = 2 * time.Second  // a request without a response this long after its deadline is lost
 	maxResponseBytes = 64 << 10         // bytes
 	drainTimeout     = 10 * time.Second // for requests that are in flight when the load ends
--- a/internal/lab/scale/clients_test.go
+++ b/internal/lab/scale/clients_test.go
@@ -11,8 +11,8 @@
 	"valvering.example/valvering/internal/lab/world"
 )
 
-// A client derives the outcome of a request from the response, and the statistics keep the error of
-// the first lost request.
+// TestRequestOutcomes checks that a client derives the outcome of a request from the response, and
+// that the statistics keep the error of the first lost request.
 func TestRequestOutcomes(t *testing.T) {
 	c := smallConfig()
 	f := &fleet{Config: c, world: plannedWorld(&c), realLoad: newLoadStats()}
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -11,8 +11,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// The stub serves the whole list and its changes, and a watch shows which version its edge node has
-// applied.
+// TestDiscovery checks that the stub serves the whole list and its changes, and that a watch
+// shows which version its edge node has applied.
 func TestDiscovery(t *testing.T) {
 	c := &Config{Servers: 100}
 	d := newDiscovery(drawList(c, nil), newAppliedVersions())
@@ -81,8 +81,8 @@
 	}
 }
 
-// An edge node that has applied a version has applied all earlier ones, and the first report of a
-// version counts.
+// TestAppliedVersions checks that an edge node that has applied a version has applied all earlier
+// ones, and that the first report of a version counts.
 func TestAppliedVersions(t *testing.T) {
 	applied, now := newAppliedVersions(), time.Now()
 	applied.start(2, now)
@@ -98,7 +98,7 @@
 	}
 }
 
-// A list with an unusable line is an error, since the stub makes none.
+// TestDecodeList checks that a list with an unusable line is an error, since the stub makes none.
 func TestDecodeList(t *testing.T) {
 	if _, err := decodeList([]byte(`{"rev":1,"all":true,"targets":[{"uid":"s-00000001","endpoint":"127.0.0.1:1","az":"a","state":"SERVING"},{"uid":""}]}`)); !errors.Is(err, errBadLines) {
 		t.Error(err)
@@ -108,7 +108,7 @@
 	}
 }
 
-// Equal responses are decoded once.
+// TestDecoderSharesLists checks that equal responses are decoded once.
 func TestDecoderSharesLists(t *testing.T) {
 	var d decoder
 	body := []byte(`{"rev":1,"all":true,"targets":[{"uid":"s-00000001","endpoint":"127.0.0.1:1","az":"a","state":"SERVING"}]}`)
@@ -128,7 +128,8 @@
 	}
 }
 
-// All servers have distinct names, and each zone has its share of them.
+// TestDrawList checks that all servers have distinct names, and that each zone has its share of
+// them.
 func TestDrawList(t *testing.T) {
 	l := drawList(&Config{Servers: 56_000}, []string{"127.0.0.1:1"})
 	ids, perZone := map[policy.ServerID]bool{}, map[string]int{}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -377,7 +377,7 @@
 	return z
 }
 
-// measureDatagramFlood sends many copies of a datagram from the load to the real edge nodes.
+// measureDatagramFlood sends many copies of a captured failure observation to the real edge nodes.
 func (f *fleet) measureDatagramFlood(ctx context.Context) error {
 	captured := f.network.sample.Load()
 	if captured == nil || f.Real == 0 || f.existing() < 2 {
--- a/internal/lab/scale/lending.go
+++ b/internal/lab/scale/lending.go
@@ -25,7 +25,7 @@
 	return time.Duration(float64(mean) * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2))
 }
 
-// stubServers stand in for all servers of the real edge nodes.
+// stubServers emulates all servers of the real edge nodes.
 type stubServers struct {
 	model        latencyModel
 	servers      []*http.Server
--- a/internal/lab/scale/memory.go
+++ b/internal/lab/scale/memory.go
@@ -13,7 +13,7 @@
 )
 
 // Estimates in bytes of the memory that is not measured before the run. The estimates for a real
-// edge node are higher than the observed memory of its process.
+// edge node are higher than the memory that its process holds.
 const (
 	labBase       = 64 << 20
 	labPerServer  = 3 << 10 // lines, their encoded form, and the decoding of a whole list
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -32,7 +32,7 @@
 	oversized   atomic.Int64 // datagrams over maxDatagramBytes
 }
 
-// sample is a datagram of the load, kept for the flood.
+// sample is the first failure observation that the network carried, stored for the flood.
 type sample struct{ data []byte }
 
 // newNetwork opens all sockets except those of the real edge nodes.
--- a/internal/lab/scale/network_test.go
+++ b/internal/lab/scale/network_test.go
@@ -9,8 +9,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// Datagrams are counted by sender, receiver and kind on every path: between hollow and real edge
-// nodes, to all, and to edge nodes that don't exist.
+// TestDatagramsAreCounted checks that datagrams are counted by sender, receiver and kind on every
+// path: between hollow and real edge nodes, to all, and to edge nodes that don't exist.
 func TestDatagramsAreCounted(t *testing.T) {
 	c := &Config{Nodes: 10, Real: 2, Hollow: 2}
 	const hollow, real, otherReal = 0, 1, 2
@@ -83,14 +83,15 @@
 	}
 }
 
-// The names of the kinds match the encoding of package policy.
+// TestKinds checks that the names of the kinds match the encoding of package policy.
 func TestKinds(t *testing.T) {
 	for _, data := range [][]byte{nil, {1}, {shortVersion}, {2, 0, 0}, {shortVersion, 200}} {
 		if kindOf(data) != kindOther {
 			t.Errorf("%v: kind %s, want the last kind", data, kindNames[kindOf(data)])
 		}
 	}
-	// Fields of an ask: customer, first, spread, plan, class, units, left, tag, thin, fill, repeat.
+	// Fields of an ask: customer, first, spread, plan, class, units, remaining
+	// milliseconds, tag, ask chance, token fill, client retry.
 	ask := append([]byte{shortVersion, 0}, make([]byte, 8+2+2+1+1+2+2+4+1+1+1)...)
 	if _, is := policy.ReadAsk(ask); !is || kindNames[kindOf(ask)] != "ask" {
 		t.Errorf("ask: %v, %s", is, kindNames[kindOf(ask)])
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -96,7 +96,7 @@
 	Asked       int    `json:"asked"`
 	Late        int    `json:"late"`         // made over 50 ms after their scheduled time
 	HandledLate int    `json:"handled_late"` // waited over 50 ms for the loop of a hollow edge node
-	Starved     int    `json:"starved"`      // waited over 50 ms of that for the machine
+	Starved     int    `json:"starved"`      // over 50 ms of this wait were due to the machine
 	Served      int    `json:"served"`
 	Refused     int    `json:"refused"`
 	Failed      int    `json:"failed"`
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -15,8 +15,8 @@
 	return Config{Nodes: 600, Servers: 540, Tenants: 30_000, Rate: 40, Hollow: 6, For: time.Second, Seed: 1}
 }
 
-// A run goes through all phases. Only counts are checked, so the result does not depend on the
-// machine's speed.
+// TestRunSmall checks that a run goes through all phases. Only counts are checked, so the result
+// does not depend on the machine's speed.
 func TestRunSmall(t *testing.T) {
 	c := smallConfig()
 	r, err := Run(t.Context(), c)
@@ -67,7 +67,7 @@
 	}
 }
 
-// A run that is interrupted returns what was measured until then.
+// TestRunInterrupted checks that a run that is interrupted returns what was measured until then.
 func TestRunInterrupted(t *testing.T) {
 	for _, test := range []struct {
 		at          Phase
@@ -95,7 +95,7 @@
 	}
 }
 
-// An invalid configuration is refused with the name of the flag.
+// TestCheck checks that an invalid configuration is refused with the name of the flag.
 func TestCheck(t *testing.T) {
 	for _, test := range []struct {
 		field string
@@ -128,8 +128,8 @@
 	}
 }
 
-// A run that needs over half of the machine's memory is refused with the number of edge nodes that
-// fit.
+// TestMemoryIsBounded checks that a run that needs over half of the machine's memory is refused
+// with the number of edge nodes that fit.
 func TestMemoryIsBounded(t *testing.T) {
 	machine, err := machineMemory()
 	if err != nil {
@@ -150,7 +150,8 @@
 	}
 }
 
-// Requests that were made or handled late and edge nodes that were not ready make a run invalid.
+// TestInvalidRun checks that requests that were made or handled late and edge nodes that were not
+// ready make a run invalid.
 func TestInvalidRun(t *testing.T) {
 	f := &fleet{Config: Config{Real: 1, Hollow: 1}}
 	valid := func() *Result {
@@ -181,7 +182,8 @@
 	}
 }
 
-// The sets of all tenants lie among the existing edge nodes, and each of these has tenants.
+// TestTenantsLieAmongExisting checks that the sets of all tenants lie among the existing edge
+// nodes, and that each of these has tenants.
 func TestTenantsLieAmongExisting(t *testing.T) {
 	for _, hollow := range []int{1, 2, 7, 200} {
 		c := smallConfig()
@@ -201,7 +203,8 @@
 	}
 }
 
-// Only the wait of a request beyond the work of its own edge node is attributed to the machine.
+// TestWaitForMachineIsCounted checks that only the wait of a request beyond the work of its own
+// edge node is attributed to the machine.
 func TestWaitForMachineIsCounted(t *testing.T) {
 	b := newLoadStats()
 	b.addWait(lateThreshold, 0)
--- a/internal/lab/sim/client.go
+++ b/internal/lab/sim/client.go
@@ -111,8 +111,8 @@
 		Retry: req.tries > 1})
 }
 
-// expire handles the end of a client's wait. An attempt in flight times out. A request without an
-// answer at the end of the slack after the deadline counts as lost.
+// expire handles a try at its client's deadline. An attempt in flight times out. A try that has no answer
+// at the end of the allowed slack after the deadline breaks a rule and counts as lost.
 func (s *Sim) expire(t *try) {
 	n := t.node
 	if t.answered || n.incarnation != t.incarnation || !n.up {
--- a/internal/lab/sim/discovery.go
+++ b/internal/lab/sim/discovery.go
@@ -7,7 +7,8 @@
 	"valvering.example/valvering/policy"
 )
 
-// callTimeout is the timeout of a call for the list when discovery is overloaded.
+// callTimeout is how long a call for the list waits for an overloaded or unavailable discovery before it
+// fails.
 const callTimeout = time.Second
 
 // serverList returns the server list as discovery holds it.
@@ -37,7 +38,8 @@
 	}
 }
 
-// deliver runs do for an edge node's process after a random delay. Deliveries to a node keep their order.
+// deliver runs do for an edge node's process after a random delay, which starts at the end of an outage of
+// discovery. Deliveries to a node stay in order, and a process that has ended meanwhile gets none.
 func (s *Sim) deliver(n *node, do func()) {
 	at := max(s.now, s.discoveryDownUntil) + exponential(s.netRand, s.world.Disc.Late.D()+s.discoveryDelay)
 	n.lastDelivery = max(n.lastDelivery, at)
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -47,7 +47,7 @@
 		inc := srv.incarnation
 		// The handshake costs a round trip and work.
 		s.after(roundTrip+s.world.Server.Handshake.D(), func() {
-			if srv.incarnation != inc || !n.up { // the server or the edge node died meanwhile
+			if srv.incarnation != inc || !n.up { // either process has ended meanwhile
 				s.endAttempt(a, policy.ConnectFailed, false)
 				return
 			}
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -72,7 +72,7 @@
 	})
 }
 
-// Times of an edge node's process, as measured on the real program.
+// Times of an edge node's process, the same as those of the real program.
 const (
 	readyDelay          = 20 * time.Millisecond // from the start until the node gets requests
 	restartDelay        = 100 * time.Millisecond
@@ -242,8 +242,8 @@
 	n.openTries, n.idleConns = nil, nil
 }
 
-// crash kills the process and starts another after the time down. The front-end load balancer notices the
-// crash after a delay.
+// crash kills the process and starts another one after the duration down. The front-end load balancer
+// notices the crash after a delay.
 func (n *node) crash(down time.Duration) {
 	if !n.up {
 		return
--- a/internal/lab/sim/server.go
+++ b/internal/lab/sim/server.go
@@ -37,7 +37,7 @@
 // After calls do after d.
 func (s *Sim) After(d time.Duration, do func()) { s.after(d, do) }
 
-// attempt is one attempt of a try at a server.
+// attempt is one transmission of a try to a server.
 type attempt struct {
 	try          *try
 	number       int
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -117,7 +117,7 @@
 			w.Plans[0].Parallel = 4
 			w.SetRate(400)
 			w.Load.Customers, w.Load.Spread = 2, 2 // without a cap each has about eight in flight
-			w.Rules.Beyond = 0.5                   // by design a few exceed a small cap: reports carry means
+			w.Rules.Beyond = 0.5                   // reports carry means, so a small cap may be exceeded
 			return w
 		}(), func(me int, w *world.World, seed uint64, truth *sim.Truth) (sim.Decider, error) {
 			s, err := w.Settings(me)
@@ -287,7 +287,7 @@
 }
 
 // TestBaselinesBracketTheModule checks that the module and the oracle beat the baseline that admits every
-// request, and that a zone cut costs the module something.
+// request, and that a zone cut lowers the value that the module earns.
 func TestBaselinesBracketTheModule(t *testing.T) {
 	scores := map[string]float64{}
 	for _, name := range append([]string{"module"}, baseline.Names...) {
--- a/internal/lab/sweep/pair.go
+++ b/internal/lab/sweep/pair.go
@@ -156,7 +156,7 @@
 	return events
 }
 
-// batches runs batches until minTotalTime or maxBatches is reached.
+// batches runs batches until the member has used minTotalTime or maxBatches is reached.
 func (p *pair) batches(plan string, n int) (*batchCost, error) {
 	cost := &batchCost{}
 	for i := 0; i < maxBatches &&
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -30,8 +30,8 @@
 	return r
 }
 
-// Each measure has a value for each repetition at each size, and all measures used by the capacity
-// page exist.
+// TestAllMeasures checks that each measure has a value for each repetition at each size, and
+// that all measures used by the capacity page exist.
 func TestAllMeasures(t *testing.T) {
 	r := runSmall(t, Quantities...)
 	want := map[Quantity][]string{
@@ -74,7 +74,8 @@
 	}
 }
 
-// Counts in simulated time are reproducible, and the kinds add up to the total.
+// TestDatagramsAreCounted checks that counts in simulated time are reproducible, and that the kinds
+// add up to the total.
 func TestDatagramsAreCounted(t *testing.T) {
 	a, b := runSmall(t, Rate), runSmall(t, Rate)
 	for _, s := range a.Series {
@@ -108,7 +109,8 @@
 	}
 }
 
-// During a partition each tenant gets at most twice its quota: at its root and at its deputy.
+// TestCutGrantsTwiceAtMost checks that during a partition each tenant gets at most twice its
+// quota: at its root and at its deputy.
 func TestCutGrantsTwiceAtMost(t *testing.T) {
 	r := runSmall(t, Cut)
 	for _, h := range partitions {
@@ -125,8 +127,8 @@
 	}
 }
 
-// After a root has crashed, some requests of its tenants wait for its deputy. Without a crash none
-// does.
+// TestCrashedRootDelaysItsTenants checks that after a root has crashed, some requests of its
+// tenants wait for its deputy. Without a crash none does.
 func TestCrashedRootDelaysItsTenants(t *testing.T) {
 	list, err := measureRootCrash(300, 1)
 	if err != nil {
@@ -140,7 +142,8 @@
 	}
 }
 
-// An interrupted run is marked as partial and measures nothing after the interruption.
+// TestInterruptedSweepIsPartial checks that an interrupted run is marked as partial and measures
+// nothing after the interruption.
 func TestInterruptedSweepIsPartial(t *testing.T) {
 	ctx, end := context.WithCancel(context.Background())
 	end()
@@ -188,7 +191,8 @@
 	}
 }
 
-// The kinds match the encoding of package policy, which also reads the ask.
+// TestKindsMatchPolicy checks that the kinds match the encoding of package policy, which also
+// reads the ask.
 func TestKindsMatchPolicy(t *testing.T) {
 	names, err := tenantsOf(300, 1)
 	if err != nil {
@@ -207,7 +211,8 @@
 	}
 }
 
-// Write creates a directory with the result, its tables and a plot for each measure.
+// TestWrite checks that Write creates a directory with the result, its tables and a plot for each
+// measure.
 func TestWrite(t *testing.T) {
 	r, dir := runSmall(t, Rate), filepath.Join(t.TempDir(), "new")
 	if err := r.Write(dir); err != nil {
--- a/internal/lab/tally/book.go
+++ b/internal/lab/tally/book.go
@@ -26,7 +26,7 @@
 	Served  How = iota
 	Late        // served after its aim
 	Refused     // its last answer said that trying again is harmless
-	Failed      // it got another error, or no answer in time
+	Failed      // it got an error other than a refusal, or no answer in time
 	Lost        // an edge node accepted it and gave no final answer
 )
 
@@ -46,7 +46,7 @@
 	BeyondQuota bool // it was sent to a server beyond quota or cap
 	Tries       int
 	Sends       int
-	HeldBack    bool // it ended unserved after half of its time without any attempt
+	HeldBack    bool // refused or failed after over half of its time without any attempt
 }
 
 // Range and precision of the latency histograms: microseconds, up to two minutes, three significant digits.
@@ -89,7 +89,7 @@
 	Refused  int     `json:"refused"`
 	Failed   int     `json:"failed"`
 	Lost     int     `json:"lost"`
-	Asked    float64 `json:"asked"`  // value of the requests within quota
+	Asked    float64 `json:"asked"`  // value that could be earned; reduced beyond quota
 	Earned   float64 `json:"earned"` // value earned
 	Share    float64 `json:"share"`  // Earned / Asked, at most 1
 	P50      float64 `json:"p50_ms"`
@@ -352,7 +352,7 @@
 	return r
 }
 
-// worstWindow returns the lowest share earned over worstSpan consecutive seconds.
+// worstWindow returns the lowest share earned over worstWindowSeconds consecutive seconds.
 func (b *Book) worstWindow() float64 {
 	list := b.windows[min(len(b.windows), int(b.w.Warm.D()/time.Second)):]
 	lowest := 1.0
--- a/internal/lab/tally/quota.go
+++ b/internal/lab/tally/quota.go
@@ -28,8 +28,8 @@
 	return &Account{Plan: p, tokens: p.Store, ceilingTokens: p.HardSize, at: now, ideal: ideal{p.Store, now}}
 }
 
-// Fits reports whether a request that arrives now lies within the quota of the ideal policy, and charges
-// it.
+// Fits reports whether a request that arrives now lies within the quota of the ideal policy. If so, it
+// charges the request to this quota.
 func (a *Account) Fits(units float64, now time.Duration) bool {
 	if a.Plan.Rate == 0 {
 		return true // a plan with a cap alone: the request may wait
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -64,7 +64,7 @@
 	Trace     string   `toml:"trace" json:"trace"`   // file of arrival times in seconds, one per line
 	Customers int      `toml:"customers" json:"customers"`
 	Spread    int      `toml:"spread" json:"spread"` // mean number of edge nodes in a customer's set
-	Skew      float64  `toml:"skew" json:"skew"`     // spread of customers' demand; 0: by plan alone
+	Skew      float64  `toml:"skew" json:"skew"`     // half the log-normal spread of demand; 0: by plan alone
 	Uneven    float64  `toml:"uneven" json:"uneven"` // log-normal spread of edge nodes' shares of the traffic
 	Units     int      `toml:"units" json:"units"`   // maximum units of one request
 }
@@ -150,7 +150,7 @@
 	Fall      float64  `toml:"fall" json:"fall"`   // a cold server crashes at this multiple of its capacity
 	FallFor   Duration `toml:"fall_for" json:"fall_for"`
 	Retry     Duration `toml:"retry" json:"retry"`   // maximum Retry-After that clients observe
-	Beyond    float64  `toml:"beyond" json:"beyond"` // maximum share of first sends beyond quota or cap
+	Beyond    float64  `toml:"beyond" json:"beyond"` // maximum share of first attempts beyond quota or cap
 	Tolerance float64  `toml:"tolerance" json:"tolerance"`
 }
 
