--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -18,7 +18,7 @@
 //	all     admits all requests, to servers drawn at random
 //	even    gives each edge node of a customer an equal part of its quota and cap
 //	two     admits all requests, to the less busy of two random servers by its own count
-//	oracle  knows the exact state of each quota, and the load of servers a moment ago
+//	oracle  knows the exact state of each quota, and the load of servers when it chooses one
 var Names = []string{"all", "even", "two", "oracle"}
 
 // Maker returns the maker of the policy with a name, or nil for an unknown name.
--- a/internal/lab/sim/truth.go
+++ b/internal/lab/sim/truth.go
@@ -5,7 +5,8 @@
 // Truth gives access to the true state of a run, for ideal baselines that modules are compared with.
 type Truth struct{ sim *Sim }
 
-// Server returns the load of a server relative to its capacity, and whether it serves requests.
+// Server returns the load that a server would have with one more request, relative to its capacity and
+// raised by the rate of its errors and corrupt answers. serves is false if it serves no requests.
 func (t *Truth) Server(id policy.ServerID) (load float64, serves bool) {
 	v := t.sim.byID[id]
 	if v == nil || v.crashed || v.unresponsive || v.state != policy.Running {
