--- a/cmd/machine/machine_test.go
+++ b/cmd/machine/machine_test.go
@@ -40,7 +40,7 @@
 	discovery *httptest.Server
 	server    *httptest.Server
 	attempts  sync.Map // request id → attempts that reached the server
-	// notReady holds the last health check of each edge node.
+	// notReady is true for each edge node whose last health check failed.
 	notReady []atomic.Bool
 	cmd      *exec.Cmd
 	log      *testkit.Log
@@ -241,7 +241,7 @@
 	}
 }
 
-// sendRequests sends requests to edge node i over one connection until the load stops.
+// sendRequests sends requests to edge node i, one at a time, until the load stops.
 func (f *loadGenerator) sendRequests(i int) {
 	defer f.wg.Done()
 	var conn net.Conn
--- a/cmd/valvering/idle_clients_test.go
+++ b/cmd/valvering/idle_clients_test.go
@@ -69,8 +69,8 @@
 	s.t.Cleanup(s.discovery.Close)
 }
 
-// writeWithDrainGrace writes a configuration in which requests to a draining server must end
-// within ms milliseconds.
+// writeWithDrainGrace writes a configuration that allows sending requests to a draining server
+// for ms milliseconds.
 func (s *deployment) writeWithDrainGrace(ms string) {
 	s.t.Helper()
 	s.write(`{"name":"dasar"}`)
--- a/cmd/valvering/service_test.go
+++ b/cmd/valvering/service_test.go
@@ -39,7 +39,7 @@
 	revision       atomic.Int64
 	serverLines    atomic.Pointer[[]string] // discovery's list, one line a server
 	servers        []*testServer
-	lastID         atomic.Int64 // of request ids
+	lastID         atomic.Int64 // number in the last request id
 	extraFields    string       // further fields of the configuration
 	nodes          int          // edge nodes in the fleet
 	maxDescriptors int          // the program's descriptor limit; 0: the limit of the test process
@@ -300,7 +300,7 @@
 	wg   sync.WaitGroup
 
 	served    atomic.Int64
-	brokenOff atomic.Int64 // connections closed with a request open
+	brokenOff atomic.Int64 // connections that ended with a request open, as after a kill
 	kills     atomic.Int64 // kills of the process, also those about to happen
 	killing   atomic.Bool  // between a kill and the exit of the process
 	errs      chan string
@@ -425,8 +425,8 @@
 }
 
 // The real program serves through reloads, refused configurations, a rollback, a kill and
-// shutdowns: every request is answered, none reaches servers twice, and each restart
-// restores the configuration and the snapshot.
+// shutdowns: every request is answered, none with oncePrefix reaches servers twice, and each
+// restart restores the configuration and the snapshot.
 func TestService(t *testing.T) {
 	const dasar, madya, tiga = `{"name":"dasar"}`, `{"name":"dasar"},{"name":"madya"}`, `{"name":"tiga"},{"name":"dasar"}`
 	s := newDeployment(t)
@@ -553,7 +553,7 @@
 }
 
 // The process is killed repeatedly under load, at any step of a snapshot write: each start
-// finds a whole snapshot and serves, and no request reaches servers twice.
+// finds a whole snapshot and serves, and no request with oncePrefix reaches servers twice.
 func TestKillLoop(t *testing.T) {
 	s := newDeployment(t)
 	s.write(`{"name":"dasar"}`)
--- a/cmd/valvering/soak_clients_test.go
+++ b/cmd/valvering/soak_clients_test.go
@@ -224,7 +224,7 @@
 	return time.Second + o.tolerance()
 }
 
-// sendAndDisconnect sends a request and closes the connection before the answer.
+// sendAndDisconnect sends a request and closes the connection without reading an answer.
 func (c *soakClient) sendAndDisconnect() {
 	record, _, text := c.newRequest()
 	_, err := io.WriteString(c.conn, text)
--- a/cmd/valvering/start_test.go
+++ b/cmd/valvering/start_test.go
@@ -184,11 +184,12 @@
 	testkit.Eventually(s.t, "more turns of the event loop", func() bool { return checks() >= first+looks })
 }
 
-// The worst days of an edge node. Under load and at the descriptor limit, a zone falls silent
-// with its connections open, resets them all at once and returns cold under new ids. The
-// process is killed and restarted fifty times while discovery refuses calls and a fleet of 300
-// is configured. Signals arrive at any moment of a start. Every request is answered, none reaches
-// servers twice, each start serves, the event loop makes progress, and no resources are left over.
+// TestLiveness puts an edge node through a series of faults. Under load and at the descriptor
+// limit, a zone falls silent with its connections open, resets them all at once and returns cold
+// under new ids. The process is killed fifty times, and restarted at once each time, while
+// discovery refuses calls and a fleet of 300 is configured. Signals arrive at any moment of a
+// start. Every request is answered, none with oncePrefix reaches servers twice, each start serves,
+// the event loop makes progress, and no resources are left over.
 func TestLiveness(t *testing.T) {
 	const (
 		zoneServers = 4
--- a/internal/node/message_test.go
+++ b/internal/node/message_test.go
@@ -57,7 +57,7 @@
 	})
 }
 
-// The same for responses.
+// FuzzAnswer compares the parser of responses with the standard library's, as FuzzRequest does for requests.
 func FuzzAnswer(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhits",
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -559,7 +559,7 @@
 }
 
 // Clients that never complete their requests must not use up the descriptors: other clients can still
-// connect.
+// connect, and busy connections stay open.
 func TestClosesSlowRequestsAtLimit(t *testing.T) {
 	a := newTestServer(t, respondWith("200 OK", "", "hits"))
 	n := startNodeWithServers(t, a.addr())
@@ -629,7 +629,7 @@
 }
 
 // At SIGHUP the open watch ends at once, and the list is fetched from the new address. The address in the
-// file applies even if GW_DISCOVERY gave the old one. An unreadable file changes nothing and is read again.
+// file applies even if GW_DISCOVERY gave the old one. An invalid file changes nothing and is read again.
 func TestReload(t *testing.T) {
 	a, b := newTestServer(t, respondWith("200 OK", "", "a")), newTestServer(t, respondWith("200 OK", "", "b"))
 	older := newDiscoveryServer(t, servingTarget("s-00000001", a.addr()))
--- a/internal/node/overloaded_discovery_measure_test.go
+++ b/internal/node/overloaded_discovery_measure_test.go
@@ -15,8 +15,9 @@
 	firstMeasuredSeed = flag.Uint64("overbooked-first", 0, "the first of them")
 )
 
-// Measures how late edge nodes receive changes from a service that processes two calls at once and drops
-// all others, and how many calls they make. docs/MEASUREMENTS.md has the figures.
+// TestMeasureServiceThatSwallows measures how late edge nodes receive changes from a service that processes
+// two calls at once and drops all others, and how many calls they make. docs/MEASUREMENTS.md has the
+// figures.
 func TestMeasureServiceThatSwallows(t *testing.T) {
 	if *measuredSeeds == 0 {
 		t.Skip("a measurement: -overbooked-seeds")
--- a/internal/node/overloaded_discovery_test.go
+++ b/internal/node/overloaded_discovery_test.go
@@ -231,8 +231,8 @@
 	return s.busy > 0 || len(s.queued) > 0
 }
 
-// All edge nodes receive a change within maxChangeDelay after an outage, even if the service processes only
-// a few calls at once.
+// All edge nodes receive each change within maxChangeDelay of the moment that the service has it and can be
+// reached, even after an outage and though the service processes only a few calls at once.
 func TestOverloadedService(t *testing.T) {
 	workers := map[overloadBehavior]int{refuseCalls: 2, queueCalls: 2, dropCalls: 3}
 	for _, onOverload := range []overloadBehavior{refuseCalls, queueCalls, dropCalls} {
--- a/internal/node/pipelined_test.go
+++ b/internal/node/pipelined_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// A client that pipelines as many bytes and stays connected gets its response.
+// A client that pipelines more bytes than are read ahead, and stays connected, gets its response.
 func TestConnectedClientWithFullReadAhead(t *testing.T) {
 	a, release := newHeldServer(t)
 	n := startNodeWithServers(t, a.addr())
@@ -42,8 +42,8 @@
 	}
 }
 
-// A client pipelines more bytes than the kernel buffers, and disconnects. The end of the connection stays
-// behind those bytes, where it can't be detected, so the request is sent for a disconnected client.
+// A client pipelines more bytes than the kernel buffers, and disconnects. Its request must not be sent. The
+// edge node still sends it: the end of the connection stays behind those bytes, where it can't be detected.
 func TestClientLeavesBehindMoreThanTheSystemTakesIn(t *testing.T) {
 	const pipelinedBytes = 320 << 10 // the receive buffer is 128 KiB at first
 	if attempts, counts := disconnectDuringDial(t, bytes.Repeat([]byte("x"), pipelinedBytes)); attempts != 0 {
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -102,8 +102,8 @@
 func (disconnectedClient) disconnected() bool     { return true }
 func (disconnectedClient) disconnectHidden() bool { return false }
 
-// The loop checks for disconnects periodically. Between two checks only the check before the write detects
-// a disconnect.
+// The loop checks for disconnects periodically. Between two checks, and while a long queue of events delays
+// the loop, only the check before the write detects a disconnect.
 func TestClientDisconnectsBeforeWrite(t *testing.T) {
 	a := newTestServer(t, respondWith("200 OK", "", "hits"))
 	u := newTestUpstream(a.addr())
@@ -318,7 +318,7 @@
 }
 
 // A server recognizes a keyed retry until the end of the key's window. The retry must not start so late
-// that the network delay exceeds the window, and a blocked write is aborted before its last byte.
+// that it reaches the server after the window, and a blocked write is aborted before its last byte.
 func TestRetryStaysInItsWindow(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/random_test.go
+++ b/internal/node/random_test.go
@@ -47,7 +47,7 @@
 	mu       sync.Mutex
 	requests map[string]*requestRecord
 	drains   map[string][]drainPeriod
-	lag      time.Duration // scheduling delay of the machine, added to all limits
+	lag      time.Duration // delay caused by the machine, not the edge node; added to all limits
 }
 
 type drainPeriod struct{ from, to time.Time }
@@ -57,7 +57,7 @@
 	sentAt              time.Time // when the last byte was sent
 	disconnectedAt      time.Time // when the client closed its connection; zero: it did not
 	responses           int
-	wrongBody           bool // status 200 with the body of another request
+	wrongBody           bool // status 200 without the whole body that belongs to the request
 	unanswered          bool // closed without a response, on a new or reused connection
 	unansweredOnNewConn bool // closed without a response on a new connection, outside a shutdown
 	attempts            []arrival
@@ -118,7 +118,8 @@
 	return list
 }
 
-// The recorder detects each kind of violation.
+// The recorder detects each kind of violation in a schedule with that one alone, and none in a valid
+// schedule.
 func TestRecorderFindsViolations(t *testing.T) {
 	at := time.Unix(1000, 0)
 	after := func(d time.Duration) time.Time { return at.Add(d) }
@@ -157,9 +158,9 @@
 	}
 }
 
-// Runs the whole edge node through random schedules. Clients disconnect, pipeline data, send partial
-// requests or idle. Servers respond, truncate responses, stall, reset connections, reject requests, drain
-// and restart. Dials are slow, the configuration is reloaded, and the edge node shuts down.
+// TestRandomCrossings runs the whole edge node through random schedules. Clients disconnect, pipeline data,
+// send partial requests or idle. Servers respond, truncate responses, stall, reset connections, reject
+// requests, drain and restart. Dials are slow, the configuration is reloaded, and the edge node shuts down.
 func TestRandomCrossings(t *testing.T) {
 	for i := range *scheduleCount {
 		seed := *firstScheduleSeed + uint64(i)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -13,7 +13,7 @@
 	"valvering.example/valvering/internal/testkit"
 )
 
-// The steps of a shutdown.
+// A shutdown enters each phase, and takes each action, at the expected time.
 func TestShutdownSteps(t *testing.T) {
 	const ms = time.Millisecond
 	type step struct {
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -176,7 +176,7 @@
 	testkit.Eventually(t, "the connection closed", func() bool { return a.closedByNode.Load() == 1 })
 }
 
-// The same applies to an attempt that is cancelled.
+// The connection of a cancelled attempt must be closed before its end is reported, as after a timeout.
 func TestCancelClosesFirst(t *testing.T) {
 	a := newTestServer(t, neverRespond)
 	u := newTestUpstream(a.addr())
@@ -340,7 +340,7 @@
 }
 
 // An idle connection stays usable after the deadline of the previous attempt. Otherwise most requests would
-// need a new connection.
+// need a new connection, which costs the server work.
 func TestReusesAfterPreviousDeadline(t *testing.T) {
 	a := newTestServer(t, respondWith("200 OK", "", "hits"))
 	u := newTestUpstream(a.addr())
--- a/policy/cold_fleet_test.go
+++ b/policy/cold_fleet_test.go
@@ -55,8 +55,8 @@
 	coreFreeAt  []time.Duration // time at which each core is idle
 	arrivals    []time.Duration // arrivals within the last OverloadTime
 	queued      int
-	maxLoad     float64 // maximum of arrivals, relative to the number that the server handles
-	maxArrivals int     // maximum of arrivals
+	maxLoad     float64 // maximum of arrivals, relative to the limit with its tolerance
+	maxArrivals int     // maximum of arrivals, as a number
 
 	coldSends    []coldArrival // arrivals within the last OverloadTime, while it is cold
 	maxColdSends []coldArrival // the same when their number was at its maximum
@@ -205,7 +205,7 @@
 	return s.coreFreeAt[core]
 }
 
-// recordColdArrival compares a cold server's arrivals with the number that it handles. The tolerance for
+// recordColdArrival compares a cold server's arrivals with the load at which it fails. The tolerance for
 // chance is twice the square root of that number, and two more.
 func (f *burstFleet) recordColdArrival(s *queueServer, warmUp float64, from coldArrival) {
 	s.arrivals, s.coldSends = append(s.arrivals, f.now), append(s.coldSends, from)
@@ -220,7 +220,7 @@
 	}
 }
 
-// handledLoad returns how many requests a server handles within OverloadTime by the settings.
+// handledLoad returns the number of requests within OverloadTime at which a server fails by the settings.
 func (f *burstFleet) handledLoad(warmUp float64) float64 {
 	return f.set.OverloadMultiple * float64(f.cores) / meanServiceTime.Seconds() * warmUp *
 		f.set.OverloadTime.Seconds()
@@ -292,10 +292,10 @@
 // servers, with fleet sizes on both sides of the limit for reports from all to all.
 //
 // The failure occurred with 14, 20 and 30 gateways and servers of one core, which got up to 1.53 times
-// what they handle. In the worst OverloadTime each request came from another gateway ("21 requests, from
-// 21 gateways, at most 1 from one, at Outcome:16 Request:3 Timer:2"): each gateway was allowed one
-// request per OverloadTime, however small its share of what the server handles, and most used it, since
-// held requests choose a server again at each outcome and tick.
+// the limit that recordColdArrival sets. In the worst OverloadTime each request came from another gateway
+// ("21 requests, from 21 gateways, at most 1 from one, at Outcome:16 Request:3 Timer:2"): each gateway was
+// allowed one request per OverloadTime, however small its share of what the server handles, and most used
+// it, since held requests choose a server again at each outcome and tick.
 func TestColdServersHandleAllGateways(t *testing.T) {
 	for _, server := range []struct {
 		cores        int
@@ -329,7 +329,7 @@
 
 // Cold servers are not overloaded either with many more gateways, where each gateway uses a subset of
 // the servers, or where the requests are spread unevenly. The failure occurred with 300 gateways, which
-// sent a cold server up to 1.89 times what it handles.
+// sent a cold server up to 1.89 times that limit.
 func TestColdServersHandleManyGateways(t *testing.T) {
 	for _, c := range []struct {
 		gateways, servers, cores int
--- a/policy/disconnected_client_test.go
+++ b/policy/disconnected_client_test.go
@@ -6,7 +6,8 @@
 )
 
 // A root's answer may arrive after the client disconnected. It must start no attempt, whether the root
-// grants at once or holds the request first.
+// grants at once or holds the request first and grants later. The request must not be asked for again
+// either.
 func TestRootAnswersAfterClientDisconnected(t *testing.T) {
 	for _, c := range []struct {
 		name             string
--- a/policy/large_test.go
+++ b/policy/large_test.go
@@ -597,9 +597,9 @@
 	}
 }
 
-// In a small fleet, a peer's share of a cap and of a rate is free once it announces its shutdown. It sends
-// a last report before. A delayed report of the old process doesn't restore its share, and a report of its
-// next process does.
+// In a small fleet, a peer's share of a cap and of a rate is free once the peer announces its shutdown. A
+// delayed report of the old process doesn't restore the share, and a report of the peer's next process
+// does. A gateway that shuts down sends a last report, with its last units, before the announcement.
 func TestShutdownFreesPeerShare(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(8))
 	countSends := func() int {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -767,8 +767,8 @@
 	}
 }
 
-// A peer that never reported may only be cut off: this gateway admits its own share of the quota, not all
-// of it.
+// A peer that never reported may be serving requests though it is cut off. This gateway therefore admits
+// its own share of the quota, not all of it.
 func TestUnknownPeerKeepsItsShare(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(8))
 	w.countAdmitted(1, "rate")
@@ -833,8 +833,8 @@
 	}
 }
 
-// A customer's state is dropped once fresh counts would equal it. That requires a full token bucket: a
-// customer that owes units is kept.
+// A customer's state is dropped once fresh counts would equal it. That requires a full token bucket, so a
+// customer that owes units is kept, and that no peer has lately reported use of the bucket.
 func TestIdleCustomersAreForgotten(t *testing.T) {
 	w := newHarness(t, baseSettings(), testServers(2))
 	for i := range 50 {
@@ -843,7 +843,7 @@
 		w.now += 20 * ms
 	}
 	c := w.g.customers[customerKey("7")]
-	c.tokens = -500 // by actual units; takes long to refill
+	c.tokens = -500 // charged for actual units; takes long to refill
 	w.advance(forgetAfter + 3*time.Second)
 	w.countAdmitted(1, "rate")
 	if n := len(w.g.customers); n != 2 || w.g.customers[c.key] != c {
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -199,10 +199,11 @@
 // While so many servers of the fleet are out of use that verdicts are ignored, a gateway uses its whole
 // subset, not only the few servers of it that are in use. The failure occurred in a rollout that
 // restarted six in ten servers, whose connections came up late: verdicts had most of the fleet out of
-// use for the class with the shortest latency target. Gateways that went by their own subsets sent all
-// requests to the few servers left there: in the fault join+mass, 592 to 718 of 2,065 to 2,377 choices a
-// second were among three servers or fewer (250 of 2,200 before there were subsets). These servers timed
-// out and got out of use too.
+// use for the class with the shortest latency target. Gateways that considered only their own subsets
+// would have ignored the verdicts if no server had been left there. With a few left, they sent all
+// requests to these: in the fault join+mass, 592 to 718 of 2,065 to 2,377 choices a second were among
+// three servers or fewer (250 of 2,200 before there were subsets). These servers timed out, and verdicts
+// took them out of use too.
 func TestLastFewOfASetAreNotOverrun(t *testing.T) {
 	for _, c := range []struct {
 		outOfUse float64 // share of the fleet
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -20,7 +20,8 @@
 	return s
 }
 
-// A tag contains its table's mark, and few tags of an older program look as if they did.
+// A tag contains its table's mark. Older programs draw tags at random, and few of these are accepted as
+// marked.
 func TestTags(t *testing.T) {
 	s := baseSettings()
 	g, err := New(s, 1)
@@ -320,7 +321,8 @@
 	}
 }
 
-// FuzzPeerMessages passes arbitrary peer messages to a gateway that knows two tables.
+// FuzzPeerMessages passes arbitrary peer messages, with and without a mark, to a gateway that knows two
+// tables.
 func FuzzPeerMessages(f *testing.F) {
 	f.Add(encode(askMessage{Customer: 7, Spread: 2, Plan: 1, Units: 4, RemainingMS: 2000, Tag: 9,
 		AskChance: 250, TokenFill: 3}))
