--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -20,8 +20,8 @@
 	return s
 }
 
-// A tag contains its table's mark. Older programs draw tags at random, and few of these are accepted as
-// marked.
+// A tag contains its table's mark. Tags of older programs contain none, and few of them may be accepted as
+// marked; the test uses random tags in their place.
 func TestTags(t *testing.T) {
 	s := baseSettings()
 	g, err := New(s, 1)
