--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,7 +10,6 @@
 	"path/filepath"
 	"reflect"
 	"regexp"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -673,31 +672,45 @@
 	})
 }
 
+// sourceFiles returns the contents of the package's files by name, without its tests.
+func sourceFiles(t *testing.T) map[string]string {
+	t.Helper()
+	names, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string]string{}
+	for _, name := range names {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[name] = string(text)
+	}
+	return files
+}
+
 // Outside of tests no line is longer than 110 characters and no function longer than 60 lines.
 func TestModuleKeepsItsLimits(t *testing.T) {
 	const (
 		maxLineLength    = 110 // characters, a tab counting as four
 		maxFunctionLines = 60
 	)
-	files, err := filepath.Glob("*.go")
-	if err != nil || !slices.Contains(files, "policy.go") || !slices.Contains(files, "gateway.go") {
-		t.Fatalf("files %v: %v", files, err)
+	files := sourceFiles(t)
+	if files["policy.go"] == "" || files["gateway.go"] == "" {
+		t.Fatal("policy.go or gateway.go is missing or empty")
 	}
-	for _, f := range files {
-		if strings.HasSuffix(f, "_test.go") {
-			continue
-		}
-		b, err := os.ReadFile(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for i, l := range strings.Split(string(b), "\n") {
+	for name, text := range files {
+		for i, l := range strings.Split(text, "\n") {
 			if len([]rune(strings.ReplaceAll(l, "\t", "    "))) > maxLineLength {
-				t.Errorf("%s:%d is longer than %d characters", f, i+1, maxLineLength)
+				t.Errorf("%s:%d is longer than %d characters", name, i+1, maxLineLength)
 			}
 		}
 		set := token.NewFileSet()
-		file, err := parser.ParseFile(set, f, b, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(set, name, text, parser.SkipObjectResolution)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -707,7 +720,7 @@
 				continue
 			}
 			if n := set.Position(fn.End()).Line - set.Position(fn.Pos()).Line + 1; n > maxFunctionLines {
-				t.Errorf("%s: %s has %d lines, more than %d", f, fn.Name.Name, n, maxFunctionLines)
+				t.Errorf("%s: %s has %d lines, more than %d", name, fn.Name.Name, n, maxFunctionLines)
 			}
 		}
 	}
@@ -715,24 +728,15 @@
 
 // All constants of the decisions are in policy.go: the other files contain no durations and no fractions.
 func TestConstantsAreInPolicyFile(t *testing.T) {
-	files, err := filepath.Glob("*.go")
-	if err != nil {
-		t.Fatal(err)
-	}
 	constant := regexp.MustCompile(`[0-9] ?\* ?time\.|\b0\.[0-9]*[1-9]`)
-	for _, f := range files {
-		if f == "policy.go" || strings.HasSuffix(f, "_test.go") {
+	for name, text := range sourceFiles(t) {
+		if name == "policy.go" {
 			continue
 		}
-		b, err := os.ReadFile(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for i, l := range strings.Split(string(b), "\n") {
+		for i, l := range strings.Split(text, "\n") {
 			code, _, _ := strings.Cut(l, "//")
 			if constant.MatchString(code) {
-				t.Errorf("%s:%d contains a constant that belongs in policy.go: %s", f, i+1,
-					strings.TrimSpace(l))
+				t.Errorf("%s:%d contains a constant that belongs in policy.go: %s", name, i+1, strings.TrimSpace(l))
 			}
 		}
 	}
